--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -24,75 +24,76 @@
 namespace pinedoor {
 namespace {
 
-constexpr Time kTurnsBetween = 2;       // turns, while requests are open
-constexpr Time kTurnsBetweenIdle = 20;  // while there are none
+constexpr Time kTurnInterval = 2;       // turns, while requests are open
+constexpr Time kIdleTurnInterval = 20;  // while there are none
 
 }  // namespace
 
-struct FrontNode::Parts {
-    Parts(std::uint64_t seed, NodePlace at, std::vector<OpType> op_types, ShardRing shards, SendTerms sends,
-          FurtherSendTerms further, ColdTerms cold_terms, ListTerms list, ClientTerms clients)
-        : place(at), ring(shards), cold(cold_terms), connect_timeout(sends.connect_timeout),
-          shortest(policy::shortest_budget(op_types)), follower(inboxes, list, at.front_nodes),
-          overload(inboxes, shortest, at.front_nodes),
-          requests(inboxes, std::move(op_types), shards, sends, further, clients, at.turn) {
-        inboxes.chance.seed(static_cast<std::uint32_t>(seed ^ (seed >> 32U)));
+struct FrontNode::Impl {
+    Impl(std::uint64_t seed, NodePlace node_config, std::vector<OpType> op_types, ShardRing shard_ring,
+         SendTerms sends, FurtherSendTerms further, ColdTerms cold, ListTerms list, ClientTerms clients)
+        : node(node_config), ring(shard_ring), cold_start(cold), connect_timeout(sends.connect_timeout),
+          min_budget(policy::min_latency_budget(op_types)), follower(inboxes, list, node_config.front_nodes),
+          overload(inboxes, min_budget, node_config.front_nodes),
+          requests(inboxes, std::move(op_types), shard_ring, sends, further, clients, node_config.turn) {
+        inboxes.rng.seed(static_cast<std::uint32_t>(seed ^ (seed >> 32U)));
     }
 
     // Index servers and their cards go before each message to requests: they must not be decided by a card
     // that an order of the same turn has made untrue, or a whole multiget goes to one cold server's last free
     // place.
-    void empty_inboxes() {
+    void process_inboxes() {
         for (bool busy = true; busy;) {
-            busy = empty_one(follower, inboxes.list);
-            while (empty_servers()) busy = true;
-            while (empty_one(overload, inboxes.overload)) busy = true;
-            while (empty_one(requests, inboxes.cards)) busy = true;
-            if (!busy) busy = empty_one(requests, inboxes.requests);
+            busy = process_one(follower, inboxes.list);
+            while (process_server_inboxes()) busy = true;
+            while (process_one(overload, inboxes.overload)) busy = true;
+            while (process_one(requests, inboxes.snapshots)) busy = true;
+            if (!busy) busy = process_one(requests, inboxes.requests);
         }
     }
 
-    void deliver(const FleetShare& share) { inboxes.share = share; }
-    void deliver(const ListNews& news) { inboxes.list.push_back(news); }
+    void deliver(const FleetShare& quota) { inboxes.fleet_quota = quota; }
+    void deliver(const ListNews& update) { inboxes.list.push_back(update); }
     void deliver(const SendEnded& ended) { inboxes.servers[ended.server].push_back(ended); }
-    void deliver(const ServerWord& word) {
-        if (servers.contains(word.server)) inboxes.servers[word.server].push_back(word);
+    void deliver(const ServerWord& report) {
+        if (servers.contains(report.server)) inboxes.servers[report.server].push_back(report);
     }
     template <class Other>
-    void deliver(const Other& what) {  // bells only make a turn; probes and peers are not asked
+    void deliver(const Other& event) {  // bells only make a turn; probes and peers are not asked
         if constexpr (std::is_constructible_v<policy::RequestMessage, Other>)
-            inboxes.requests.push_back(what);
+            inboxes.requests.push_back(event);
     }
 
-    void ask_for_next_turn() {
-        const Time next = inboxes.now + place.turn * (requests.idle() ? kTurnsBetweenIdle : kTurnsBetween);
-        if (bell_due > inboxes.now && bell_due <= next) return;
-        bell_due = next;
+    void schedule_next_turn() {
+        const Time next = inboxes.now + node.turn * (requests.idle() ? kIdleTurnInterval : kTurnInterval);
+        if (timer_due > inboxes.now && timer_due <= next) return;
+        timer_due = next;
         inboxes.actions.emplace_back(SetBell{next - inboxes.now, 0});
     }
 
-    NodePlace place;
+    NodePlace node;
     ShardRing ring;
-    ColdTerms cold;
+    ColdTerms cold_start;
     Time connect_timeout;
-    Time shortest;
+    Time min_budget;
     policy::Inboxes inboxes;
     policy::ListFollower follower;
     std::map<ServerId, policy::ServerHealth> servers;
     policy::OverloadControl overload;
     policy::RequestLifecycle requests;
-    Time bell_due = 0;
+    Time timer_due = 0;
 
 private:
-    bool empty_servers() {
+    bool process_server_inboxes() {
         bool busy = false;
         for (; !inboxes.servers.empty(); inboxes.servers.erase(inboxes.servers.begin())) {
             auto& [id, inbox] = *inboxes.servers.begin();
-            const auto made =
-                servers.try_emplace(id, inboxes, id, cold, place, ring, connect_timeout, shortest).first;
-            while (empty_one(made->second, inbox)) busy = true;
+            const auto server =
+                servers.try_emplace(id, inboxes, id, cold_start, node, ring, connect_timeout, min_budget)
+                    .first;
+            while (process_one(server->second, inbox)) busy = true;
             // One that left the list for good would be kept for ever; if it returns it is a new one.
-            if (made->second.is_over()) inboxes.forget(servers, made);
+            if (server->second.is_removed()) inboxes.remove(servers, server);
         }
         return busy;
     }
@@ -101,31 +102,31 @@
 FrontNode::FrontNode(std::uint64_t seed, NodePlace place, std::vector<OpType> op_types, ShardRing ring,
                      SendTerms sends, FurtherSendTerms further, ColdTerms cold, ListTerms list,
                      ClientTerms clients, std::vector<TenantShare>, HintTerms)
-    : parts_(std::make_unique<Parts>(seed, place, std::move(op_types), ring, sends, further, cold, list,
-                                     clients)) {}
+    : impl_(std::make_unique<Impl>(seed, place, std::move(op_types), ring, sends, further, cold, list,
+                                   clients)) {}
 FrontNode::~FrontNode() = default;
 FrontNode::FrontNode(FrontNode&&) noexcept = default;
 FrontNode& FrontNode::operator=(FrontNode&&) noexcept = default;
 
 std::vector<ServerView> FrontNode::servers() const {
     std::vector<ServerView> all;
-    for (const auto& [id, server] : parts_->servers) all.push_back(server.view());
+    for (const auto& [id, server] : impl_->servers) all.push_back(server.view());
     return all;
 }
 
-std::vector<DeadlyKey> FrontNode::deadly_keys() const { return parts_->requests.deadly_keys(); }
-double FrontNode::further_sends() const { return parts_->inboxes.further_sent; }
+std::vector<DeadlyKey> FrontNode::deadly_keys() const { return impl_->requests.deadly_keys(); }
+double FrontNode::further_sends() const { return impl_->inboxes.further_sends; }
 
 std::vector<Action> FrontNode::turn(Time now, const std::vector<Event>& events) {
-    auto& inboxes = parts_->inboxes;
+    auto& inboxes = impl_->inboxes;
     inboxes.now = now;
     for (const auto& event : events) {
-        std::visit([&](const auto& what) { parts_->deliver(what); }, event);
-        parts_->empty_inboxes();
+        std::visit([&](const auto& content) { impl_->deliver(content); }, event);
+        impl_->process_inboxes();
     }
     inboxes.tick_all();
-    parts_->empty_inboxes();
-    parts_->ask_for_next_turn();
+    impl_->process_inboxes();
+    impl_->schedule_next_turn();
     return std::exchange(inboxes.actions, {});
 }
 
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -311,8 +311,8 @@
     double further_sends() const;                // since its start
 
 private:
-    struct Parts;
-    std::unique_ptr<Parts> parts_;
+    struct Impl;
+    std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace pinedoor
--- a/src/policy/deadly_keys.cpp
+++ b/src/policy/deadly_keys.cpp
@@ -5,34 +5,34 @@
 namespace pinedoor::policy {
 namespace {
 
-constexpr std::size_t kMostKept = 64;
+constexpr std::size_t kMaxKeys = 64;
 
 }  // namespace
 
-void DeadlyKeys::note(DeadlyKey what, bool own) {
-    if (what.key == 0) return;
-    const auto is_same = [&](const Kept& each) { return each.key.key == what.key; };
-    const auto held = std::find_if(keys_.begin(), keys_.end(), is_same);
-    if (held != keys_.end()) {
-        held->key.until = std::max(held->key.until, what.until);
-        held->own = held->own || own;
+void DeadlyKeys::add(DeadlyKey key, bool own) {
+    if (key.key == 0) return;
+    const auto is_same = [&](const Entry& entry) { return entry.key.key == key.key; };
+    const auto found = std::find_if(keys_.begin(), keys_.end(), is_same);
+    if (found != keys_.end()) {
+        found->key.until = std::max(found->key.until, key.until);
+        found->own = found->own || own;
         return;
     }
-    if (keys_.size() == kMostKept) keys_.pop_front();
-    keys_.push_back({what, own});
+    if (keys_.size() == kMaxKeys) keys_.pop_front();
+    keys_.push_back({key, own});
 }
 
 bool DeadlyKeys::any_of(const std::vector<PartState>& parts, Time now) const {
-    return std::any_of(keys_.begin(), keys_.end(), [&](const Kept& each) {
-        const auto has = [&](const PartState& part) { return part.told.key == each.key.key; };
-        return each.key.until >= now && std::any_of(parts.begin(), parts.end(), has);
+    return std::any_of(keys_.begin(), keys_.end(), [&](const Entry& entry) {
+        const auto has_key = [&](const PartState& part) { return part.arrival.key == entry.key.key; };
+        return entry.key.until >= now && std::any_of(parts.begin(), parts.end(), has_key);
     });
 }
 
 std::vector<DeadlyKey> DeadlyKeys::own() const {
     std::vector<DeadlyKey> found;
-    for (const auto& each : keys_) {
-        if (each.own) found.push_back(each.key);
+    for (const auto& entry : keys_) {
+        if (entry.own) found.push_back(entry.key);
     }
     return found;
 }
--- a/src/policy/deadly_keys.hpp
+++ b/src/policy/deadly_keys.hpp
@@ -12,16 +12,16 @@
 class DeadlyKeys {
 public:
     // Own: seen here, not told by another front node.
-    void note(DeadlyKey what, bool own);
+    void add(DeadlyKey key, bool own);
     bool any_of(const std::vector<PartState>& parts, Time now) const;
     std::vector<DeadlyKey> own() const;
 
 private:
-    struct Kept {
+    struct Entry {
         DeadlyKey key;
         bool own = false;
     };
-    std::deque<Kept> keys_;
+    std::deque<Entry> keys_;
 };
 
 }  // namespace pinedoor::policy
--- a/src/policy/list_follower.hpp
+++ b/src/policy/list_follower.hpp
@@ -14,7 +14,7 @@
 class KnownList {
 public:
     // Returns the entries that are news; whom a full list does not name any more is gone.
-    std::vector<ListEntry> apply(const ListNews& news);
+    std::vector<ListEntry> apply(const ListNews& update);
     bool empty() const { return listed_.empty(); }
     int count_ready() const;
 
@@ -24,38 +24,38 @@
 
 class ListFollower {
 public:
-    ListFollower(Inboxes& inboxes, ListTerms terms, int front_nodes);
+    ListFollower(Inboxes& inboxes, ListTerms config, int front_nodes);
 
-    void take(const Tick&);
-    void take(const ListNews& news);
+    void handle(const Tick&);
+    void handle(const ListNews& update);
 
 private:
-    void call_ended(const ListNews& news);
-    void watch_ended();
-    void call_refused();
+    void on_call_ended(const ListNews& update);
+    void on_watch_ended();
+    void on_call_refused();
     void call();
-    void judge_lease();
+    void check_lease();
     bool holds_list() const { return !listed_.empty(); }
-    Time least_pause() const {
-        return holds_list() ? lease_.least_pause(inboxes_.now) : terms_.must_ask_in / 16;
+    Time min_pause() const {
+        return holds_list() ? lease_.min_pause(inboxes_.now) : config_.must_ask_in / 16;
     }
     // To which pauses grow where there are few other front nodes to be spared.
-    Time longest_pause() const { return terms_.must_ask_in / 8; }
+    Time max_pause() const { return config_.must_ask_in / 8; }
     Time first_span() const;
 
     Inboxes& inboxes_;
-    const ListTerms terms_;
+    const ListTerms config_;
     const Time fleet_span_;  // half of what it takes discovery to serve all front nodes
     KnownList listed_;
     ListLease lease_;
     bool watching_ = false;
     bool expired_ = false;  // as last logged
     Time span_ = 0;         // calls are spread at random over it
-    Time ask_within_ = 0;
-    Time known_age_ = 0;  // of a known list at the start
-    Time ask_at_ = 0;
+    Time call_within_ = 0;
+    Time saved_age_ = 0;  // of a known list at the start
+    Time call_at_ = 0;
     Time called_at_ = 0;
-    int refused_on_end_ = 0;
+    int refusals_in_a_row_ = 0;
 };
 
 }  // namespace pinedoor::policy
--- a/src/policy/list_lease.cpp
+++ b/src/policy/list_lease.cpp
@@ -6,57 +6,59 @@
 namespace {
 
 // Shares of the lease, or of what is left of it.
-constexpr Time kBeatSlack = 12;     // on top of the time between two beats
-constexpr Time kPausesLeft = 8;     // pauses shrink as expiry nears, so that several calls fit in
-constexpr Time kPatiencesLeft = 5;  // and so does the wait for an answer
+constexpr Time kHeartbeatSlackDivisor = 12;  // on top of the time between two beats
+constexpr Time kMaxPauseDivisor = 8;         // pauses shrink as expiry nears, so that several calls fit in
+constexpr Time kOverdueDivisor = 5;          // and so does the wait for an answer
 // However seldom discovery need be asked, the fixed and the random part of a pause are no longer than these.
-constexpr Time kLeastPaceShare = 8;
-constexpr Time kPaceShare = 4;
-constexpr Time kDoubtedShare = 3;  // by so much the age of a known list counts at most
+constexpr Time kFixedPauseDivisor = 8;
+constexpr Time kRandomPauseDivisor = 4;
+constexpr Time kSavedAgeDivisor = 3;  // by so much the age of a known list counts at most
 
 // Shares of the stated time in which discovery must be asked, which tells how many calls it bears.
-constexpr Time kLeastPauseStated = 16;
-constexpr Time kLeastPauseExpired = 4;
-constexpr Time kPauseStated = 8;
+constexpr Time kMinPauseDivisor = 16;
+constexpr Time kMinPauseExpiredDivisor = 4;
+constexpr Time kSparingPauseDivisor = 8;
 
 }  // namespace
 
-void ListLease::heard(Time at) {
-    if (at > heard_) heard_ = at;
+void ListLease::on_contact(Time when) {
+    if (when > last_contact_) last_contact_ = when;
 }
 
 Time ListLease::left(Time now) const {
-    return is_granted() ? std::max<Time>(0, heard_ + terms_.told_after - now) : 0;
+    return is_granted() ? std::max<Time>(0, last_contact_ + config_.told_after - now) : 0;
 }
 
 bool ListLease::forbids_sends(Time now) const {
-    return is_expired(now) && answered_in_part_ != kNever && answered_in_part_ > heard_ &&
-           now - answered_in_part_ < terms_.told_after;
+    return is_expired(now) && incomplete_answer_at_ != kNever && incomplete_answer_at_ > last_contact_ &&
+           now - incomplete_answer_at_ < config_.told_after;
 }
 
-Time ListLease::longest_silence() const { return terms_.beat + terms_.told_after / kBeatSlack; }
+Time ListLease::max_silence() const { return config_.beat + config_.told_after / kHeartbeatSlackDivisor; }
 
 Time ListLease::sparing_pause() const {
-    return std::min(terms_.must_ask_in / kPauseStated, terms_.told_after / kPaceShare);
+    return std::min(config_.must_ask_in / kSparingPauseDivisor, config_.told_after / kRandomPauseDivisor);
 }
 
-Time ListLease::longest_pause(Time now) const {
+Time ListLease::max_pause(Time now) const {
     const Time left_now = left(now);
-    return left_now > 0 ? std::max(left_now / kPausesLeft, sparing_pause()) : terms_.told_after / kPaceShare;
+    return left_now > 0 ? std::max(left_now / kMaxPauseDivisor, sparing_pause())
+                        : config_.told_after / kRandomPauseDivisor;
 }
 
-Time ListLease::least_pause(Time now) const {
-    const Time stated = terms_.must_ask_in / (is_expired(now) ? kLeastPauseExpired : kLeastPauseStated);
-    return std::min(stated, terms_.told_after / kLeastPaceShare);
+Time ListLease::min_pause(Time now) const {
+    const Time by_refresh_time =
+        config_.must_ask_in / (is_expired(now) ? kMinPauseExpiredDivisor : kMinPauseDivisor);
+    return std::min(by_refresh_time, config_.told_after / kFixedPauseDivisor);
 }
 
-Time ListLease::patience(Time now) const {
+Time ListLease::overdue_timeout(Time now) const {
     const Time left_now = left(now);
-    return std::max(sparing_pause(), (left_now > 0 ? left_now : terms_.told_after) / kPatiencesLeft);
+    return std::max(sparing_pause(), (left_now > 0 ? left_now : config_.told_after) / kOverdueDivisor);
 }
 
 Time ListLease::first_span(Time age) const {
-    return (terms_.told_after - std::min(age, terms_.told_after / kDoubtedShare)) / 2;
+    return (config_.told_after - std::min(age, config_.told_after / kSavedAgeDivisor)) / 2;
 }
 
 }  // namespace pinedoor::policy
--- a/src/policy/overload_control.cpp
+++ b/src/policy/overload_control.cpp
@@ -6,98 +6,99 @@
 namespace pinedoor::policy {
 namespace {
 
-constexpr Time kWindow = 10'000;  // one second, as the design has it
-constexpr double kMark = 0.05;    // of what ended, under pressure: more is overload
-constexpr int kLeastEnded = 20;
+constexpr Time kWindow = 10'000;             // one second, as the design has it
+constexpr double kOverloadThreshold = 0.05;  // of what ended, under pressure: more is overload
+constexpr int kMinSamples = 20;
 // Steps go by the mean weight of a part, so that they bite alike on a dozen shards and on many dozens.
 constexpr double kStep = 0.5;
-constexpr double kMostAlpha = 2;
-constexpr int kDrownedShare = 4;  // one in so many under pressure
-constexpr double kQuickStep = 1.0 / 32;
-constexpr double kQuartile = 1.0 / 3;  // a step up for each three down settles at the lower quartile
-constexpr double kLeastQuick = 10;     // a millisecond
-constexpr double kSmoothing = 8;       // samples that a smoothed figure goes by
+constexpr double kMaxAlpha = 2;
+constexpr int kSevereDivisor = 4;  // one in so many under pressure
+constexpr double kLatencyGain = 1.0 / 32;
+constexpr double kQuartileStep = 1.0 / 3;  // a step up for each three down settles at the lower quartile
+constexpr double kMinLowLatency = 10;      // a millisecond
+constexpr double kSmoothing = 8;           // samples that a smoothed figure goes by
 
 }  // namespace
 
-OverloadControl::OverloadControl(Inboxes& inboxes, Time shortest_budget, int front_nodes)
-    : inboxes_(inboxes), rare_(2 * shortest_budget),
-      front_nodes_(front_nodes), pace_{static_cast<double>(shortest_budget) / 8,
-                                       static_cast<double>(shortest_budget) / 4, 0} {}
+OverloadControl::OverloadControl(Inboxes& inboxes, Time min_budget, int front_nodes)
+    : inboxes_(inboxes), rare_interval_(2 * min_budget),
+      front_nodes_(front_nodes), stats_{static_cast<double>(min_budget) / 8,
+                                        static_cast<double>(min_budget) / 4, 0} {}
 
-void OverloadControl::take(const AttemptPressure& pressure) {
-    ++ended_;
-    ended_servers_.insert(pressure.server);
-    if (!pressure.pressing) return;
-    ++pressing_;
-    pressed_servers_.insert(pressure.server);
+void OverloadControl::handle(const OverloadSample& sample) {
+    ++samples_;
+    sampled_servers_.insert(sample.server);
+    if (!sample.overloaded) return;
+    ++overload_samples_;
+    overloaded_servers_.insert(sample.server);
 }
 
 // The quick one is the lower quartile, which queues move little.
-void OverloadControl::take(const AnswerTook& answer) {
-    const auto took = static_cast<double>(answer.took);
-    pace_.quick += pace_.quick * kQuickStep * (took > pace_.quick ? kQuartile : -1);
-    pace_.quick = std::max(pace_.quick, kLeastQuick);
-    pace_.mean += (took - pace_.mean) * kQuickStep;
-    borne_ += answer.warm ? 1 : 0;
+void OverloadControl::handle(const LatencySample& sample) {
+    const auto latency = static_cast<double>(sample.latency);
+    stats_.low_latency +=
+        stats_.low_latency * kLatencyGain * (latency > stats_.low_latency ? kQuartileStep : -1);
+    stats_.low_latency = std::max(stats_.low_latency, kMinLowLatency);
+    stats_.mean_latency += (latency - stats_.mean_latency) * kLatencyGain;
+    warm_answers_ += sample.warm ? 1 : 0;
 }
 
-void OverloadControl::take(const PartWeights& weights) {
-    const Time since = inboxes_.now - std::exchange(weighed_, inboxes_.now);
-    gap_ += (since - gap_) / (gap_ > 0 ? 4 : 1);
+void OverloadControl::handle(const PartWeights& weights) {
+    const Time since = inboxes_.now - std::exchange(last_use_, inboxes_.now);
+    mean_interval_ += (since - mean_interval_) / (mean_interval_ > 0 ? 4 : 1);
     mean_weight_ += (weights.mean - mean_weight_) / (mean_weight_ > 0 ? kSmoothing : 1);
 }
 
-void OverloadControl::take(const Tick&) {
-    if (weighed_ == 0) weighed_ = inboxes_.now;
+void OverloadControl::handle(const Tick&) {
+    if (last_use_ == 0) last_use_ = inboxes_.now;
     if (inboxes_.now < window_ends_) return;
     window_ends_ = inboxes_.now + kWindow;
-    measure_what_servers_bear();
-    for (const auto& id : inboxes_.known) inboxes_.servers[id].push_back(pace_);
+    update_throughput();
+    for (const auto& id : inboxes_.known_servers) inboxes_.servers[id].push_back(stats_);
     // Where few sends end the counts go on. Alpha falls meanwhile; but where the multigets it decides on come
     // far apart, after a drowned fleet, only once it was used: else it is gone before each next one.
-    const bool enough = ended_ >= kLeastEnded;
-    const bool unused = gap_ > rare_ && inboxes_.now - weighed_ > kWindow;
-    if (!enough && unused && drowned_) return;
-    move_alpha(enough);
-    const double share = static_cast<double>(ready_) / pace_.quick / front_nodes_;
+    const bool enough = samples_ >= kMinSamples;
+    const bool unused = mean_interval_ > rare_interval_ && inboxes_.now - last_use_ > kWindow;
+    if (!enough && unused && was_severe_) return;
+    update_alpha(enough);
+    const double share = static_cast<double>(ready_) / stats_.low_latency / front_nodes_;
     inboxes_.requests.push_back(Alpha{alpha_, share});
     if (!enough) return;
-    drowned_ = pressing_ * kDrownedShare > ended_;
-    count_anew();
+    was_severe_ = overload_samples_ * kSevereDivisor > samples_;
+    reset_counts();
 }
 
 // Over all warm servers and windows: by those alone that answered, a node that sees little would take its few
 // answers of each for what it bears, and all nodes together would push those in slow start over. Where most
 // are in it the rest tell nothing, and what was learnt before holds.
-void OverloadControl::measure_what_servers_bear() {
+void OverloadControl::update_throughput() {
     const double warm = static_cast<double>(ready_) - in_slow_start_;
-    const double answered = std::exchange(borne_, 0);
+    const double answered = std::exchange(warm_answers_, 0);
     if (2 * warm >= static_cast<double>(ready_))
-        pace_.borne += (answered / std::max(1.0, warm) / kWindow - pace_.borne) / kSmoothing;
+        stats_.throughput += (answered / std::max(1.0, warm) / kWindow - stats_.throughput) / kSmoothing;
 }
 
 // Alpha answers pressure on the fleet. Time-outs at a few servers are those servers' trouble, which ejection
 // and retries answer; they must not raise alpha for every op type.
 bool OverloadControl::is_widespread() const {
     const std::size_t few =
-        std::max(std::min(ready_ / kFewServers, kFewServers), ended_servers_.size() / kFewServers);
-    return pressed_servers_.size() > few;
+        std::max(std::min(ready_ / kFewServers, kFewServers), sampled_servers_.size() / kFewServers);
+    return overloaded_servers_.size() > few;
 }
 
-void OverloadControl::move_alpha(bool enough) {
-    const bool is_over = enough && pressing_ > kMark * ended_;
+void OverloadControl::update_alpha(bool enough) {
+    const bool is_overload = enough && overload_samples_ > kOverloadThreshold * samples_;
     const double before = alpha_;
     const double step = kStep * mean_weight_;
-    if (!is_over) alpha_ = std::max(0.0, alpha_ - 2 * step);
-    if (is_over && is_widespread()) alpha_ = std::clamp(alpha_ * 2, step, kMostAlpha * mean_weight_);
+    if (!is_overload) alpha_ = std::max(0.0, alpha_ - 2 * step);
+    if (is_overload && is_widespread()) alpha_ = std::clamp(alpha_ * 2, step, kMaxAlpha * mean_weight_);
     if (before == 0 && alpha_ > 0) inboxes_.actions.emplace_back(LogLine{"pressure: alpha rises"});
 }
 
-void OverloadControl::count_anew() {
-    ended_ = pressing_ = 0;
-    ended_servers_.clear();
-    pressed_servers_.clear();
+void OverloadControl::reset_counts() {
+    samples_ = overload_samples_ = 0;
+    sampled_servers_.clear();
+    overloaded_servers_.clear();
 }
 
 }  // namespace pinedoor::policy
--- a/src/policy/overload_control.hpp
+++ b/src/policy/overload_control.hpp
@@ -13,40 +13,40 @@
 
 class OverloadControl {
 public:
-    OverloadControl(Inboxes& inboxes, Time shortest_budget, int front_nodes);
+    OverloadControl(Inboxes& inboxes, Time min_budget, int front_nodes);
 
-    void take(const AttemptPressure& pressure);
-    void take(const AnswerTook& answer);
-    void take(const PartWeights& weights);
-    void take(const SlowStartChange& change) { in_slow_start_ += change.by; }
-    void take(const ReadyServers& servers) { ready_ = static_cast<std::size_t>(servers.count); }
-    void take(const Tick&);
+    void handle(const OverloadSample& sample);
+    void handle(const LatencySample& sample);
+    void handle(const PartWeights& weights);
+    void handle(const SlowStartChange& change) { in_slow_start_ += change.delta; }
+    void handle(const ReadyServers& servers) { ready_ = static_cast<std::size_t>(servers.count); }
+    void handle(const Tick&);
 
 private:
-    void measure_what_servers_bear();
+    void update_throughput();
     bool is_widespread() const;
-    void move_alpha(bool enough);
-    void count_anew();
+    void update_alpha(bool enough);
+    void reset_counts();
 
     Inboxes& inboxes_;
-    const Time rare_;  // multigets that come further apart are
+    const Time rare_interval_;  // multigets that come further apart are
     const int front_nodes_;
-    AnswerPace pace_;
+    AnswerStats stats_;
     std::size_t ready_ = 0;  // servers listed
     int in_slow_start_ = 0;  // of these
     double alpha_ = 0;
     double mean_weight_ = 0;
-    Time weighed_ = 0;      // when alpha last decided on a multiget
-    Time gap_ = 0;          // from one such to the next, of late
-    bool drowned_ = false;  // over a quarter pressed when last counted
+    Time last_use_ = 0;        // when alpha last decided on a multiget
+    Time mean_interval_ = 0;   // from one such to the next, of late
+    bool was_severe_ = false;  // over a quarter pressed when last counted
 
     // Of the present window.
     Time window_ends_ = 0;
-    int ended_ = 0;
-    int pressing_ = 0;
-    std::set<ServerId> ended_servers_;  // where a send ended or became overdue
-    std::set<ServerId> pressed_servers_;
-    int borne_ = 0;  // answers of servers that were not in slow start
+    int samples_ = 0;
+    int overload_samples_ = 0;
+    std::set<ServerId> sampled_servers_;  // where a send ended or became overdue
+    std::set<ServerId> overloaded_servers_;
+    int warm_answers_ = 0;  // answers of servers that were not in slow start
 };
 
 }  // namespace pinedoor::policy
--- a/src/policy/repeat_guess.hpp
+++ b/src/policy/repeat_guess.hpp
@@ -10,20 +10,20 @@
 
 class RepeatGuess {
 public:
-    RepeatGuess(std::size_t op_types, bool clients_mark_repeats)
-        : seen_(op_types), clients_mark_repeats_(clients_mark_repeats) {}
+    RepeatGuess(std::size_t op_types, bool clients_mark_retries)
+        : history_(op_types), clients_mark_retries_(clients_mark_retries) {}
 
-    bool is_repeat(const MultigetArrival& told, const OpType& type, Time now);
-    void given_up(int op_type);  // one that was no repeat: its client may ask again
+    bool is_retry(const MultigetArrival& arrival, const OpType& type, Time now);
+    void on_given_up(int op_type);  // one that was no repeat: its client may ask again
 
 private:
-    struct Seen {
-        Time usual = 0;  // what clients mostly give one
-        int trust = 0;   // that it is still usual
-        double repeats_due = 0;
+    struct History {
+        Time usual_span = 0;  // what clients mostly give one
+        int confidence = 0;   // that it is still usual
+        double expected_retries = 0;
     };
-    std::vector<Seen> seen_;  // by op type
-    const bool clients_mark_repeats_;
+    std::vector<History> history_;  // by op type
+    const bool clients_mark_retries_;
 };
 
 }  // namespace pinedoor::policy
--- a/src/policy/replica_choice.cpp
+++ b/src/policy/replica_choice.cpp
@@ -9,36 +9,37 @@
 namespace pinedoor::policy {
 namespace {
 
-constexpr Time kShunnedFor = 32;  // latency budgets after a failed send, by what may not be sent again
-constexpr int kIsLater = 1;       // ranks of a replica, the lowest is taken
-constexpr int kIsEjected = 2;
-constexpr int kIsUnfit = 3;
+constexpr Time kAvoidBudgets = 32;  // latency budgets after a failed send, by what may not be sent again
+constexpr int kDeferredRank = 1;    // ranks of a replica, the lowest is taken
+constexpr int kEjectedRank = 2;
+constexpr int kUnfitRank = 3;
 
 }  // namespace
 
-void ServerCards::show(const ServerCard& card) {
-    auto& held = cards_[card.server];
-    failing_ += (card.standing == Standing::kFailing) - (held.standing == Standing::kFailing);
-    at_place_[held.place].erase(card.server);
-    at_place_[card.place].insert(card.server);
-    held = card;
-    if (!card.is_over) return;
-    failing_ -= held.standing == Standing::kFailing;
-    at_place_[held.place].erase(card.server);
-    cards_.erase(card.server);
+void ServerSnapshots::update(const ServerSnapshot& snapshot) {
+    auto& stored = snapshots_[snapshot.server];
+    failing_ += (snapshot.health == HealthState::kFailing) - (stored.health == HealthState::kFailing);
+    at_position_[stored.ring_position].erase(snapshot.server);
+    at_position_[snapshot.ring_position].insert(snapshot.server);
+    stored = snapshot;
+    if (!snapshot.is_removed) return;
+    failing_ -= stored.health == HealthState::kFailing;
+    at_position_[stored.ring_position].erase(snapshot.server);
+    snapshots_.erase(snapshot.server);
 }
 
-std::vector<const ServerCard*> ServerCards::holders(int shard) const {
-    std::vector<const ServerCard*> found;
+std::vector<const ServerSnapshot*> ServerSnapshots::replicas_of(int shard) const {
+    std::vector<const ServerSnapshot*> found;
     if (ring_.holders != nullptr) {
         for (const auto& id : ring_.holders->of(shard)) {
-            if (const auto card = cards_.find(id); card != cards_.end()) found.push_back(&card->second);
+            if (const auto snapshot = snapshots_.find(id); snapshot != snapshots_.end())
+                found.push_back(&snapshot->second);
         }
     }
     for (int j = ring_.holders != nullptr ? ring_.width : 0; j < ring_.width && j < ring_.places; ++j) {
-        const auto place = at_place_.find((shard + j) % ring_.places);
-        if (place == at_place_.end()) continue;
-        for (const auto& id : place->second) found.push_back(&cards_.at(id));
+        const auto position = at_position_.find((shard + j) % ring_.places);
+        if (position == at_position_.end()) continue;
+        for (const auto& id : position->second) found.push_back(&snapshots_.at(id));
     }
     std::sort(found.begin(), found.end(), [](auto* a, auto* b) { return a->server < b->server; });
     return found;
@@ -46,65 +47,69 @@
 
 // Those ejected, on trial, or too slow for the time left come last, and never first for what cannot be sent
 // again; a retry goes to where credit is and the part was not.
-const ServerCard* ReplicaChoice::pick(const PartState& part, const OpType& type, Time left, bool half_in) {
+const ServerSnapshot* ReplicaChoice::pick(const PartState& part, const OpType& type, Time left,
+                                          bool half_answered) {
     const bool is_retry = !part.attempts.empty();
-    const auto bearable = static_cast<Time>(kBearableWait * static_cast<double>(left));
-    std::vector<const ServerCard*> best;
+    const auto max_wait = static_cast<Time>(kMaxWaitShare * static_cast<double>(left));
+    std::vector<const ServerSnapshot*> best;
     std::array<int, 3> lowest{std::numeric_limits<int>::max()};
-    for (const auto* card : cards_.holders(part.told.shard)) {
-        if (!card->listed_ready || card->room < 1) continue;
-        const bool unfit = is_retry && !is_fit_for_retry(*card, part);
-        if (unfit && (part.stage != PartState::Stage::kWaiting || !half_in)) continue;
-        const int kept_back =
-            is_ejected(*card) ? kIsEjected : (comes_later(*card, type, bearable) ? kIsLater : 0);
-        const std::array<int, 3> rank{(unfit ? kIsUnfit : 0) + kept_back, card->calls_out, card->parts_out};
+    for (const auto* server : servers_.replicas_of(part.arrival.shard)) {
+        if (!server->listed_ready || server->free_slots < 1) continue;
+        const bool unfit = is_retry && !is_fit_for_retry(*server, part);
+        if (unfit && (part.stage != PartState::Stage::kWaiting || !half_answered)) continue;
+        const int health_rank =
+            is_ejected(*server) ? kEjectedRank : (is_deferred(*server, type, max_wait) ? kDeferredRank : 0);
+        const std::array<int, 3> rank{(unfit ? kUnfitRank : 0) + health_rank, server->calls_out,
+                                      server->parts_out};
         if (rank < lowest) best.clear();
         lowest = std::min(lowest, rank);
-        if (rank == lowest) best.push_back(card);
+        if (rank == lowest) best.push_back(server);
     }
-    return best.empty() ? nullptr : best[inboxes_.chance() % best.size()];
+    return best.empty() ? nullptr : best[inboxes_.rng() % best.size()];
 }
 
-bool ReplicaChoice::is_fit_for_retry(const ServerCard& card, const PartState& part) const {
-    return card.credit >= 1 && !is_ejected(card) && !part.was_at(card.server);
+bool ReplicaChoice::is_fit_for_retry(const ServerSnapshot& server, const PartState& part) const {
+    return server.credit >= 1 && !is_ejected(server) && !part.was_sent_to(server.server);
 }
 
-bool ReplicaChoice::comes_later(const ServerCard& card, const OpType& type, Time bearable) const {
-    const Time since_lost = inboxes_.now - card.lost;
-    const bool too_slow = expected_wait(card) > bearable;
-    const bool shunned = card.lost > 0 && since_lost < kShunnedFor * type.latency_budget;
-    const bool doubted = type.repeat != Repeat::kRetriable && (shunned || card.standing != Standing::kGood);
+bool ReplicaChoice::is_deferred(const ServerSnapshot& server, const OpType& type, Time max_wait) const {
+    const Time since_lost = inboxes_.now - server.last_lost_at;
+    const bool too_slow = expected_wait(server) > max_wait;
+    const bool avoided = server.last_lost_at > 0 && since_lost < kAvoidBudgets * type.latency_budget;
+    const bool suspect =
+        type.repeat != Repeat::kRetriable && (avoided || server.health != HealthState::kHealthy);
     // One that fails at once has the fewest parts out for it, and would draw what others lost.
-    const bool just_failed = card.lost > 0 && since_lost < type.latency_budget;
-    return doubted || too_slow || just_failed;
+    const bool just_failed = server.last_lost_at > 0 && since_lost < type.latency_budget;
+    return suspect || too_slow || just_failed;
 }
 
 Time ReplicaChoice::shortest_wait(const PartState& part) const {
     // Where every replica is ejected they count after all: what made so many silent may be over by now, and
     // pushing back everything until the first returns would make a short stall a long one.
     constexpr Time kNone = std::numeric_limits<Time>::max();
-    Time of_those_in_use = kNone;
-    Time of_those_ejected = kNone;
-    for (const auto* card : cards_.holders(part.told.shard)) {
+    Time of_usable = kNone;
+    Time of_ejected = kNone;
+    for (const auto* server : servers_.replicas_of(part.arrival.shard)) {
         // A cold server's room comes with time; one on trial has it when its part has ended.
-        if (!card->listed_ready || (card->room < 1 && card->room_at <= inboxes_.now)) continue;
-        auto& shortest = is_ejected(*card) ? of_those_ejected : of_those_in_use;
-        shortest = std::min(shortest, std::max(expected_wait(*card), card->room_at - inboxes_.now));
+        if (!server->listed_ready || (server->free_slots < 1 && server->next_slot_at <= inboxes_.now))
+            continue;
+        auto& shortest = is_ejected(*server) ? of_ejected : of_usable;
+        shortest = std::min(shortest, std::max(expected_wait(*server), server->next_slot_at - inboxes_.now));
     }
-    return of_those_in_use == kNone ? of_those_ejected : of_those_in_use;
+    return of_usable == kNone ? of_ejected : of_usable;
 }
 
 // Servers that fail some of their parts are worth their errors while too many fail to do without them.
-bool ReplicaChoice::is_ejected(const ServerCard& card) const {
-    const bool many = cards_.failing() * static_cast<int>(kFewServers) > static_cast<int>(cards_.count());
-    return card.standing == Standing::kEjected || (card.standing == Standing::kFailing && !many);
+bool ReplicaChoice::is_ejected(const ServerSnapshot& server) const {
+    const bool many = servers_.failing() * static_cast<int>(kFewServers) > static_cast<int>(servers_.count());
+    return server.health == HealthState::kEjected || (server.health == HealthState::kFailing && !many);
 }
 
 // The wait that this node's latest answers showed, less the time since, in which a queue that nobody adds to
 // would have shrunk; at least the age of the oldest send that is still out.
-Time ReplicaChoice::expected_wait(const ServerCard& card) const {
-    const Time left = std::max<Time>(0, card.wait - (inboxes_.now - card.wait_seen));
-    return card.oldest_out > 0 ? std::max(left, inboxes_.now - card.oldest_out) : left;
+Time ReplicaChoice::expected_wait(const ServerSnapshot& server) const {
+    const Time left = std::max<Time>(0, server.recent_latency - (inboxes_.now - server.latency_seen_at));
+    return server.oldest_sent_at > 0 ? std::max(left, inboxes_.now - server.oldest_sent_at) : left;
 }
 
 }  // namespace pinedoor::policy
--- a/src/policy/replica_choice.hpp
+++ b/src/policy/replica_choice.hpp
@@ -12,43 +12,43 @@
 namespace pinedoor::policy {
 
 // What the index servers let know of themselves, by server and by place.
-class ServerCards {
+class ServerSnapshots {
 public:
-    explicit ServerCards(ShardRing ring) : ring_(ring) {}
+    explicit ServerSnapshots(ShardRing ring) : ring_(ring) {}
 
-    void show(const ServerCard& card);
-    std::vector<const ServerCard*> holders(int shard) const;  // by their ids
-    std::size_t count() const { return cards_.size(); }
+    void update(const ServerSnapshot& snapshot);
+    std::vector<const ServerSnapshot*> replicas_of(int shard) const;  // by their ids
+    std::size_t count() const { return snapshots_.size(); }
     int failing() const { return failing_; }
 
 private:
     const ShardRing ring_;
-    std::map<ServerId, ServerCard> cards_;
-    std::map<int, std::set<ServerId>> at_place_;
+    std::map<ServerId, ServerSnapshot> snapshots_;
+    std::map<int, std::set<ServerId>> at_position_;
     int failing_ = 0;  // cards of servers that are
 };
 
 class ReplicaChoice {
 public:
-    ReplicaChoice(Inboxes& inboxes, ShardRing ring) : inboxes_(inboxes), cards_(ring) {}
+    ReplicaChoice(Inboxes& inboxes, ShardRing ring) : inboxes_(inboxes), servers_(ring) {}
 
-    void take(const ServerCard& card) { cards_.show(card); }
+    void handle(const ServerSnapshot& snapshot) { servers_.update(snapshot); }
     // Null: none is fit. Half in: over half of its request's weight has been answered.
-    const ServerCard* pick(const PartState& part, const OpType& type, Time left, bool half_in);
+    const ServerSnapshot* pick(const PartState& part, const OpType& type, Time left, bool half_answered);
     // Until a part could be answered, by what its replicas showed lately.
     Time shortest_wait(const PartState& part) const;
 
 private:
-    bool is_ejected(const ServerCard& card) const;
-    bool is_fit_for_retry(const ServerCard& card, const PartState& part) const;
-    bool comes_later(const ServerCard& card, const OpType& type, Time bearable) const;
-    Time expected_wait(const ServerCard& card) const;
+    bool is_ejected(const ServerSnapshot& server) const;
+    bool is_fit_for_retry(const ServerSnapshot& server, const PartState& part) const;
+    bool is_deferred(const ServerSnapshot& server, const OpType& type, Time max_wait) const;
+    Time expected_wait(const ServerSnapshot& server) const;
 
     Inboxes& inboxes_;
-    ServerCards cards_;
+    ServerSnapshots servers_;
 };
 
 // Of the time left that an expected wait may take.
-inline constexpr double kBearableWait = 0.4;
+inline constexpr double kMaxWaitShare = 0.4;
 
 }  // namespace pinedoor::policy
--- a/src/policy/request_lifecycle.hpp
+++ b/src/policy/request_lifecycle.hpp
@@ -20,37 +20,38 @@
                      FurtherSendTerms further, ClientTerms clients, Time turn);
 
     bool idle() const { return requests_.empty(); }
-    std::vector<DeadlyKey> deadly_keys() const { return deadly_.own(); }
+    std::vector<DeadlyKey> deadly_keys() const { return deadly_keys_.own(); }
 
-    void take(const DeadlyKey& told) { deadly_.note(told, false); }
-    void take(const ServerCard& card) { replicas_.take(card); }
-    void take(const Alpha& alpha);
-    void take(const MultigetArrival& told);
-    void take(const SecondStep& step);
-    void take(const PlacePart& message);
-    void take(const AttemptEnded& ended);
-    void take(const AttemptOverdue& overdue);
-    void take(const ClientLeft& left);
-    void take(const Tick&);
+    void handle(const DeadlyKey& key) { deadly_keys_.add(key, false); }
+    void handle(const ServerSnapshot& snapshot) { replicas_.handle(snapshot); }
+    void handle(const Alpha& alpha);
+    void handle(const MultigetArrival& arrival);
+    void handle(const SecondStep& step);
+    void handle(const DispatchPart& message);
+    void handle(const AttemptEnded& ended);
+    void handle(const AttemptOverdue& overdue);
+    void handle(const ClientLeft& left);
+    void handle(const Tick&);
 
 private:
     using Stage = PartState::Stage;
     struct Selection;
 
-    const OpType& type_of(const MultigetArrival& told) const {
-        return op_types_.at(static_cast<std::size_t>(told.op_type));
+    const OpType& type_of(const MultigetArrival& arrival) const {
+        return op_types_.at(static_cast<std::size_t>(arrival.op_type));
     }
     void set_times(MultigetState& request, const OpType& type);
     void select(MultigetState& request, const OpType& type);
-    Selection order_by_hope(const MultigetState& request, const OpType& type) const;
+    Selection rank_parts(const MultigetState& request, const OpType& type) const;
     bool may_send(const PartState& part, const OpType& type) const;
-    const ServerCard* pick(const PartState& part, const OpType& type, Time left, bool half_in = false);
-    void send(MultigetState& request, PartState& part, const OpType& type, const ServerCard& card);
-    void part_answered(MultigetState& request, PartState& part, const AttemptState& attempt);
-    void want_copies_of_stragglers(MultigetState& request);
+    const ServerSnapshot* pick(const PartState& part, const OpType& type, Time left,
+                               bool half_answered = false);
+    void send(MultigetState& request, PartState& part, const OpType& type, const ServerSnapshot& server);
+    void on_part_answered(MultigetState& request, PartState& part, const AttemptState& attempt);
+    void mark_stragglers(MultigetState& request);
     bool give_up_if_deadly(MultigetState& request, Id part, ServerId server);
-    void remember_deadly(const MultigetState& request);
-    void cancel_rest(const PartState& part);
+    void add_deadly_key(const MultigetState& request);
+    void cancel_sends(const PartState& part);
     void review(MultigetState& request);
     void answer(MultigetState& request, const OpType& type, bool whole);
     void give_up(MultigetState& request, GiveUpReason reason);
@@ -67,11 +68,11 @@
     ReplicaChoice replicas_;
     Admission admission_;
     RepeatGuess repeats_;
-    DeadlyKeys deadly_;
+    DeadlyKeys deadly_keys_;
     OpenRequests requests_;
     double alpha_ = 0;
 };
 
-Time shortest_budget(const std::vector<OpType>& op_types);
+Time min_latency_budget(const std::vector<OpType>& op_types);
 
 }  // namespace pinedoor::policy
--- a/src/policy/retry_budget.cpp
+++ b/src/policy/retry_budget.cpp
@@ -2,33 +2,34 @@
 
 namespace pinedoor::policy {
 
-void RetryBudget::note_further(int attempts) {
-    note({inboxes_.now, 0, attempts});
-    inboxes_.further_sent += attempts;
+void RetryBudget::record_further_sends(int sends) {
+    record({inboxes_.now, 0, sends});
+    inboxes_.further_sends += sends;
 }
 
 bool RetryBudget::allows(std::size_t more) const {
-    if (terms_.look_back == 0) return inboxes_.may_send_further(more);
-    const double earned = terms_.ratio * taken_after(inboxes_.now - terms_.look_back + slack_);
-    const double left = terms_.floor + earned - further_from(inboxes_.now - terms_.look_back - slack_);
-    return left >= static_cast<double>(more) && inboxes_.may_send_further(more);
+    if (config_.look_back == 0) return inboxes_.allows_further_sends(more);
+    const double earned = config_.ratio * received_after(inboxes_.now - config_.look_back + slack_);
+    const double left =
+        config_.floor + earned - further_sends_since(inboxes_.now - config_.look_back - slack_);
+    return left >= static_cast<double>(more) && inboxes_.allows_further_sends(more);
 }
 
-void RetryBudget::note(const Entry& entry) {
-    const Time keep_from = inboxes_.now - terms_.look_back - slack_;
-    while (!log_.empty() && log_.front().at < keep_from) log_.pop_front();
+void RetryBudget::record(const Entry& entry) {
+    const Time keep_from = inboxes_.now - config_.look_back - slack_;
+    while (!log_.empty() && log_.front().when < keep_from) log_.pop_front();
     log_.push_back(entry);
 }
 
-int RetryBudget::taken_after(Time at) const {
+int RetryBudget::received_after(Time when) const {
     int sum = 0;
-    for (const auto& entry : log_) sum += entry.at > at ? entry.taken : 0;
+    for (const auto& entry : log_) sum += entry.when > when ? entry.received : 0;
     return sum;
 }
 
-int RetryBudget::further_from(Time at) const {
+int RetryBudget::further_sends_since(Time when) const {
     int sum = 0;
-    for (const auto& entry : log_) sum += entry.at >= at ? entry.further : 0;
+    for (const auto& entry : log_) sum += entry.when >= when ? entry.further_sends : 0;
     return sum;
 }
 
--- a/src/policy/retry_budget.hpp
+++ b/src/policy/retry_budget.hpp
@@ -12,25 +12,25 @@
 public:
     // Slack: a turn and a connect time-out. An attempt counts when it arrives, maybe so much later: it counts
     // against the budget either way.
-    RetryBudget(Inboxes& inboxes, FurtherSendTerms terms, Time slack)
-        : inboxes_(inboxes), terms_(terms), slack_(slack) {}
+    RetryBudget(Inboxes& inboxes, FurtherSendTerms config, Time slack)
+        : inboxes_(inboxes), config_(config), slack_(slack) {}
 
-    void note_taken(int requests_and_parts) { note({inboxes_.now, requests_and_parts, 0}); }
-    void note_further(int attempts);
+    void record_received(int requests_and_parts) { record({inboxes_.now, requests_and_parts, 0}); }
+    void record_further_sends(int sends);
     bool allows(std::size_t more = 1) const;
 
 private:
     struct Entry {
-        Time at = 0;
-        int taken = 0;
-        int further = 0;
+        Time when = 0;
+        int received = 0;
+        int further_sends = 0;
     };
-    void note(const Entry& entry);
-    int taken_after(Time at) const;
-    int further_from(Time at) const;
+    void record(const Entry& entry);
+    int received_after(Time when) const;
+    int further_sends_since(Time when) const;
 
     Inboxes& inboxes_;
-    const FurtherSendTerms terms_;
+    const FurtherSendTerms config_;
     const Time slack_;
     std::deque<Entry> log_;  // for as long as they count
 };
--- a/src/simhost/main.cpp
+++ b/src/simhost/main.cpp
@@ -14,92 +14,95 @@
 
 using pinedoor::Event;
 using pinedoor::FrontNode;
-using pinedoor::wire::BadInput;
+using pinedoor::wire::ProtocolError;
 
-FrontNode start(const pinedoor::wire::Hello& hello, const pinedoor::stated::Stated& stated) {
-    return FrontNode(hello.seed, stated.node_place(), stated.op_types(), stated.shard_ring(),
-                     stated.send_terms(), stated.further_send_terms(), stated.cold_terms(),
-                     stated.list_terms(), stated.client_terms(), stated.tenants(), stated.hint_terms());
+FrontNode make_node(const pinedoor::wire::Hello& hello, const pinedoor::stated::Stated& settings) {
+    return FrontNode(hello.seed, settings.node_place(), settings.op_types(), settings.shard_ring(),
+                     settings.send_terms(), settings.further_send_terms(), settings.cold_terms(),
+                     settings.list_terms(), settings.client_terms(), settings.tenants(),
+                     settings.hint_terms());
 }
 
-struct Hosted {
+struct Instance {
     std::optional<FrontNode> node;
     std::vector<Event> events;
     std::size_t op_types = 0;
-    bool called = false;  // had an event in this batch
+    bool turn_due = false;  // had an event in this batch
 };
 
 class Host {
 public:
     void serve(const pinedoor::wire::Batch& batch) {
         for (const auto& record : batch.records) {
-            auto& hosted = hosted_[record.instance];
-            std::visit([&](const auto& what) { take(record.instance, hosted, what); }, record.what);
+            auto& instance = instances_[record.instance];
+            std::visit([&](const auto& content) { handle(record.instance, instance, content); },
+                       record.content);
         }
-        for (auto& [number, hosted] : hosted_) {
-            if (!std::exchange(hosted.called, false) || !hosted.node) continue;
-            for (const auto& action : hosted.node->turn(batch.clock, hosted.events)) {
+        for (auto& [number, instance] : instances_) {
+            if (!std::exchange(instance.turn_due, false) || !instance.node) continue;
+            for (const auto& action : instance.node->turn(batch.clock, instance.events)) {
                 reply_.add(number, action);
             }
-            hosted.events.clear();
+            instance.events.clear();
         }
         std::cout << reply_.finish(batch.number) << std::flush;
     }
 
 private:
-    static void take(int, Hosted& hosted, const pinedoor::wire::Hello& hello) {
-        hosted = Hosted{};
-        const auto stated = pinedoor::stated::Stated::from_text(hello.settings);
-        hosted.node = start(hello, stated);
-        hosted.op_types = stated.op_types().size();
-        hosted.called = true;
+    static void handle(int, Instance& instance, const pinedoor::wire::Hello& hello) {
+        instance = Instance{};
+        const auto settings = pinedoor::stated::Stated::from_text(hello.settings);
+        instance.node = make_node(hello, settings);
+        instance.op_types = settings.op_types().size();
+        instance.turn_due = true;
     }
-    static void take(int, Hosted& hosted, const pinedoor::wire::Destroy&) { hosted = Hosted{}; }
-    static void take(int number, Hosted& hosted, const pinedoor::wire::Arrival& arrival) {
-        running(number, hosted);
+    static void handle(int, Instance& instance, const pinedoor::wire::Destroy&) { instance = Instance{}; }
+    static void handle(int number, Instance& instance, const pinedoor::wire::Arrival& arrival) {
+        require_node(number, instance);
         if (!arrival.is_part) {
-            if (static_cast<std::size_t>(arrival.multiget.op_type) >= hosted.op_types) {
-                throw BadInput("instance " + std::to_string(number) + ": a query of class " +
-                               std::to_string(arrival.multiget.op_type) + ", which its settings do not have");
+            if (static_cast<std::size_t>(arrival.multiget.op_type) >= instance.op_types) {
+                throw ProtocolError("instance " + std::to_string(number) + ": a query of class " +
+                                    std::to_string(arrival.multiget.op_type) +
+                                    ", which its settings do not have");
             }
-            return add(number, hosted, arrival.multiget);
+            return add_event(number, instance, arrival.multiget);
         }
         // Parts come right behind their query, or by themselves at a second step.
-        auto* last = hosted.events.empty() ? nullptr : &hosted.events.back();
-        if (auto* mg = last != nullptr ? std::get_if<pinedoor::MultigetArrival>(last) : nullptr;
-            mg != nullptr && mg->number == arrival.query_no) {
-            mg->parts.push_back(arrival.part);
+        auto* last = instance.events.empty() ? nullptr : &instance.events.back();
+        if (auto* multiget = last != nullptr ? std::get_if<pinedoor::MultigetArrival>(last) : nullptr;
+            multiget != nullptr && multiget->number == arrival.query_no) {
+            multiget->parts.push_back(arrival.part);
             return;
         }
         auto* step = last != nullptr ? std::get_if<pinedoor::SecondStep>(last) : nullptr;
         if (step == nullptr || step->number != arrival.query_no) {
-            add(number, hosted, pinedoor::SecondStep{arrival.query_no, {}});
-            step = &std::get<pinedoor::SecondStep>(hosted.events.back());
+            add_event(number, instance, pinedoor::SecondStep{arrival.query_no, {}});
+            step = &std::get<pinedoor::SecondStep>(instance.events.back());
         }
         step->parts.push_back(arrival.part);
     }
-    static void take(int number, Hosted& hosted, const pinedoor::wire::Discovery& news) {
-        add(number, hosted, pinedoor::ListNews{news.kind, news.entries});
+    static void handle(int number, Instance& instance, const pinedoor::wire::DiscoveryUpdate& update) {
+        add_event(number, instance, pinedoor::ListNews{update.kind, update.entries});
     }
-    static void take(int number, Hosted& hosted, const pinedoor::wire::HeadReceived&) {
-        running(number, hosted);
-        hosted.called = true;
+    static void handle(int number, Instance& instance, const pinedoor::wire::HeadReceived&) {
+        require_node(number, instance);
+        instance.turn_due = true;
     }
-    template <class What>
-    static void take(int number, Hosted& hosted, const What& what) {
-        add(number, hosted, what);
+    template <class Content>
+    static void handle(int number, Instance& instance, const Content& content) {
+        add_event(number, instance, content);
     }
 
-    static void running(int number, const Hosted& hosted) {
-        if (!hosted.node) throw BadInput("instance " + std::to_string(number) + " has no Hello yet");
+    static void require_node(int number, const Instance& instance) {
+        if (!instance.node) throw ProtocolError("instance " + std::to_string(number) + " has no Hello yet");
     }
-    static void add(int number, Hosted& hosted, Event event) {
-        running(number, hosted);
-        hosted.events.push_back(std::move(event));
-        hosted.called = true;
+    static void add_event(int number, Instance& instance, Event event) {
+        require_node(number, instance);
+        instance.events.push_back(std::move(event));
+        instance.turn_due = true;
     }
 
-    std::map<int, Hosted> hosted_;
+    std::map<int, Instance> instances_;
     pinedoor::wire::ReplyEncoder reply_;
 };
 
--- a/src/wire/frame.cpp
+++ b/src/wire/frame.cpp
@@ -8,11 +8,11 @@
 namespace pinedoor::wire {
 namespace {
 
-constexpr std::size_t kBatchHeader = 20;
-constexpr std::size_t kLargestFrame = std::size_t{256} << 20U;
+constexpr std::size_t kBatchHeaderSize = 20;
+constexpr std::size_t kMaxFrameSize = std::size_t{256} << 20U;
 constexpr std::size_t kEntrySize = 24;
 constexpr double kTicksPerMs = 10.0;
-constexpr double kLongestMs = 1e12;
+constexpr double kMaxMs = 1e12;
 
 Time to_time(double ms) { return static_cast<Time>(std::llround(ms * kTicksPerMs)); }
 double to_ms(Time t) { return static_cast<double>(t) / kTicksPerMs; }
@@ -27,49 +27,50 @@
         case 111: return Outcome::kNoConnection;
         case 114: return Outcome::kNeverSent;
         case 125: return Outcome::kCancelled;
-        default: reader.reject("unknown outcome code " + std::to_string(verdict));
+        default: reader.fail("unknown outcome code " + std::to_string(verdict));
     }
 }
 
 std::vector<ListEntry> read_entries(FieldReader& in) {
-    const auto count = in.whole(4, "number of entries");
-    if (count > in.left() / kEntrySize) in.reject("says " + std::to_string(count) + " entries, holds fewer");
+    const auto count = in.read_uint(4, "number of entries");
+    if (count > in.remaining() / kEntrySize)
+        in.fail("says " + std::to_string(count) + " entries, holds fewer");
     std::vector<ListEntry> entries(count);
     for (auto& entry : entries) {
-        entry.zone = static_cast<int>(in.whole(2, "rack_zone"));
-        entry.server = in.server();
-        entry.place = static_cast<int>(in.whole(2, "set_no"));
-        in.whole(1, "kind");
-        const auto health = in.whole(1, "health");
-        if (health > 2) in.reject("unknown health code " + std::to_string(health));
+        entry.zone = static_cast<int>(in.read_uint(2, "rack_zone"));
+        entry.server = in.read_server();
+        entry.place = static_cast<int>(in.read_uint(2, "set_no"));
+        in.read_uint(1, "kind");
+        const auto health = in.read_uint(1, "health");
+        if (health > 2) in.fail("unknown health code " + std::to_string(health));
         entry.state = static_cast<ServerState>(health);
-        entry.size = in.f32("share");
-        entry.started = in.time("started_at_ms");
+        entry.size = in.read_f32("share");
+        entry.started = in.read_time("started_at_ms");
     }
     return entries;
 }
 
 Arrival read_arrival(FieldReader& in) {
     Arrival arrival;
-    const auto id = static_cast<Id>(in.whole(4, "handle"));
-    const auto tenant = static_cast<int>(in.whole(4, "realm"));
-    const double shard = in.f32("slab");
-    const double hint = in.f64("work_hint_ms");
-    const auto op_type = static_cast<int>(in.whole(2, "lane"));
-    const auto flags = in.whole(1, "attrs");
-    const auto key = in.whole(8, "resource");
-    const double query_no = in.f32("query_no");
-    if (query_no < 0 || query_no > 4e9) in.reject("query_no is out of range");
+    const auto id = static_cast<Id>(in.read_uint(4, "handle"));
+    const auto tenant = static_cast<int>(in.read_uint(4, "realm"));
+    const double shard = in.read_f32("slab");
+    const double hint = in.read_f64("work_hint_ms");
+    const auto op_type = static_cast<int>(in.read_uint(2, "lane"));
+    const auto flags = in.read_uint(1, "attrs");
+    const auto key = in.read_uint(8, "resource");
+    const double query_no = in.read_f32("query_no");
+    if (query_no < 0 || query_no > 4e9) in.fail("query_no is out of range");
     arrival.query_no = static_cast<std::uint32_t>(query_no);
-    const Time not_after = in.time("not_after_ms");
-    const double amount = in.f32("heft");
+    const Time not_after = in.read_time("not_after_ms");
+    const double amount = in.read_f32("heft");
     arrival.is_part = shard >= 0;
     if (arrival.is_part) {
-        if (shard > 1e6 || shard != std::floor(shard)) in.reject("slab is no shard number");
-        const bool hinted = (flags & 1U) != 0 && std::isfinite(hint) && hint > 0 && hint < kLongestMs;
+        if (shard > 1e6 || shard != std::floor(shard)) in.fail("slab is no shard number");
+        const bool hinted = (flags & 1U) != 0 && std::isfinite(hint) && hint > 0 && hint < kMaxMs;
         arrival.part = {id, static_cast<int>(shard), amount, key, hinted ? to_time(hint) : 0};
     } else {
-        if (amount < 0 || amount > 1e6) in.reject("heft is no number of parts");
+        if (amount < 0 || amount > 1e6) in.fail("heft is no number of parts");
         arrival.multiget = {id, arrival.query_no, op_type, tenant, (flags & 2U) != 0, not_after, {}};
     }
     return arrival;
@@ -77,13 +78,13 @@
 
 SendEnded read_outcome(FieldReader& in) {
     SendEnded ended;
-    ended.part = static_cast<Id>(in.whole(4, "handle"));
-    ended.send = static_cast<int>(in.whole(2, "trial"));
-    ended.server = in.server();
-    ended.took = in.time("delay_seen_ms");
-    ended.outcome = outcome_of(in.whole(2, "verdict"), in);
-    in.whole(1, "closed");
-    ended.load = in.load_report();
+    ended.part = static_cast<Id>(in.read_uint(4, "handle"));
+    ended.send = static_cast<int>(in.read_uint(2, "trial"));
+    ended.server = in.read_server();
+    ended.took = in.read_time("delay_seen_ms");
+    ended.outcome = outcome_of(in.read_uint(2, "verdict"), in);
+    in.read_uint(1, "closed");
+    ended.load = in.read_load_report();
     return ended;
 }
 
@@ -150,17 +151,17 @@
 
 }  // namespace
 
-void FieldReader::reject(const std::string& why) const { throw BadInput(record_ + ": " + why); }
+void FieldReader::fail(const std::string& reason) const { throw ProtocolError(record_ + ": " + reason); }
 
-std::string_view FieldReader::text(std::size_t size, const char* field) {
-    if (size > bytes_.size()) reject(std::string("field ") + field + " is cut short");
-    const auto taken = bytes_.substr(0, size);
+std::string_view FieldReader::read_bytes(std::size_t size, const char* field) {
+    if (size > bytes_.size()) fail(std::string("field ") + field + " is cut short");
+    const auto bytes = bytes_.substr(0, size);
     bytes_.remove_prefix(size);
-    return taken;
+    return bytes;
 }
 
-std::uint64_t FieldReader::whole(int width, const char* field) {
-    const auto bytes = text(static_cast<std::size_t>(width), field);
+std::uint64_t FieldReader::read_uint(int width, const char* field) {
+    const auto bytes = read_bytes(static_cast<std::size_t>(width), field);
     std::uint64_t value = 0;
     for (int i = width - 1; i >= 0; --i) {
         value = (value << 8U) | static_cast<unsigned char>(bytes[static_cast<std::size_t>(i)]);
@@ -168,138 +169,139 @@
     return value;
 }
 
-double FieldReader::f64(const char* field) { return std::bit_cast<double>(whole(8, field)); }
+double FieldReader::read_f64(const char* field) { return std::bit_cast<double>(read_uint(8, field)); }
 
-double FieldReader::f32(const char* field) {
-    const double value = std::bit_cast<float>(static_cast<std::uint32_t>(whole(4, field)));
-    if (!std::isfinite(value)) reject(std::string("field ") + field + " is not a finite number");
+double FieldReader::read_f32(const char* field) {
+    const double value = std::bit_cast<float>(static_cast<std::uint32_t>(read_uint(4, field)));
+    if (!std::isfinite(value)) fail(std::string("field ") + field + " is not a finite number");
     return value;
 }
 
-Time FieldReader::time(const char* field) {
-    const double ms = f64(field);
-    if (!(std::abs(ms) <= kLongestMs)) reject(std::string("field ") + field + " is no time");
+Time FieldReader::read_time(const char* field) {
+    const double ms = read_f64(field);
+    if (!(std::abs(ms) <= kMaxMs)) fail(std::string("field ") + field + " is no time");
     return to_time(ms);
 }
 
-ServerId FieldReader::server() {
-    const auto bytes = text(4, "server address");
+ServerId FieldReader::read_server() {
+    const auto bytes = read_bytes(4, "server address");
     ServerId id;
     for (const char byte : bytes) id.address = (id.address << 8U) | static_cast<unsigned char>(byte);
-    id.port = static_cast<std::uint16_t>(whole(2, "server port"));
+    id.port = static_cast<std::uint16_t>(read_uint(2, "server port"));
     return id;
 }
 
-std::vector<double> FieldReader::load_report() {
-    std::vector<double> values(whole(1, "size of the load report"));
-    for (auto& value : values) value = f32("load report");
+std::vector<double> FieldReader::read_load_report() {
+    std::vector<double> values(read_uint(1, "size of the load report"));
+    for (auto& value : values) value = read_f32("load report");
     return values;
 }
 
-void FieldReader::finish() const {
-    if (!bytes_.empty()) reject(std::to_string(bytes_.size()) + " bytes left over");
+void FieldReader::expect_end() const {
+    if (!bytes_.empty()) fail(std::to_string(bytes_.size()) + " bytes left over");
 }
 
 Batch BatchDecoder::decode(std::string_view frame) {
     FieldReader in(frame, "frame header");
-    if (in.whole(4, "length") != frame.size()) in.reject("length does not match the frame");
+    if (in.read_uint(4, "length") != frame.size()) in.fail("length does not match the frame");
     Batch batch;
-    batch.clock = in.time("clock");
-    const auto count = in.whole(4, "number of records");
-    batch.number = static_cast<std::uint32_t>(in.whole(4, "number of the batch"));
+    batch.clock = in.read_time("clock");
+    const auto count = in.read_uint(4, "number of records");
+    batch.number = static_cast<std::uint32_t>(in.read_uint(4, "number of the batch"));
     for (std::uint64_t i = 0; i < count; ++i) {
-        FieldReader head(in.text(5, "record head"), "record head");
-        const auto code = head.whole(1, "code");
+        FieldReader head(in.read_bytes(5, "record head"), "record head");
+        const auto code = head.read_uint(1, "code");
         const std::string name = "record " + std::to_string(i) + " (code " + std::to_string(code) + ")";
-        const auto size = head.whole(4, "size");
-        if (size > in.left()) throw BadInput(name + ": says " + std::to_string(size) + " bytes, holds fewer");
-        FieldReader r(in.text(size, "fields"), name);
+        const auto size = head.read_uint(4, "size");
+        if (size > in.remaining())
+            throw ProtocolError(name + ": says " + std::to_string(size) + " bytes, holds fewer");
+        FieldReader r(in.read_bytes(size, "fields"), name);
         if (code == 26) {
-            const auto ref = r.whole(4, "ref");
-            if (ref >= lists_.size()) r.reject("list number " + std::to_string(ref) + " is above 15");
+            const auto ref = r.read_uint(4, "ref");
+            if (ref >= lists_.size()) r.fail("list number " + std::to_string(ref) + " is above 15");
             lists_.at(ref) = read_entries(r);
-            known_.at(ref) = true;
-            r.finish();
+            is_known_.at(ref) = true;
+            r.expect_end();
             continue;
         }
         Record record;
-        record.instance = static_cast<int>(r.whole(2, "node"));
+        record.instance = static_cast<int>(r.read_uint(2, "node"));
         switch (code) {
             case 16: {
                 Hello hello;
-                hello.seed = r.whole(8, "random_seed");
-                hello.settings = r.text(r.whole(4, "settings"), "settings");
-                record.what = std::move(hello);
+                hello.seed = r.read_uint(8, "random_seed");
+                hello.settings = r.read_bytes(r.read_uint(4, "settings"), "settings");
+                record.content = std::move(hello);
                 break;
             }
             case 17: {
-                r.whole(4, "rev");
-                const auto ref = r.whole(4, "ref");
-                const auto how = r.whole(1, "how");
-                if (how > 3) r.reject("unknown kind of list " + std::to_string(how));
-                Discovery news{static_cast<ListKind>(how), {}};
-                if (news.kind != ListKind::kFailed) {
-                    if (ref >= lists_.size() || !known_.at(ref)) r.reject("names an unknown list");
-                    news.entries = lists_.at(ref);
+                r.read_uint(4, "rev");
+                const auto ref = r.read_uint(4, "ref");
+                const auto kind = r.read_uint(1, "how");
+                if (kind > 3) r.fail("unknown kind of list " + std::to_string(kind));
+                DiscoveryUpdate update{static_cast<ListKind>(kind), {}};
+                if (update.kind != ListKind::kFailed) {
+                    if (ref >= lists_.size() || !is_known_.at(ref)) r.fail("names an unknown list");
+                    update.entries = lists_.at(ref);
                 }
-                record.what = std::move(news);
+                record.content = std::move(update);
                 break;
             }
-            case 18: record.what = read_arrival(r); break;
+            case 18: record.content = read_arrival(r); break;
             case 19: {
-                r.text(20, "head received");
-                record.what = HeadReceived{};
+                r.read_bytes(20, "head received");
+                record.content = HeadReceived{};
                 break;
             }
-            case 20: record.what = read_outcome(r); break;
-            case 21: record.what = ClientLeft{static_cast<Id>(r.whole(4, "handle"))}; break;
-            case 22: record.what = Bell{static_cast<std::uint32_t>(r.whole(4, "nonce"))}; break;
+            case 20: record.content = read_outcome(r); break;
+            case 21: record.content = ClientLeft{static_cast<Id>(r.read_uint(4, "handle"))}; break;
+            case 22: record.content = Bell{static_cast<std::uint32_t>(r.read_uint(4, "nonce"))}; break;
             case 23: {
-                Probed probed;
-                probed.server = r.server();
-                probed.ok = r.whole(2, "verdict") == 0;
-                probed.took = r.time("delay_seen_ms");
-                probed.load = r.load_report();
-                record.what = std::move(probed);
+                Probed probe;
+                probe.server = r.read_server();
+                probe.ok = r.read_uint(2, "verdict") == 0;
+                probe.took = r.read_time("delay_seen_ms");
+                probe.load = r.read_load_report();
+                record.content = std::move(probe);
                 break;
             }
             case 24: {
-                PeerWord word;
-                word.from = static_cast<int>(r.whole(2, "neighbour"));
-                const auto text = r.text(r.whole(2, "data"), "data");
-                word.text.assign(text.begin(), text.end());
-                record.what = std::move(word);
+                PeerWord message;
+                message.from = static_cast<int>(r.read_uint(2, "neighbour"));
+                const auto text = r.read_bytes(r.read_uint(2, "data"), "data");
+                message.text.assign(text.begin(), text.end());
+                record.content = std::move(message);
                 break;
             }
-            case 25: record.what = Destroy{}; break;
-            default: r.reject("unknown code");
+            case 25: record.content = Destroy{}; break;
+            default: r.fail("unknown code");
         }
-        r.finish();
+        r.expect_end();
         batch.records.push_back(std::move(record));
     }
-    in.finish();
+    in.expect_end();
     return batch;
 }
 
 bool read_frame(std::istream& in, std::string& frame) {
-    constexpr std::size_t kPiece = std::size_t{1} << 20U;
+    constexpr std::size_t kChunkSize = std::size_t{1} << 20U;
     std::array<char, 4> head{};
     in.read(head.data(), head.size());
     if (in.gcount() == 0) return false;
-    if (in.gcount() < 4) throw BadInput("frame header: cut short by the end of input");
+    if (in.gcount() < 4) throw ProtocolError("frame header: cut short by the end of input");
     FieldReader reader({head.data(), head.size()}, "frame header");
-    const auto size = reader.whole(4, "length");
-    if (size < kBatchHeader)
-        reader.reject("length " + std::to_string(size) + " is below a header's 20 bytes");
-    if (size > kLargestFrame) reader.reject("length " + std::to_string(size) + " is above the largest frame");
+    const auto size = reader.read_uint(4, "length");
+    if (size < kBatchHeaderSize)
+        reader.fail("length " + std::to_string(size) + " is below a header's 20 bytes");
+    if (size > kMaxFrameSize) reader.fail("length " + std::to_string(size) + " is above the largest frame");
     frame.assign(head.data(), head.size());
     while (frame.size() < size) {  // grow with what has come, not with what is promised
         const auto have = frame.size();
-        const auto piece = std::min<std::size_t>(kPiece, size - have);
-        frame.resize(have + piece);
-        in.read(frame.data() + have, static_cast<std::streamsize>(piece));
-        if (static_cast<std::size_t>(in.gcount()) < piece) {
-            throw BadInput("frame: cut short by the end of input");
+        const auto chunk = std::min<std::size_t>(kChunkSize, size - have);
+        frame.resize(have + chunk);
+        in.read(frame.data() + have, static_cast<std::streamsize>(chunk));
+        if (static_cast<std::size_t>(in.gcount()) < chunk) {
+            throw ProtocolError("frame: cut short by the end of input");
         }
     }
     return true;
--- a/src/wire/frame.hpp
+++ b/src/wire/frame.hpp
@@ -15,7 +15,7 @@
 
 namespace pinedoor::wire {
 
-struct BadInput : std::runtime_error {
+struct ProtocolError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -23,16 +23,16 @@
 class FieldReader {
 public:
     FieldReader(std::string_view bytes, std::string record) : bytes_(bytes), record_(std::move(record)) {}
-    std::uint64_t whole(int width, const char* field);
-    double f64(const char* field);
-    double f32(const char* field);
-    Time time(const char* field);
-    ServerId server();
-    std::string_view text(std::size_t size, const char* field);
-    std::vector<double> load_report();
-    [[noreturn]] void reject(const std::string& why) const;
-    void finish() const;
-    std::size_t left() const { return bytes_.size(); }
+    std::uint64_t read_uint(int width, const char* field);
+    double read_f64(const char* field);
+    double read_f32(const char* field);
+    Time read_time(const char* field);
+    ServerId read_server();
+    std::string_view read_bytes(std::size_t size, const char* field);
+    std::vector<double> read_load_report();
+    [[noreturn]] void fail(const std::string& reason) const;
+    void expect_end() const;
+    std::size_t remaining() const { return bytes_.size(); }
 
 private:
     std::string_view bytes_;
@@ -51,16 +51,16 @@
     bool is_part = false;
     std::uint32_t query_no = 0;
 };
-struct Discovery {
+struct DiscoveryUpdate {
     ListKind kind = ListKind::kFailed;
     std::vector<ListEntry> entries;  // of the numbered list as it stood at this event
 };
 struct HeadReceived {};
-using Happening = std::variant<Hello, Destroy, Arrival, Discovery, HeadReceived, SendEnded, Probed,
-                               ClientLeft, Bell, PeerWord>;
+using RecordContent = std::variant<Hello, Destroy, Arrival, DiscoveryUpdate, HeadReceived, SendEnded, Probed,
+                                   ClientLeft, Bell, PeerWord>;
 struct Record {
     int instance = 0;
-    Happening what;
+    RecordContent content;
 };
 
 struct Batch {
@@ -76,7 +76,7 @@
 
 private:
     std::array<std::vector<ListEntry>, 16> lists_;
-    std::array<bool, 16> known_{};
+    std::array<bool, 16> is_known_{};
 };
 
 // False at a clean end of input.
--- a/tests/closed_loop.hpp
+++ b/tests/closed_loop.hpp
@@ -24,54 +24,55 @@
     double least_share = 1;
     Time turn = 10;
     int front_nodes = 1;
-    Time returns_after = 500;  // a client that was turned away
-    Time cold_for = 0;         // servers start at the same moment, and warm up in so long
+    Time retry_delay = 500;  // a client that was turned away
+    Time warm_up_time = 0;   // servers start at the same moment, and warm up in so long
     std::uint64_t seed = 1;
 
-    struct Seen {
+    struct Counts {
         std::uint64_t whole = 0, in_part = 0, pushed_back = 0, failed = 0, late = 0;
         std::uint64_t ended() const { return whole + in_part + pushed_back + failed; }
-        double not_well() const {  // share of what ended that was not answered whole and in time
+        double failure_share() const {  // share of what ended that was not answered whole and in time
             return ended() == 0 ? 1 : 1 - static_cast<double>(whole - late) / static_cast<double>(ended());
         }
     };
 
-    Seen run(Time length) const { return Play(*this).run(length); }
+    Counts run(Time length) const { return Simulation(*this).run(length); }
 
 private:
-    class Play {
+    class Simulation {
     public:
-        explicit Play(const ClosedLoop& told)
-            : told_(told), chance_(told.seed), servers_(static_cast<std::size_t>(told.servers)),
-              node_(told.seed, NodePlace{0, told.front_nodes, 0, told.turn}, {type(told)},
-                    ShardRing{told.servers, std::min(2, told.servers), 8, 0}, SendTerms{3, true, true, 1'000},
-                    FurtherSendTerms{10, 0.2, 100'000}, ColdTerms{0.25, told.cold_for, 3, 10'000},
-                    ListTerms{}, ClientTerms{true, 10'000, false, 200}, {}, HintTerms{}) {}
+        explicit Simulation(const ClosedLoop& config)
+            : config_(config), rng_(config.seed), servers_(static_cast<std::size_t>(config.servers)),
+              node_(config.seed, NodePlace{0, config.front_nodes, 0, config.turn}, {type(config)},
+                    ShardRing{config.servers, std::min(2, config.servers), 8, 0},
+                    SendTerms{3, true, true, 1'000}, FurtherSendTerms{10, 0.2, 100'000},
+                    ColdTerms{0.25, config.warm_up_time, 3, 10'000}, ListTerms{},
+                    ClientTerms{true, 10'000, false, 200}, {}, HintTerms{}) {}
 
-        Seen run(Time length) {
+        Counts run(Time length) {
             ListNews list{ListKind::kFull, {}};
-            for (int i = 0; i < told_.servers; ++i) {
+            for (int i = 0; i < config_.servers; ++i) {
                 ListEntry entry{{static_cast<std::uint32_t>(i + 1), 1}, 0, i, ServerState::kReady, 1, 0};
-                entry.started = told_.cold_for > 0 ? kBegin : 0;
+                entry.started = config_.warm_up_time > 0 ? kStart : 0;
                 list.entries.push_back(entry);
             }
-            tell(list);
-            for (int i = 0; i < told_.clients; ++i)
-                at(kBegin + static_cast<Time>(chance_() % 100), [this] { ask(); });
-            while (!queue_.empty() && queue_.begin()->first < kBegin + length) {
-                now_ = queue_.begin()->first;
-                const auto what = std::move(queue_.begin()->second);
-                queue_.erase(queue_.begin());
-                what();
+            post(list);
+            for (int i = 0; i < config_.clients; ++i)
+                schedule(kStart + static_cast<Time>(rng_() % 100), [this] { send_request(); });
+            while (!schedule_.empty() && schedule_.begin()->first < kStart + length) {
+                now_ = schedule_.begin()->first;
+                const auto callback = std::move(schedule_.begin()->second);
+                schedule_.erase(schedule_.begin());
+                callback();
             }
-            return seen_;
+            return counts_;
         }
 
     private:
-        static constexpr Time kBegin = 1'000'000;
-        static constexpr Time kTravel = 2;
-        static OpType type(const ClosedLoop& told) {
-            return {1'000, 4'000, Repeat::kRetriable, 0, 1, 0, told.least_share, 1, 0.9, 0};
+        static constexpr Time kStart = 1'000'000;
+        static constexpr Time kNetworkDelay = 2;
+        static OpType type(const ClosedLoop& config) {
+            return {1'000, 4'000, Repeat::kRetriable, 0, 1, 0, config.least_share, 1, 0.9, 0};
         }
         struct Server {
             int busy = 0;
@@ -82,95 +83,100 @@
             std::vector<std::pair<ServerId, Time>> sends;
         };
 
-        void at(Time when, std::function<void()> what) { queue_.emplace(when, std::move(what)); }
-        void tell(Event event) {
+        void schedule(Time when, std::function<void()> callback) {
+            schedule_.emplace(when, std::move(callback));
+        }
+        void post(Event event) {
             events_.push_back(std::move(event));
-            wake(now_);
+            request_turn(now_);
         }
-        void wake(Time when) {
+        void request_turn(Time when) {
             when = std::max(when, next_turn_);
             if (turn_due_ > 0 && turn_due_ <= when) return;
             turn_due_ = when;
-            at(when, [this, when] {
+            schedule(when, [this, when] {
                 if (turn_due_ == when) turn();
             });
         }
         void turn() {
             turn_due_ = 0;
-            next_turn_ = now_ + told_.turn;
+            next_turn_ = now_ + config_.turn;
             for (const auto& action : node_.turn(now_, std::exchange(events_, {})))
-                std::visit([this](const auto& what) { carry_out(what); }, action);
+                std::visit([this](const auto& content) { carry_out(content); }, action);
         }
 
-        void ask() {
-            MultigetArrival told{++last_, last_, 0, 0, false, now_ + 4'000, {}};
-            asked_[told.id] = now_;
-            for (int i = 0; i < told_.parts; ++i) {
-                const Id id = ++last_;
-                parts_[id].multiget = told.id;
-                told.parts.push_back(PartArrival{id, i, 1.0 / static_cast<double>(told_.parts), 0, 0});
+        void send_request() {
+            MultigetArrival arrival{++last_id_, last_id_, 0, 0, false, now_ + 4'000, {}};
+            started_at_[arrival.id] = now_;
+            for (int i = 0; i < config_.parts; ++i) {
+                const Id id = ++last_id_;
+                parts_[id].multiget = arrival.id;
+                arrival.parts.push_back(PartArrival{id, i, 1.0 / static_cast<double>(config_.parts), 0, 0});
             }
-            tell(std::move(told));
+            post(std::move(arrival));
         }
         void carry_out(const Send& send) {
             auto& part = parts_[send.part];
-            const int number = static_cast<int>(part.sends.size());
+            const int send_number = static_cast<int>(part.sends.size());
             part.sends.emplace_back(send.server, now_);
-            at(now_ + kTravel, [this, send, number] { reach(send, number); });
+            schedule(now_ + kNetworkDelay,
+                     [this, send, send_number] { arrive_at_server(send, send_number); });
         }
-        void reach(const Send& send, int number) {
+        void arrive_at_server(const Send& send, int send_number) {
             auto& server = servers_[send.server.address - 1];
-            const auto work = [this, &server, send, number] {
-                const double ms = -told_.part_ms * std::log1p(-static_cast<double>(chance_()) / 4294967296.0);
-                at(now_ + std::max<Time>(1, static_cast<Time>(ms * 10)), [this, &server, send, number] {
-                    at(now_ + kTravel, [this, send, number] { back(send, number); });
-                    if (server.waiting.empty()) {
-                        --server.busy;
-                        return;
-                    }
-                    const auto next = std::move(server.waiting.front());
-                    server.waiting.pop_front();
-                    next();
-                });
+            const auto work = [this, &server, send, send_number] {
+                const double ms = -config_.part_ms * std::log1p(-static_cast<double>(rng_()) / 4294967296.0);
+                schedule(now_ + std::max<Time>(1, static_cast<Time>(ms * 10)),
+                         [this, &server, send, send_number] {
+                             schedule(now_ + kNetworkDelay,
+                                      [this, send, send_number] { deliver_answer(send, send_number); });
+                             if (server.waiting.empty()) {
+                                 --server.busy;
+                                 return;
+                             }
+                             const auto next = std::move(server.waiting.front());
+                             server.waiting.pop_front();
+                             next();
+                         });
             };
-            if (server.busy < told_.cores) {
+            if (server.busy < config_.cores) {
                 ++server.busy;
                 return work();
             }
             server.waiting.push_back(work);
         }
-        void back(const Send& send, int number) {
+        void deliver_answer(const Send& send, int send_number) {
             const auto part = parts_.find(send.part);
             if (part == parts_.end()) return;
-            const auto [server, sent] = part->second.sends[static_cast<std::size_t>(number)];
-            tell(SendEnded{send.part, number, server, now_ - sent, Outcome::kReturned, {}});
+            const auto [server, sent] = part->second.sends[static_cast<std::size_t>(send_number)];
+            post(SendEnded{send.part, send_number, server, now_ - sent, Outcome::kReturned, {}});
         }
-        void end(Id multiget, std::uint64_t& which, Time returns) {
-            ++which;
-            if (now_ - asked_[multiget] > 1'000 && &which == &seen_.whole) ++seen_.late;
-            asked_.erase(multiget);
-            at(now_ + returns, [this] { ask(); });
+        void end(Id multiget, std::uint64_t& counter, Time delay) {
+            ++counter;
+            if (now_ - started_at_[multiget] > 1'000 && &counter == &counts_.whole) ++counts_.late;
+            started_at_.erase(multiget);
+            schedule(now_ + delay, [this] { send_request(); });
         }
-        void carry_out(const Answer& a) { end(a.multiget, a.whole ? seen_.whole : seen_.in_part, 1); }
-        void carry_out(const PushBack& a) { end(a.multiget, seen_.pushed_back, told_.returns_after); }
-        void carry_out(const Fail& a) { end(a.multiget, seen_.failed, told_.returns_after); }
-        void carry_out(const SetBell& bell) { wake(now_ + bell.after); }
+        void carry_out(const Answer& a) { end(a.multiget, a.whole ? counts_.whole : counts_.in_part, 1); }
+        void carry_out(const PushBack& a) { end(a.multiget, counts_.pushed_back, config_.retry_delay); }
+        void carry_out(const Fail& a) { end(a.multiget, counts_.failed, config_.retry_delay); }
+        void carry_out(const SetBell& timer) { request_turn(now_ + timer.after); }
         void carry_out(const CallOff&) {}
         void carry_out(const LogLine&) {}
         void carry_out(const WatchList&) {}
         void carry_out(const FetchList&) {}
         void carry_out(const Probe&) {}
 
-        const ClosedLoop& told_;
-        std::mt19937 chance_;
-        std::multimap<Time, std::function<void()>> queue_;
-        Time now_ = kBegin, next_turn_ = 0, turn_due_ = 0;
+        const ClosedLoop& config_;
+        std::mt19937 rng_;
+        std::multimap<Time, std::function<void()>> schedule_;
+        Time now_ = kStart, next_turn_ = 0, turn_due_ = 0;
         std::vector<Server> servers_;
         std::vector<Event> events_;
         std::map<Id, Part> parts_;
-        std::map<Id, Time> asked_;
-        Id last_ = 0;
-        Seen seen_;
+        std::map<Id, Time> started_at_;
+        Id last_id_ = 0;
+        Counts counts_;
         FrontNode node_;
     };
 };
--- a/tests/expired_list_test.cpp
+++ b/tests/expired_list_test.cpp
@@ -14,19 +14,19 @@
 using namespace std::chrono_literals;
 
 constexpr int kNodes = 20;
-constexpr int kNodesTold = 300;      // in the settings: what a front node spares discovery by
-constexpr auto kToldAfter = 6s;      // protocol: a change counts as told so long after discovery had it
-constexpr auto kStopWithin = 250ms;  // settings: sends have to stop then
-constexpr int kMostBadOnEnd = 6;     // calls of one front node: that many of which half fail are one in 64
-constexpr auto kSlack = 50ms;        // protocol: on each time limit
+constexpr int kConfiguredNodes = 300;  // in the settings: what a front node spares discovery by
+constexpr auto kLease = 6s;            // protocol: a change counts as told so long after discovery had it
+constexpr auto kStopSendingWithin = 250ms;  // settings: sends have to stop then
+constexpr int kMaxFailuresInARow = 6;  // calls of one front node: that many of which half fail are one in 64
+constexpr auto kSlack = 50ms;          // protocol: on each time limit
 
 // An index server that answers everything and knows when each front node last sent to it.
-class Recording {
+class RecordingServer {
 public:
-    Recording() {
+    RecordingServer() {
         thread_ = std::thread([this] { run(); });
     }
-    ~Recording() {
+    ~RecordingServer() {
         stop_ = true;
         thread_.join();
     }
@@ -76,13 +76,13 @@
 // Front nodes that are asked all the time; two servers hold every shard, and one of them will leave the list.
 class Fleet {
 public:
-    Fleet(const char* must_ask_in_ms, std::uint32_t seed) : discovery_(both(), kNodes, seed) {
+    Fleet(const char* must_ask_in_ms, std::uint32_t seed) : discovery_(full_list(), kNodes, seed) {
         for (int i = 0; i < kNodes; ++i) {
-            auto& node = *nodes_.emplace_back(std::make_unique<Program>(listed(), discovery_.at(i)));
+            auto& node = *nodes_.emplace_back(std::make_unique<Program>(initial_servers(), discovery_.at(i)));
             char number[17];
             std::snprintf(number, sizeof number, "%016x", seed * 1'000 + static_cast<unsigned>(i));
             node.with("8c1f30d27a5be964", number)
-                .with("\"siblings\":1", "\"siblings\":" + std::to_string(kNodesTold))
+                .with("\"siblings\":1", "\"siblings\":" + std::to_string(kConfiguredNodes))
                 .with("\"must_ask_in_ms\":1600.0", std::string("\"must_ask_in_ms\":") + must_ask_in_ms);
         }
     }
@@ -97,11 +97,9 @@
         while (discovery_.watching() < kNodes && Clock::now() < until) std::this_thread::sleep_for(10ms);
         REQUIRE(discovery_.watching() == kNodes);
     }
-    void take_server_from_list() {
-        discovery_.change(list_object(2, true, {{"s-stays", stays_.at()}}) + '\n');
-    }
+    void remove_server() { discovery_.change(list_object(2, true, {{"s-stays", kept_.at()}}) + '\n'); }
     // Each front node is asked ten times a second.
-    void ask_until(Clock::time_point until) {
+    void send_requests_until(Clock::time_point until) {
         for (int round = 0; Clock::now() < until; ++round) {
             const auto next = Clock::now() + 100ms;
             for (int i = 0; i < kNodes; ++i) {
@@ -117,13 +115,13 @@
         }
     }
     // Front nodes that sent to the server that has left after the change had counted as told.
-    int late(Clock::time_point told) {
+    int late_nodes(Clock::time_point effective_at) {
         int count = 0;
-        for (const auto& [node, last] : leaves_.last_attempts()) {
-            if (last <= told + kStopWithin + kSlack) continue;
+        for (const auto& [node, last] : removed_.last_attempts()) {
+            if (last <= effective_at + kStopSendingWithin + kSlack) continue;
             ++count;
             MESSAGE("front node ", node, " sent ",
-                    std::chrono::duration_cast<std::chrono::milliseconds>(last - told).count(),
+                    std::chrono::duration_cast<std::chrono::milliseconds>(last - effective_at).count(),
                     " ms after the change counted as told\n", list_lines(node));
         }
         MESSAGE(discovery_.calls(), " calls, ", discovery_.bad_calls(), " of them bad; ", served_,
@@ -134,8 +132,10 @@
     int unserved() const { return unserved_; }
 
 private:
-    std::vector<Listed> listed() const { return {{"s-stays", stays_.at()}, {"s-leaves", leaves_.at()}}; }
-    std::string both() const { return list_object(1, true, listed()) + '\n'; }
+    std::vector<Listed> initial_servers() const {
+        return {{"s-stays", kept_.at()}, {"s-leaves", removed_.at()}};
+    }
+    std::string full_list() const { return list_object(1, true, initial_servers()) + '\n'; }
     std::string list_lines(int node) const {
         std::istringstream log(nodes_[static_cast<std::size_t>(node)]->log());
         std::string lines;
@@ -145,7 +145,7 @@
         return lines;
     }
 
-    Recording stays_, leaves_;
+    RecordingServer kept_, removed_;
     FaultyDiscovery discovery_;
     std::vector<std::unique_ptr<Program>> nodes_;
     std::vector<Peer> clients_;
@@ -153,10 +153,10 @@
     int unserved_ = 0;
 };
 
-FaultyDiscovery::Manners slow(FaultyDiscovery::Manners manners) {
+FaultyDiscovery::Manners with_delays(FaultyDiscovery::Manners manners) {
     manners.least_delay = 300ms;
     manners.most_delay = 1000ms;
-    manners.most_bad_on_end = kMostBadOnEnd;
+    manners.most_bad_on_end = kMaxFailuresInARow;
     return manners;
 }
 
@@ -169,12 +169,12 @@
     fleet.wait_until_all_watch();
     fleet.discovery().behave({1, 0, 0, 1800ms, 2000ms});
     fleet.discovery().end_watches();
-    fleet.ask_until(Clock::now() + 9s);
-    fleet.take_server_from_list();
+    fleet.send_requests_until(Clock::now() + 9s);
+    fleet.remove_server();
     fleet.discovery().behave({});
-    const auto reachable = Clock::now();
-    fleet.ask_until(reachable + kToldAfter + 2s);
-    CHECK(fleet.late(reachable + kToldAfter) == 0);
+    const auto restored = Clock::now();
+    fleet.send_requests_until(restored + kLease + 2s);
+    CHECK(fleet.late_nodes(restored + kLease) == 0);
     CHECK(fleet.unserved() == 0);  // discovery that is down must not stop traffic
 }
 
@@ -192,12 +192,12 @@
     Fleet fleet("1600", seed);
     fleet.start();
     fleet.wait_until_all_watch();
-    fleet.discovery().behave(slow(manners));
+    fleet.discovery().behave(with_delays(manners));
     fleet.discovery().silence_watches();
     const auto changed = Clock::now();
-    fleet.take_server_from_list();
-    fleet.ask_until(changed + kToldAfter + 2s);
-    CHECK(fleet.late(changed + kToldAfter) == 0);
+    fleet.remove_server();
+    fleet.send_requests_until(changed + kLease + 2s);
+    CHECK(fleet.late_nodes(changed + kLease) == 0);
 }
 
 TEST_CASE("a start with a known list that is out of date leaves no front node with an expired list") {
@@ -206,12 +206,12 @@
     SUBCASE("four calls in ten are never answered") { manners.unanswered = 0.4; }
     SUBCASE("four answers in ten stop in the middle of the list") { manners.broken_off = 0.4; }
     Fleet fleet("1600", 31);
-    fleet.take_server_from_list();
-    fleet.discovery().behave(slow(manners));
-    const auto begun = Clock::now();
+    fleet.remove_server();
+    fleet.discovery().behave(with_delays(manners));
+    const auto started = Clock::now();
     fleet.start();
-    fleet.ask_until(begun + kToldAfter + 2s);
-    CHECK(fleet.late(begun + kToldAfter) == 0);
+    fleet.send_requests_until(started + kLease + 2s);
+    CHECK(fleet.late_nodes(started + kLease) == 0);
 }
 
 }  // namespace
--- a/tests/fleet/list_calls_test.cpp
+++ b/tests/fleet/list_calls_test.cpp
@@ -22,10 +22,10 @@
     std::vector<Time> served;
     Time mean_first() const {
         Time sum = 0;
-        for (const auto& [who, at] : first) sum += at;
+        for (const auto& [node, when] : first) sum += when;
         return sum / static_cast<Time>(first.size());
     }
-    Time by(double share) {
+    Time served_by(double share) {
         std::sort(served.begin(), served.end());
         return served.at(static_cast<std::size_t>(share * static_cast<double>(served.size())) - 1);
     }
@@ -33,9 +33,9 @@
 
 // So many front nodes start at once; discovery serves five calls a second in turn, ten wait, the rest is
 // refused. It is down until `down`. Watches that are served stay.
-Calls start_at_once(int nodes, bool know_a_list, Time down = 0, Time age = ListNews::kOld) {
-    constexpr Time kEach = 2'000;
-    constexpr std::size_t kWaiting = 10;
+Calls start_at_once(int nodes, bool has_saved_list, Time down = 0, Time age = ListNews::kOld) {
+    constexpr Time kServiceTime = 2'000;
+    constexpr std::size_t kMaxWaiting = 10;
     Calls calls;
     std::vector<std::unique_ptr<FrontNode>> all;
     using Due = std::tuple<Time, int, int>;  // when, whom, what: 0 a bell, 1 refused, 2 served
@@ -49,36 +49,36 @@
             ListTerms{true, 10 * kSecond, 2'500}, ClientTerms{}, std::vector<TenantShare>{}, HintTerms{}));
         due.emplace(1, i, 0);
     }
-    std::deque<Time> in_hand, came;
+    std::deque<Time> accepted, recent_calls;
     Time free_at = 0;
     while (!due.empty() && std::get<0>(due.top()) < 200 * kSecond &&
            calls.served.size() < static_cast<std::size_t>(nodes)) {
-        const auto [now, who, what] = due.top();
+        const auto [now, node, event] = due.top();
         due.pop();
         std::vector<Event> events;
-        if (now == 1 && know_a_list) events.emplace_back(ListNews{ListKind::kSaved, {entry}, age});
-        if (what == 1) events.emplace_back(ListNews{ListKind::kFailed, {}});
-        if (what == 2) {
+        if (now == 1 && has_saved_list) events.emplace_back(ListNews{ListKind::kSaved, {entry}, age});
+        if (event == 1) events.emplace_back(ListNews{ListKind::kFailed, {}});
+        if (event == 2) {
             events.emplace_back(ListNews{ListKind::kFull, {entry}});
             calls.served.push_back(now);
         }
-        for (const auto& action : all[static_cast<std::size_t>(who)]->turn(now, events)) {
-            if (const auto* bell = std::get_if<SetBell>(&action)) due.emplace(now + bell->after, who, 0);
+        for (const auto& action : all[static_cast<std::size_t>(node)]->turn(now, events)) {
+            if (const auto* timer = std::get_if<SetBell>(&action)) due.emplace(now + timer->after, node, 0);
             if (!std::holds_alternative<WatchList>(action)) continue;
             ++calls.made;
-            calls.first.try_emplace(who, now);
-            if (now >= down) came.push_back(now);
-            while (!came.empty() && came.front() <= now - 1'000) came.pop_front();
-            calls.most_in_100_ms = std::max(calls.most_in_100_ms, static_cast<int>(came.size()));
-            while (!in_hand.empty() && in_hand.front() <= now) in_hand.pop_front();
-            if (now < down || in_hand.size() > kWaiting) {
+            calls.first.try_emplace(node, now);
+            if (now >= down) recent_calls.push_back(now);
+            while (!recent_calls.empty() && recent_calls.front() <= now - 1'000) recent_calls.pop_front();
+            calls.most_in_100_ms = std::max(calls.most_in_100_ms, static_cast<int>(recent_calls.size()));
+            while (!accepted.empty() && accepted.front() <= now) accepted.pop_front();
+            if (now < down || accepted.size() > kMaxWaiting) {
                 ++calls.refused;
-                due.emplace(now + 1, who, 1);
+                due.emplace(now + 1, node, 1);
                 continue;
             }
-            free_at = std::max(free_at, now) + kEach;
-            in_hand.push_back(free_at);
-            due.emplace(free_at, who, 2);
+            free_at = std::max(free_at, now) + kServiceTime;
+            accepted.push_back(free_at);
+            due.emplace(free_at, node, 2);
         }
     }
     return calls;
@@ -88,24 +88,25 @@
 // 120 made 1,042 calls and 922 were refused.
 TEST_CASE("front nodes that start at once ask discovery at most three times each, and few are refused") {
     for (const int nodes : {30, 60, 120, 300}) {
-        auto none = start_at_once(nodes, false);
+        auto without_list = start_at_once(nodes, false);
         CAPTURE(nodes);
-        CAPTURE(none.made);
-        CHECK(none.served.size() == static_cast<std::size_t>(nodes));
-        CHECK(none.refused <= nodes * 11 / 10);
-        CHECK(none.by(0.5) < nodes * kSecond / 10 + kSecond);        // what it bears is 0.1 s a node
-        CHECK(none.by(0.99) < nodes * kSecond / 5 * 1.3 + kSecond);  // 0.2 s a node
+        CAPTURE(without_list.made);
+        CHECK(without_list.served.size() == static_cast<std::size_t>(nodes));
+        CHECK(without_list.refused <= nodes * 11 / 10);
+        CHECK(without_list.served_by(0.5) < nodes * kSecond / 10 + kSecond);  // what it bears is 0.1 s a node
+        CHECK(without_list.served_by(0.99) < nodes * kSecond / 5 * 1.3 + kSecond);  // 0.2 s a node
         // Who knows a list must not let it grow older than the protocol allows, however many wait: within its
         // lease a node asks a dozen times, or one more with each fifth of what is left, and then no two of
         // its calls are closer than an eighth of it.
         constexpr Time kLease = ListTerms{}.told_after;
-        constexpr int kInLease = 16;  // the lease shrinks by a fifth with each, to a hundredth at the last
-        auto known = start_at_once(nodes, true);
-        CAPTURE(known.made);
+        constexpr int kCallsInLease =
+            16;  // the lease shrinks by a fifth with each, to a hundredth at the last
+        auto with_list = start_at_once(nodes, true);
+        CAPTURE(with_list.made);
         Time waited = 0;
-        for (const Time at : known.served) waited += at;
-        CHECK(known.made <= kInLease * nodes + static_cast<int>(waited / (kLease / 8)));
-        CHECK(known.by(0.99) < nodes * kSecond / 5 * 1.3 + kSecond);
+        for (const Time when : with_list.served) waited += when;
+        CHECK(with_list.made <= kCallsInLease * nodes + static_cast<int>(waited / (kLease / 8)));
+        CHECK(with_list.served_by(0.99) < nodes * kSecond / 5 * 1.3 + kSecond);
     }
 }
 
@@ -129,53 +130,55 @@
     // All at once would be 120. A node whose list has expired leaves an eighth of the lease between two
     // calls.
     CHECK(calls.most_in_100_ms <= 120 * kSecond / 10 / (ListTerms{}.told_after / 8));
-    CHECK(calls.by(0.99) < 55 * kSecond);
+    CHECK(calls.served_by(0.99) < 55 * kSecond);
 }
 
 TEST_CASE("a front node that is alone asks as soon as it is up") {
-    CHECK(start_at_once(1, false).by(1) < 3'200);  // an idle node has a turn each 100 ms, a call takes 200
-    CHECK(start_at_once(4, true).by(1) < 12'000);
+    CHECK(start_at_once(1, false).served_by(1) <
+          3'200);  // an idle node has a turn each 100 ms, a call takes 200
+    CHECK(start_at_once(4, true).served_by(1) < 12'000);
 }
 
 // So many front nodes hold a watch each, and all of them end at one moment. Discovery serves calls in turn
 // and refuses one that would wait for over a second. How long after that moment each of them was served, by
 // seed.
-std::vector<Time> served_after_watches_end(int nodes, Time each, ListTerms terms, std::uint64_t seed) {
-    constexpr Time kLongestWait = kSecond;
+std::vector<Time> served_after_watches_end(int nodes, Time service_time, ListTerms config,
+                                           std::uint64_t seed) {
+    constexpr Time kMaxTime = kSecond;
     constexpr Time kEndAt = 5 * kSecond;
     const ListEntry entry{{1, 1}, 0, 0, ServerState::kReady, 1, 0};
     std::vector<std::unique_ptr<FrontNode>> all;
-    enum class What { kBell, kRefused, kServed, kEnded };
-    using Due = std::tuple<Time, int, What>;
+    enum class Kind { kTimer, kRefused, kServed, kEnded };
+    using Due = std::tuple<Time, int, Kind>;
     std::priority_queue<Due, std::vector<Due>, std::greater<>> due;
     for (int i = 0; i < nodes; ++i) {
         all.push_back(std::make_unique<FrontNode>(
             seed * 1'000 + static_cast<std::uint64_t>(i), NodePlace{i, nodes, 0, 50},
             std::vector<OpType>{{1'000, 4'000, Repeat::kRetriable, 0, 1, 0, 1, 1, 0.9, 0}},
-            ShardRing{1, 1, 1, 0}, SendTerms{3, true, true, 2'500}, FurtherSendTerms{}, ColdTerms{}, terms,
+            ShardRing{1, 1, 1, 0}, SendTerms{3, true, true, 2'500}, FurtherSendTerms{}, ColdTerms{}, config,
             ClientTerms{}, std::vector<TenantShare>{}, HintTerms{}));
-        due.emplace(1, i, What::kServed);
-        due.emplace(kEndAt, i, What::kEnded);
+        due.emplace(1, i, Kind::kServed);
+        due.emplace(kEndAt, i, Kind::kEnded);
     }
     std::vector<Time> served;
     Time free_at = 0;
     while (!due.empty() && std::get<0>(due.top()) < kEndAt + 60 * kSecond &&
            served.size() < static_cast<std::size_t>(nodes)) {
-        const auto [now, who, what] = due.top();
+        const auto [now, node, event] = due.top();
         due.pop();
         std::vector<Event> events;
-        if (what == What::kRefused || what == What::kEnded)
+        if (event == Kind::kRefused || event == Kind::kEnded)
             events.emplace_back(ListNews{ListKind::kFailed, {}});
-        if (what == What::kServed) events.emplace_back(ListNews{ListKind::kFull, {entry}});
-        if (what == What::kServed && now > kEndAt) served.push_back(now - kEndAt);
-        for (const auto& action : all[static_cast<std::size_t>(who)]->turn(now, events)) {
-            if (const auto* bell = std::get_if<SetBell>(&action))
-                due.emplace(now + bell->after, who, What::kBell);
+        if (event == Kind::kServed) events.emplace_back(ListNews{ListKind::kFull, {entry}});
+        if (event == Kind::kServed && now > kEndAt) served.push_back(now - kEndAt);
+        for (const auto& action : all[static_cast<std::size_t>(node)]->turn(now, events)) {
+            if (const auto* timer = std::get_if<SetBell>(&action))
+                due.emplace(now + timer->after, node, Kind::kTimer);
             if (!std::holds_alternative<WatchList>(action) || now < kEndAt) continue;
             const Time begins = std::max(free_at, now);
-            const bool refused = begins - now + each > kLongestWait;
-            if (!refused) free_at = begins + each;
-            due.emplace(refused ? now + 1 : free_at, who, refused ? What::kRefused : What::kServed);
+            const bool refused = begins - now + service_time > kMaxTime;
+            if (!refused) free_at = begins + service_time;
+            due.emplace(refused ? now + 1 : free_at, node, refused ? Kind::kRefused : Kind::kServed);
         }
     }
     return served;
@@ -200,13 +203,13 @@
 // Guards drains where lists are pushed: what the agent has counts as told at once, so that the time in which
 // sends have to stop is all that there is.
 TEST_CASE("a list that an agent pushes is asked for again well within the time in which sends have to stop") {
-    constexpr Time kStopWithin = 2'500;
+    constexpr Time kStopSendingWithin = 2'500;
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
-        const auto served =
-            served_after_watches_end(1, 10, ListTerms{true, kStopWithin, kStopWithin, true}, seed);
+        const auto served = served_after_watches_end(
+            1, 10, ListTerms{true, kStopSendingWithin, kStopSendingWithin, true}, seed);
         CAPTURE(seed);
         REQUIRE(served.size() == 1);
-        CHECK(served.back() < kStopWithin / 2);
+        CHECK(served.back() < kStopSendingWithin / 2);
     }
 }
 
@@ -220,11 +223,11 @@
             loop.clients = clients;
             loop.parts = parts;
             loop.front_nodes = front_nodes;
-            const auto seen = loop.run(2 * kSecond);
+            const auto counts = loop.run(2 * kSecond);
             CAPTURE(clients);
             CAPTURE(parts);
-            CHECK(seen.ended() > 2'000);
-            CHECK(seen.not_well() < 0.01);
+            CHECK(counts.ended() > 2'000);
+            CHECK(counts.failure_share() < 0.01);
         }
     }
 }
--- a/tests/fleet/list_lease_test.cpp
+++ b/tests/fleet/list_lease_test.cpp
@@ -13,54 +13,54 @@
 using namespace pinedoor;
 using test::Script;
 
-constexpr ListTerms kTerms{true, 100'000, 2'500};
-constexpr int kWholly = 1;
+constexpr ListTerms kConfig{true, 100'000, 2'500};
+constexpr int kWhole = 1;
 
-ListNews failed(Time unheard, bool answered_in_part) {
-    ListNews news{ListKind::kFailed, {}};
-    news.unheard = unheard;
-    news.answered_in_part = answered_in_part;
-    return news;
+ListNews failed(Time since_last_contact, bool incomplete_answer) {
+    ListNews update{ListKind::kFailed, {}};
+    update.unheard = since_last_contact;
+    update.answered_in_part = incomplete_answer;
+    return update;
 }
 
 TEST_CASE(
     "once its list has expired while discovery answers in part, a front node sheds until one is whole") {
     Script s;
-    s.list_terms = kTerms;
+    s.list_config = kConfig;
     s.list("A0 B1").pass(5'000).play({failed(0, false)}).pass(3'000).play({failed(3'000 * 10, true)});
-    s.pass(2'900).quietly().arrive(1, kWholly, {1}).end({100}).quietly();
-    s.pass(200).quietly().arrive(2, kWholly, {1});
+    s.pass(2'900).quietly().arrive(1, kWhole, {1}).end({100}).quietly();
+    s.pass(200).quietly().arrive(2, kWhole, {1});
     CHECK(s.trace().find("push back 2") != std::string::npos);
     CHECK(s.trace().find("send") == std::string::npos);
-    s.list("A0 B1").quietly().arrive(3, kWholly, {1});
+    s.list("A0 B1").quietly().arrive(3, kWhole, {1});
     CHECK(s.trace().find("send 300") != std::string::npos);
 }
 
 TEST_CASE("while discovery is down or cut off an expired list stays in use") {
     Script s;
-    s.list_terms = kTerms;
+    s.list_config = kConfig;
     s.list("A0 B1").pass(5'000).play({failed(0, false)});
     for (int i = 0; i < 10; ++i) s.pass(1'000).play({failed((i + 1) * 10'000, false)});
-    s.quietly().arrive(1, kWholly, {1});
+    s.quietly().arrive(1, kWhole, {1});
     CHECK(s.trace().find("send 100") != std::string::npos);
 }
 
 TEST_CASE("discovery that broke an answer off and is down since then does not stop traffic") {
     Script s;
-    s.list_terms = kTerms;
+    s.list_config = kConfig;
     s.list("A0 B1").pass(5'000).play({failed(0, false)}).pass(1'000).play({failed(10'000, true)});
     for (int i = 2; i < 7; ++i) s.pass(1'000).play({failed(i * 10'000, false)});
-    s.quietly().arrive(1, kWholly, {1});
+    s.quietly().arrive(1, kWhole, {1});
     CHECK(s.trace().find("send 100") != std::string::npos);
 }
 
 TEST_CASE("a change of discovery's address does not grant the lease anew") {
     Script s;
-    s.list_terms = kTerms;
+    s.list_config = kConfig;
     s.list("A0 B1").pass(5'000);
     ListNews moved{ListKind::kMoved, {}};
     moved.unheard = 20'000;
-    s.play({moved}).pass(3'000).play({failed(50'000, true)}).pass(1'100).quietly().arrive(1, kWholly, {1});
+    s.play({moved}).pass(3'000).play({failed(50'000, true)}).pass(1'100).quietly().arrive(1, kWhole, {1});
     CHECK(s.trace().find("push back 1") != std::string::npos);
 }
 
@@ -88,19 +88,19 @@
         };
         const ListEntry entry{{1, 1}, 0, 0, ServerState::kReady, 1, 0};
         turn({ListNews{ListKind::kFull, {entry}}});
-        Time unheard = 0;
+        Time since_contact = 0;
         for (const int step : steps) {
             for (int i = 0; i < 20; ++i) {
                 now += 500;
                 turn({});
                 // A silent call is followed by another beside it; a refused one after a pause.
                 const Time since = now - std::max(last_call, last_failure);
-                if (unheard > 0) RC_ASSERT(since <= ListTerms{}.told_after * 3 / 8 + 1'500);
+                if (since_contact > 0) RC_ASSERT(since <= ListTerms{}.told_after * 3 / 8 + 1'500);
             }
             if (step == 0) continue;
-            unheard = step == 1 ? 25'000 : unheard + 10'000;
+            since_contact = step == 1 ? 25'000 : since_contact + 10'000;
             last_failure = now;
-            turn({failed(unheard, step == 3)});
+            turn({failed(since_contact, step == 3)});
         }
     });
     CHECK(holds);
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -7,11 +7,11 @@
 using namespace pinedoor;
 using pinedoor::test::Script;
 
-enum : int { kPartly, kWholly, kOnce, kMarked };
+enum : int { kPartial, kWhole, kNonRetriable, kDeduped };
 
 TEST_CASE("parts go to the replica with the fewest out; the answer is whole when all are in") {
     Script s;
-    s.play({}).list("A0 B1 C2 D3").arrive(1, kWholly, {0.25, 0.25, 0.25, 0.25}).pass(50).end({100, 101, 102});
+    s.play({}).list("A0 B1 C2 D3").arrive(1, kWhole, {0.25, 0.25, 0.25, 0.25}).pass(50).end({100, 101, 102});
     s.pass(10).end({103});
     CHECK(s.trace() == R"(
 0 send 100 to B
@@ -26,10 +26,10 @@
     Script s;
     s.front_nodes = 1;
     s.ring.parts_per_call = 8;
-    s.list("A0 B1").arrive(1, kWholly, {1}, 3);
-    for (Id id = 2; id <= 6; ++id) s.arrive(id, kWholly, {1}, 1);
+    s.list("A0 B1").arrive(1, kWhole, {1}, 3);
+    for (Id id = 2; id <= 6; ++id) s.arrive(id, kWhole, {1}, 1);
     s.quietly();
-    for (Id id = 11; id <= 14; ++id) s.arrive(id, kWholly, {1}, 0);
+    for (Id id = 11; id <= 14; ++id) s.arrive(id, kWhole, {1}, 0);
     CHECK(s.trace() == R"(
 0 send 1100 to A
 0 send 1200 to A
@@ -43,13 +43,13 @@
     s.front_nodes = 1;
     s.list("A0 B1 C2 D3");
     for (Id id = 1; id <= 24; ++id) {
-        s.arrive(id, kOnce, {1}, static_cast<int>(id))
+        s.arrive(id, kNonRetriable, {1}, static_cast<int>(id))
             .end({id * 100}, Outcome::kTimedOut)
             .play({ClientLeft{id}});
     }
-    s.arrive(30, kPartly, {0.5, 0.3, 0.15, 0.05}).end({3000, 3001, 3002, 3003}).pass(1'000).quietly();
-    s.arrive(31, kPartly, {0.5, 0.3, 0.15, 0.05}).pass(5).end({3100, 3101, 3102});
-    s.arrive(32, kPartly, {0.25, 0.25, 0.25, 0.25});
+    s.arrive(30, kPartial, {0.5, 0.3, 0.15, 0.05}).end({3000, 3001, 3002, 3003}).pass(1'000).quietly();
+    s.arrive(31, kPartial, {0.5, 0.3, 0.15, 0.05}).pass(5).end({3100, 3101, 3102});
+    s.arrive(32, kPartial, {0.25, 0.25, 0.25, 0.25});
     CHECK(s.trace() == R"(
 1000 send 3100 to B
 1000 send 3101 to C
@@ -66,13 +66,13 @@
     Script s;
     s.front_nodes = 1;
     s.list("A0 B1 C2 D3");
-    s.arrive(29, kPartly, {0.5, 0.3, 0.15, 0.05}).end({2900, 2901, 2902, 2903}).pass(4'000);
+    s.arrive(29, kPartial, {0.5, 0.3, 0.15, 0.05}).end({2900, 2901, 2902, 2903}).pass(4'000);
     for (Id id = 1; id <= 24; ++id) {
-        s.arrive(id, kOnce, {1}, static_cast<int>(id)).end({id * 100}, Outcome::kTimedOut);
+        s.arrive(id, kNonRetriable, {1}, static_cast<int>(id)).end({id * 100}, Outcome::kTimedOut);
     }
-    s.arrive(30, kPartly, {0.5, 0.3, 0.15, 0.05}).end({3000, 3001, 3002, 3003}).pass(8'000).quietly();
-    s.arrive(31, kPartly, {0.5, 0.3, 0.15, 0.05}).end({3100, 3101, 3102}).pass(2'000);
-    s.arrive(32, kPartly, {0.5, 0.3, 0.15, 0.05});
+    s.arrive(30, kPartial, {0.5, 0.3, 0.15, 0.05}).end({3000, 3001, 3002, 3003}).pass(8'000).quietly();
+    s.arrive(31, kPartial, {0.5, 0.3, 0.15, 0.05}).end({3100, 3101, 3102}).pass(2'000);
+    s.arrive(32, kPartial, {0.5, 0.3, 0.15, 0.05});
     CHECK(s.trace() == R"(
 12000 send 3100 to A
 12000 send 3101 to C
@@ -89,8 +89,8 @@
     Script s;  // sixteen front nodes: the longest multiget, and an even share of two parts on top
     s.front_nodes = 16;
     s.list("A0 B1 C2 D3");
-    for (Id id = 1; id <= 4; ++id) s.arrive(id, kWholly, {0.5, 0.5});
-    s.pass(5).end({100, 101}).arrive(5, kWholly, {0.5, 0.5});
+    for (Id id = 1; id <= 4; ++id) s.arrive(id, kWhole, {0.5, 0.5});
+    s.pass(5).end({100, 101}).arrive(5, kWhole, {0.5, 0.5});
     CHECK(s.trace() == R"(
 0 send 100 to B
 0 send 101 to C
@@ -106,11 +106,11 @@
 
 TEST_CASE("a multiget under which servers die goes on with one part alone; if that dies too it is given up") {
     Script s;
-    s.list("A0 B1 C2 D3").arrive(1, kWholly, {0.25, 0.25, 0.25, 0.25}, 0, 2'000, 900).quietly();
+    s.list("A0 B1 C2 D3").arrive(1, kWhole, {0.25, 0.25, 0.25, 0.25}, 0, 2'000, 900).quietly();
     s.end({100}, Outcome::kReset).pass(5).end({101}, Outcome::kReset);
     s.end({102, 103}, Outcome::kCancelled).pass(5);
     SUBCASE("it dies, and a repeat by its key begins with one part") {
-        s.end({100}, Outcome::kReset).pass(3'000).arrive(2, kWholly, {0.5, 0.5}, 2, 2'000, 900);
+        s.end({100}, Outcome::kReset).pass(3'000).arrive(2, kWhole, {0.5, 0.5}, 2, 2'000, 900);
         CHECK(s.trace() == R"(
 0 send 100 to A
 5 call off 102 send 0
@@ -133,7 +133,7 @@
 
 TEST_CASE("a multiget with an answer in is not what kills servers: what died goes again at once") {
     Script s;
-    s.list("A0 B1 C2 D3").arrive(1, kWholly, {0.25, 0.25, 0.25, 0.25}).pass(5).end({103}).quietly();
+    s.list("A0 B1 C2 D3").arrive(1, kWhole, {0.25, 0.25, 0.25, 0.25}).pass(5).end({103}).quietly();
     s.end({100, 102}, Outcome::kReset);
     CHECK(s.trace() == R"(
 5 send 100 to A
@@ -146,9 +146,9 @@
     s.front_nodes = 100;
     s.ring = {1, 1, 1, 0};
     s.list("A0");
-    for (Id id = 1; id <= 100; ++id) s.arrive(id, kWholly, {1}).pass(50).end({id * 100});
+    for (Id id = 1; id <= 100; ++id) s.arrive(id, kWhole, {1}).pass(50).end({id * 100});
     s.list("A0@5000").pass(6'000).quietly();
-    s.arrive(101, kWholly, {0.2, 0.2, 0.2, 0.1, 0.1, 0.1, 0.1}).pass(50);
+    s.arrive(101, kWhole, {0.2, 0.2, 0.2, 0.1, 0.1, 0.1, 0.1}).pass(50);
     CHECK(s.trace() == R"(
 11000 send 10100 to A
 11000 send 10101 to A
@@ -162,8 +162,8 @@
 
 TEST_CASE("a server that may start with nothing has room at the latest when it is warm") {
     Script s;
-    s.cold = {0, 3'000, 3, 10'000};
-    s.pass(5).list("A0@5").arrive(1, kWholly, {1}, 3).pass(350);
+    s.cold_start = {0, 3'000, 3, 10'000};
+    s.pass(5).list("A0@5").arrive(1, kWhole, {1}, 3).pass(350);
     CHECK(s.trace() == R"(
 230 send 100 to A
 )");
@@ -171,8 +171,8 @@
 
 TEST_CASE("where a second step follows, the first one's answer leaves it time") {
     Script s;
-    s.partly.second_step_parts = 1;
-    s.list("A0 B1 C2 D3").arrive(1, kPartly, {0.3, 0.3, 0.2, 0.2}).pass(50).end({100, 101, 102}).quietly();
+    s.partial_op.second_step_parts = 1;
+    s.list("A0 B1 C2 D3").arrive(1, kPartial, {0.3, 0.3, 0.2, 0.2}).pass(50).end({100, 101, 102}).quietly();
     s.pass(600);
     CHECK(s.trace() == R"(
 605 answer 1 in part
@@ -182,8 +182,8 @@
 
 TEST_CASE("a server that fails at once does not draw what comes next, though it has nothing out") {
     Script s;
-    s.list("A0 B1d").pass(5).arrive(1, kWholly, {1}, 0).end({100}, Outcome::kError).list("A0 B1").quietly();
-    s.arrive(2, kWholly, {1}, 0).arrive(3, kWholly, {1}, 0);
+    s.list("A0 B1d").pass(5).arrive(1, kWhole, {1}, 0).end({100}, Outcome::kError).list("A0 B1").quietly();
+    s.arrive(2, kWhole, {1}, 0).arrive(3, kWhole, {1}, 0);
     CHECK(s.trace() == R"(
 5 send 200 to B
 5 send 300 to B
@@ -193,9 +193,15 @@
 TEST_CASE("a node whose credit is spent earns it back by half of its even share of what servers bear") {
     Script s;
     s.front_nodes = 16;
-    s.list("A0 B1 C2 D3").arrive(1, kOnce, {0.5, 0.5}, 0).arrive(2, kOnce, {0.5, 0.5}, 2).pass(5);
-    s.end({100, 101, 200, 201}, Outcome::kError).quietly().arrive(3, kOnce, {0.5, 0.5}, 0).pass(2'400);
-    s.arrive(4, kOnce, {0.5, 0.5}, 0);
+    s.list("A0 B1 C2 D3")
+        .arrive(1, kNonRetriable, {0.5, 0.5}, 0)
+        .arrive(2, kNonRetriable, {0.5, 0.5}, 2)
+        .pass(5);
+    s.end({100, 101, 200, 201}, Outcome::kError)
+        .quietly()
+        .arrive(3, kNonRetriable, {0.5, 0.5}, 0)
+        .pass(2'400);
+    s.arrive(4, kNonRetriable, {0.5, 0.5}, 0);
     CHECK(s.trace() == R"(
 5 push back 3 for 311
 2405 send 400 to B
@@ -206,8 +212,8 @@
 TEST_CASE("a send whose server died gives its credit back") {
     Script s;
     s.front_nodes = 100;
-    s.list("A0 B1 C2 D3").arrive(1, kOnce, {1}, 0).arrive(2, kOnce, {1}, 2).quietly();
-    s.end({100}, Outcome::kReset).arrive(3, kOnce, {1}, 2);
+    s.list("A0 B1 C2 D3").arrive(1, kNonRetriable, {1}, 0).arrive(2, kNonRetriable, {1}, 2).quietly();
+    s.end({100}, Outcome::kReset).arrive(3, kNonRetriable, {1}, 2);
     CHECK(s.trace() == R"(
 0 fail 1
 0 send 300 to C
@@ -216,8 +222,8 @@
 
 TEST_CASE("the last part of a multiget that needs every part gets a copy after a third of the budget") {
     Script s;
-    s.list("A0 B1 C2 D3").arrive(1, kWholly, {0.2, 0.2, 0.2, 0.2, 0.2}).pass(100).end({100, 101, 102, 103});
-    s.arrive(2, kPartly, {0.3, 0.3, 0.2, 0.2}).pass(100).end({200, 201, 202}).quietly().pass(300);
+    s.list("A0 B1 C2 D3").arrive(1, kWhole, {0.2, 0.2, 0.2, 0.2, 0.2}).pass(100).end({100, 101, 102, 103});
+    s.arrive(2, kPartial, {0.3, 0.3, 0.2, 0.2}).pass(100).end({200, 201, 202}).quietly().pass(300);
     CHECK(s.trace() == R"(
 335 send 104 to A
 )");
@@ -226,7 +232,7 @@
 TEST_CASE("a part left without a fit replica goes to any of them, once over half of the weight is in") {
     Script s;  // only A and B hold shard 0
     s.sends.most_sends = 5;
-    s.list("A0 B1 C2 D3").arrive(1, kWholly, {0.2, 0.4, 0.4}).pass(5).end({100}, Outcome::kError).pass(5);
+    s.list("A0 B1 C2 D3").arrive(1, kWhole, {0.2, 0.4, 0.4}).pass(5).end({100}, Outcome::kError).pass(5);
     s.quietly().end({100}, Outcome::kError).pass(5).end({101, 102}).pass(5);
     CHECK(s.trace() == R"(
 15 send 100 to B
@@ -235,8 +241,13 @@
 
 TEST_CASE("one answer tells the wait where answers are rare") {
     Script s;
-    s.list("A0 B1d C2 D3").arrive(1, kOnce, {1}, 0).pass(800).end({100}).list("A0 B1 C2 D3").quietly();
-    for (Id id = 11; id <= 13; ++id) s.arrive(id, kWholly, {1}, 0);
+    s.list("A0 B1d C2 D3")
+        .arrive(1, kNonRetriable, {1}, 0)
+        .pass(800)
+        .end({100})
+        .list("A0 B1 C2 D3")
+        .quietly();
+    for (Id id = 11; id <= 13; ++id) s.arrive(id, kWhole, {1}, 0);
     CHECK(s.trace() == R"(
 800 send 1100 to B
 800 send 1200 to B
@@ -250,15 +261,15 @@
     s.list("A0 B1 C2 D3");
     for (Id id = 1; id <= 24; ++id) {  // only A holds shard 0 and shard 3 while B and D drain
         s.list("A0 B1d C2 D3d")
-            .arrive(id, kOnce, {1}, 0)
+            .arrive(id, kNonRetriable, {1}, 0)
             .end({id * 100}, Outcome::kTimedOut)
             .play({ClientLeft{id}});
     }
     s.list("A0 B1 C2 D3")
-        .arrive(30, kPartly, {0.5, 0.3, 0.15, 0.05})
+        .arrive(30, kPartial, {0.5, 0.3, 0.15, 0.05})
         .end({3000, 3001, 3002, 3003})
         .pass(1'000);
-    s.quietly().arrive(31, kPartly, {0.5, 0.3, 0.15, 0.05});
+    s.quietly().arrive(31, kPartial, {0.5, 0.3, 0.15, 0.05});
     CHECK(s.trace() == R"(
 1000 send 3100 to B
 1000 send 3101 to C
@@ -269,8 +280,8 @@
 
 TEST_CASE("nothing new goes to a server that drains, is gone, or left the list") {
     Script s;
-    s.list("A0 B1d C2 D3").arrive(1, kWholly, {1}, 0).list("B1 C2 D3").arrive(2, kWholly, {1}, 0);
-    s.list("B1g", ListKind::kChanges).arrive(3, kWholly, {1}, 0).pass(5);
+    s.list("A0 B1d C2 D3").arrive(1, kWhole, {1}, 0).list("B1 C2 D3").arrive(2, kWhole, {1}, 0);
+    s.list("B1g", ListKind::kChanges).arrive(3, kWhole, {1}, 0).pass(5);
     CHECK(s.trace() == R"(
 0 send 100 to A
 0 send 200 to B
@@ -280,7 +291,7 @@
 
 TEST_CASE("a list that must be asked for is asked for, again while no word comes and when the watch breaks") {
     Script s;
-    s.list_terms = {true, 100'000, 2'500};
+    s.list_config = {true, 100'000, 2'500};
     s.play({}).pass(4'000).list("A0 B1").pass(9'000).play({ListNews{ListKind::kFailed, {}}}).pass(2'000);
     CHECK(s.trace() == R"(
 25 watch the list
@@ -292,8 +303,8 @@
 
 TEST_CASE("a cold server gets no more than its room, even from one multiget") {
     Script s;
-    s.cold.tip_after = 5'000;
-    s.list("A0@1 B1d").pass(1'000).arrive(1, kPartly, {0.9, 0.1}, 3).pass(500);
+    s.cold_start.tip_after = 5'000;
+    s.list("A0@1 B1d").pass(1'000).arrive(1, kPartial, {0.9, 0.1}, 3).pass(500);
     CHECK(s.trace() == R"(
 1000 send 100 to A
 1320 send 101 to A
@@ -302,9 +313,9 @@
 
 TEST_CASE("a server that could not be reached comes back as a cold one, whatever the list says") {
     Script s;
-    s.cold.tip_after = 5'000;
-    s.list("A0").arrive(1, kWholly, {1}, 3).pass(5).end({100}, Outcome::kNoConnection).pass(2'000).quietly();
-    s.arrive(2, kWholly, {1}, 3).pass(5).end({200}).arrive(3, kPartly, {0.9, 0.1}, 3).pass(500);
+    s.cold_start.tip_after = 5'000;
+    s.list("A0").arrive(1, kWhole, {1}, 3).pass(5).end({100}, Outcome::kNoConnection).pass(2'000).quietly();
+    s.arrive(2, kWhole, {1}, 3).pass(5).end({200}).arrive(3, kPartial, {0.9, 0.1}, 3).pass(500);
     CHECK(s.trace() == R"(
 2005 send 200 to A
 2010 answer 2 whole
@@ -315,9 +326,9 @@
 
 TEST_CASE("a connection not made in time is no restart: the server is not taken for cold") {
     Script s;
-    s.cold.tip_after = 5'000;
-    s.list("A0").arrive(1, kWholly, {1}, 3).pass(250).end({100}, Outcome::kNoConnection).pass(2'000);
-    s.arrive(2, kWholly, {1}, 3).pass(5).end({200}).quietly().arrive(3, kPartly, {0.9, 0.1}, 3).pass(5);
+    s.cold_start.tip_after = 5'000;
+    s.list("A0").arrive(1, kWhole, {1}, 3).pass(250).end({100}, Outcome::kNoConnection).pass(2'000);
+    s.arrive(2, kWhole, {1}, 3).pass(5).end({200}).quietly().arrive(3, kPartial, {0.9, 0.1}, 3).pass(5);
     CHECK(s.trace() == R"(
 2255 send 300 to A
 2255 send 301 to A
@@ -326,9 +337,9 @@
 
 TEST_CASE("a trial whose part was called off is not used up") {
     Script s;
-    s.list("A0").arrive(1, kWholly, {1}, 3).pass(1'000).end({100}, Outcome::kCancelled).pass(2'000).quietly();
-    s.arrive(2, kWholly, {1}, 3).play({ClientLeft{2}}).end({200}, Outcome::kCancelled).pass(5);
-    s.arrive(3, kWholly, {1}, 3);
+    s.list("A0").arrive(1, kWhole, {1}, 3).pass(1'000).end({100}, Outcome::kCancelled).pass(2'000).quietly();
+    s.arrive(2, kWhole, {1}, 3).play({ClientLeft{2}}).end({200}, Outcome::kCancelled).pass(5);
+    s.arrive(3, kWhole, {1}, 3);
     CHECK(s.trace() == R"(
 3000 send 200 to A
 3000 call off 200 send 0
@@ -339,9 +350,13 @@
 TEST_CASE("a part that must not run twice: sent again only when proven not run, never pushed back else") {
     Script s;
     s.sends.most_sends = 2;
-    s.list("A0 B1 C2 D3").arrive(1, kOnce, {1}).pass(5).end({100}, Outcome::kFull).pass(5);
+    s.list("A0 B1 C2 D3").arrive(1, kNonRetriable, {1}).pass(5).end({100}, Outcome::kFull).pass(5);
     s.end({100}, Outcome::kError).pass(5);
-    s.arrive(2, kOnce, {1}, 2).pass(5).end({200}, Outcome::kFull).pass(5).end({200}, Outcome::kNoConnection);
+    s.arrive(2, kNonRetriable, {1}, 2)
+        .pass(5)
+        .end({200}, Outcome::kFull)
+        .pass(5)
+        .end({200}, Outcome::kNoConnection);
     CHECK(s.trace() == R"(
 0 send 100 to B
 5 send 100 to A
@@ -355,8 +370,8 @@
 
 TEST_CASE("a deduped part is sent again within its window only") {
     Script s;
-    s.list("A0 B1 C2 D3").arrive(1, kMarked, {1}).pass(100).end({100}, Outcome::kError);
-    s.arrive(2, kMarked, {1}, 2).pass(200).end({200}, Outcome::kError);
+    s.list("A0 B1 C2 D3").arrive(1, kDeduped, {1}).pass(100).end({100}, Outcome::kError);
+    s.arrive(2, kDeduped, {1}, 2).pass(200).end({200}, Outcome::kError);
     CHECK(s.trace() == R"(
 0 send 100 to B
 100 send 100 to A
@@ -368,14 +383,14 @@
 TEST_CASE("further sends keep within the stated budget") {
     Script s;
     s.further = {1, 0.1, 50'000};
-    s.list("A0 B1 C2 D3").arrive(1, kWholly, {0.5, 0.5}).pass(5).end({100, 101}, Outcome::kError).pass(30);
+    s.list("A0 B1 C2 D3").arrive(1, kWhole, {0.5, 0.5}).pass(5).end({100, 101}, Outcome::kError).pass(30);
     CHECK(s.trace() == R"(
 0 send 100 to B
 0 send 101 to C
 5 send 100 to A
 )");
     // The first may have arrived a connect time-out late: it counts for that much longer.
-    s.pass(5'000).quietly().pass(65).arrive(2, kWholly, {1}, 2).pass(5).end({200}, Outcome::kError).pass(500);
+    s.pass(5'000).quietly().pass(65).arrive(2, kWhole, {1}, 2).pass(5).end({200}, Outcome::kError).pass(500);
     CHECK(s.trace() == R"(
 5100 send 200 to D
 5265 send 200 to C
@@ -386,11 +401,11 @@
     Script s;  // A starts with credit for two; shard 0 is held by A and B
     s.front_nodes = 1;
     s.list("A0d B1");
-    for (Id id = 1; id <= 3; ++id) s.arrive(id, kWholly, {1}, 0);
+    for (Id id = 1; id <= 3; ++id) s.arrive(id, kWhole, {1}, 0);
     s.quietly();
     s.list("A0 B1d").pass(5).end({100, 200, 300}, Outcome::kError).pass(100);
-    s.arrive(4, kWholly, {1}, 0).end({400}).arrive(5, kWholly, {1}, 0).end({500});
-    s.arrive(6, kWholly, {1}, 0).end({600}).arrive(7, kWholly, {1}, 0).end({700}).pass(5);
+    s.arrive(4, kWhole, {1}, 0).end({400}).arrive(5, kWhole, {1}, 0).end({500});
+    s.arrive(6, kWhole, {1}, 0).end({600}).arrive(7, kWhole, {1}, 0).end({700}).pass(5);
     CHECK(s.trace() == R"(
 5 send 100 to A
 5 log aside 66: errors
@@ -409,9 +424,9 @@
 
 TEST_CASE("a silent server is set aside, its parts get a copy, and it returns on trial with one part") {
     Script s;
-    s.list("A0 B1").arrive(1, kWholly, {1}, 0, 1'500).pass(945).end({100});
+    s.list("A0 B1").arrive(1, kWhole, {1}, 0, 1'500).pass(945).end({100});
     s.play({SendEnded{100, 0, {'B', 1}, 0, Outcome::kCancelled, {}}}).pass(1'600);
-    s.arrive(2, kWholly, {1}, 1).arrive(3, kWholly, {1}, 1).pass(5).end({200}).arrive(4, kWholly, {1}, 1);
+    s.arrive(2, kWhole, {1}, 1).arrive(3, kWhole, {1}, 1).pass(5).end({200}).arrive(4, kWhole, {1}, 1);
     CHECK(s.trace() == R"(
 0 send 100 to B
 940 log aside 66: silence
@@ -429,7 +444,7 @@
 TEST_CASE("without second copies a silent send is called off first, and sent again once that is known") {
     Script s;
     s.sends.second_copies = false;
-    s.list("A0 B1").arrive(1, kWholly, {1}, 0, 1'500).pass(945).end({100}, Outcome::kCancelled).pass(5);
+    s.list("A0 B1").arrive(1, kWhole, {1}, 0, 1'500).pass(945).end({100}, Outcome::kCancelled).pass(5);
     CHECK(s.trace() == R"(
 0 send 100 to B
 940 log aside 66: silence
@@ -440,8 +455,12 @@
 
 TEST_CASE("where all replicas are aside one part at a time finds out whether they answer again") {
     Script s;
-    s.list("A0").arrive(1, kPartly, {0.7, 0.3}, 3).pass(1'000).end({100, 101}, Outcome::kCancelled).pass(700);
-    s.arrive(2, kPartly, {0.7, 0.3}, 3).pass(50).end({200}).pass(5);
+    s.list("A0")
+        .arrive(1, kPartial, {0.7, 0.3}, 3)
+        .pass(1'000)
+        .end({100, 101}, Outcome::kCancelled)
+        .pass(700);
+    s.arrive(2, kPartial, {0.7, 0.3}, 3).pass(50).end({200}).pass(5);
     CHECK(s.trace() == R"(
 0 send 100 to A
 0 send 101 to A
@@ -456,8 +475,11 @@
 
 TEST_CASE("two errors on end set a server aside") {
     Script s;
-    s.list("A0 B1").arrive(1, kOnce, {1}, 3).end({100}, Outcome::kError).arrive(2, kOnce, {1}, 3);
-    s.end({200}, Outcome::kError).quietly().arrive(3, kOnce, {1}, 0).arrive(4, kOnce, {1}, 0);
+    s.list("A0 B1")
+        .arrive(1, kNonRetriable, {1}, 3)
+        .end({100}, Outcome::kError)
+        .arrive(2, kNonRetriable, {1}, 3);
+    s.end({200}, Outcome::kError).quietly().arrive(3, kNonRetriable, {1}, 0).arrive(4, kNonRetriable, {1}, 0);
     CHECK(s.trace() == R"(
 0 send 300 to B
 0 send 400 to B
@@ -466,9 +488,12 @@
 
 TEST_CASE("a server that left the list with nothing out is forgotten: it returns as one that never failed") {
     Script s;
-    s.list("A0 B1").arrive(1, kOnce, {1}, 3).end({100}, Outcome::kError).arrive(2, kOnce, {1}, 3);
-    s.end({200}, Outcome::kError).quietly().list("B1").arrive(3, kOnce, {1}, 0);
-    s.list("A0 B1").arrive(4, kOnce, {1}, 0);
+    s.list("A0 B1")
+        .arrive(1, kNonRetriable, {1}, 3)
+        .end({100}, Outcome::kError)
+        .arrive(2, kNonRetriable, {1}, 3);
+    s.end({200}, Outcome::kError).quietly().list("B1").arrive(3, kNonRetriable, {1}, 0);
+    s.list("A0 B1").arrive(4, kNonRetriable, {1}, 0);
     CHECK(s.trace() == R"(
 0 send 300 to B
 0 send 400 to A
@@ -478,15 +503,15 @@
 TEST_CASE(
     "a server that answers others and never one part gets nothing that must not run twice for a while") {
     Script s;
-    s.list("A0 B1d").arrive(1, kWholly, {1}, 0);
-    for (Id id = 2; id <= 4; ++id) s.pass(300).arrive(id, kWholly, {1}, 0).pass(15).end({id * 100});
+    s.list("A0 B1d").arrive(1, kWhole, {1}, 0);
+    for (Id id = 2; id <= 4; ++id) s.pass(300).arrive(id, kWhole, {1}, 0).pass(15).end({id * 100});
     s.pass(50).end({100}, Outcome::kCancelled).pass(1'000);
     s.list("A0d B1")
-        .arrive(5, kWholly, {1}, 0)
+        .arrive(5, kWhole, {1}, 0)
         .list("A0 B1")
         .quietly()
-        .arrive(6, kOnce, {1}, 0)
-        .arrive(7, kWholly, {1}, 0);
+        .arrive(6, kNonRetriable, {1}, 0)
+        .arrive(7, kWhole, {1}, 0);
     CHECK(s.trace() == R"(
 1995 send 600 to B
 1995 send 700 to A
@@ -496,9 +521,9 @@
 TEST_CASE(
     "a server that failed one part is the last for what must not run twice, others go there as before") {
     Script s;
-    s.list("A0 B1d").pass(5).arrive(1, kWholly, {1}, 0).end({100}, Outcome::kError).pass(1'000);
-    s.list("A0d B1").arrive(2, kWholly, {1}, 0).list("A0 B1").quietly();
-    s.arrive(3, kOnce, {1}, 0).arrive(4, kWholly, {1}, 0);
+    s.list("A0 B1d").pass(5).arrive(1, kWhole, {1}, 0).end({100}, Outcome::kError).pass(1'000);
+    s.list("A0d B1").arrive(2, kWhole, {1}, 0).list("A0 B1").quietly();
+    s.arrive(3, kNonRetriable, {1}, 0).arrive(4, kWhole, {1}, 0);
     CHECK(s.trace() == R"(
 1005 send 300 to B
 1005 send 400 to A
@@ -507,10 +532,13 @@
 
 TEST_CASE("a lost connection is not a lost server: one part goes alone, and tells") {
     Script s;
-    s.list("A0 B1d").arrive(1, kOnce, {1}, 3).arrive(2, kOnce, {1}, 3).end({100, 200}, Outcome::kReset);
-    s.quietly().arrive(3, kOnce, {1}, 3).arrive(4, kOnce, {1}, 3).pass(10);
+    s.list("A0 B1d")
+        .arrive(1, kNonRetriable, {1}, 3)
+        .arrive(2, kNonRetriable, {1}, 3)
+        .end({100, 200}, Outcome::kReset);
+    s.quietly().arrive(3, kNonRetriable, {1}, 3).arrive(4, kNonRetriable, {1}, 3).pass(10);
     SUBCASE("answered") {
-        s.end({300}).arrive(5, kOnce, {1}, 3);
+        s.end({300}).arrive(5, kNonRetriable, {1}, 3);
         CHECK(s.trace() == R"(
 0 send 300 to A
 0 push back 4 for 455
@@ -519,7 +547,7 @@
 )");
     }
     SUBCASE("refused") {
-        s.end({300}, Outcome::kNoConnection).arrive(5, kOnce, {1}, 3);
+        s.end({300}, Outcome::kNoConnection).arrive(5, kNonRetriable, {1}, 3);
         CHECK(s.trace() == R"(
 0 send 300 to A
 0 push back 4 for 455
@@ -531,9 +559,9 @@
     Script s;
     s.front_nodes = 1;
     s.list("A0 B1d");
-    for (Id id = 1; id <= 3; ++id) s.arrive(id, kOnce, {1}, 3).end({id * 100}, Outcome::kFull);
+    for (Id id = 1; id <= 3; ++id) s.arrive(id, kNonRetriable, {1}, 3).end({id * 100}, Outcome::kFull);
     s.quietly().list("A0 B1");
-    for (Id id = 4; id <= 6; ++id) s.arrive(id, kOnce, {1}, 0);
+    for (Id id = 4; id <= 6; ++id) s.arrive(id, kNonRetriable, {1}, 0);
     CHECK(s.trace() == R"(
 0 send 400 to B
 0 send 500 to B
@@ -544,9 +572,9 @@
 TEST_CASE("while many fail they are used after all, but not for what must not run twice") {
     Script s;  // only A holds shard 3 and only B shard 1 while C and D drain
     s.list("A0 B1 C2d D3d");
-    for (const Id id : {1U, 2U}) s.arrive(id, kOnce, {1}, 3).end({id * 100}, Outcome::kError);
-    for (const Id id : {3U, 4U}) s.arrive(id, kOnce, {1}, 1).end({id * 100}, Outcome::kError);
-    s.quietly().list("A0 B1 C2 D3").arrive(5, kOnce, {1}, 3).arrive(6, kWholly, {1}, 3);
+    for (const Id id : {1U, 2U}) s.arrive(id, kNonRetriable, {1}, 3).end({id * 100}, Outcome::kError);
+    for (const Id id : {3U, 4U}) s.arrive(id, kNonRetriable, {1}, 1).end({id * 100}, Outcome::kError);
+    s.quietly().list("A0 B1 C2 D3").arrive(5, kNonRetriable, {1}, 3).arrive(6, kWhole, {1}, 3);
     CHECK(s.trace() == R"(
 0 send 500 to D
 0 send 600 to A
@@ -555,8 +583,8 @@
 
 TEST_CASE("at the end of the latency budget: in part if the floor is in, else given up at once") {
     Script s;
-    s.list("A0 B1 C2 D3").arrive(1, kPartly, {0.5, 0.2, 0.2, 0.1}).arrive(2, kWholly, {1}, 1);
-    s.arrive(3, kOnce, {1}, 2).pass(100).end({100, 101}).quietly().pass(2'000);
+    s.list("A0 B1 C2 D3").arrive(1, kPartial, {0.5, 0.2, 0.2, 0.1}).arrive(2, kWhole, {1}, 1);
+    s.arrive(3, kNonRetriable, {1}, 2).pass(100).end({100, 101}).quietly().pass(2'000);
     CHECK(s.trace() == R"(
 940 log aside 65: silence
 940 log aside 68: silence
@@ -575,7 +603,7 @@
 
 TEST_CASE("an answer is due before the client leaves, be its time shorter than the budget") {
     Script s;
-    s.list("A0 B1").arrive(1, kWholly, {1}, 0, 300).pass(310);
+    s.list("A0 B1").arrive(1, kWhole, {1}, 0, 300).pass(310);
     CHECK(s.trace() == R"(
 0 send 100 to B
 290 push back 1 for 401
@@ -587,9 +615,9 @@
     "what waits make hopeless: pushed back before any part is sent, or left out where the floor allows") {
     Script s;
     s.list("A0 B1 C2 D3");
-    for (Id id = 1; id <= 8; ++id) s.arrive(id, kOnce, {1}, 0);
+    for (Id id = 1; id <= 8; ++id) s.arrive(id, kNonRetriable, {1}, 0);
     s.pass(900).end({100, 200, 300, 400, 500, 600, 700, 800}).quietly();
-    s.arrive(11, kWholly, {0.5, 0.5}, 0).arrive(12, kPartly, {0.2, 0.2, 0.3, 0.3});
+    s.arrive(11, kWhole, {0.5, 0.5}, 0).arrive(12, kPartial, {0.2, 0.2, 0.3, 0.3});
     CHECK(s.trace() == R"(
 900 push back 11 for 401
 900 send 1202 to D
@@ -600,11 +628,11 @@
 
 TEST_CASE("a late answer lengthens what a wait may take only for what needs every part") {
     Script s;
-    s.partly.late_importance = s.wholly.late_importance = 1;
+    s.partial_op.late_importance = s.whole_op.late_importance = 1;
     s.list("A0 B1 C2 D3");
-    for (Id id = 1; id <= 8; ++id) s.arrive(id, kOnce, {1}, 0);
+    for (Id id = 1; id <= 8; ++id) s.arrive(id, kNonRetriable, {1}, 0);
     s.pass(600).end({100, 200, 300, 400, 500, 600, 700, 800}).quietly();
-    s.arrive(11, kWholly, {0.5, 0.5}, 0).arrive(12, kPartly, {0.2, 0.2, 0.3, 0.3});
+    s.arrive(11, kWhole, {0.5, 0.5}, 0).arrive(12, kPartial, {0.2, 0.2, 0.3, 0.3});
     CHECK(s.trace() == R"(
 600 send 1100 to A
 600 send 1101 to C
@@ -617,9 +645,9 @@
 TEST_CASE("a replica too slow for the time left is passed over while another is not") {
     Script s;
     s.list("A0 B1d C2 D3");
-    for (Id id = 1; id <= 8; ++id) s.arrive(id, kOnce, {1}, 0);
+    for (Id id = 1; id <= 8; ++id) s.arrive(id, kNonRetriable, {1}, 0);
     s.pass(900).end({100, 200, 300, 400, 500, 600, 700, 800}).list("A0 B1 C2 D3").quietly();
-    for (Id id = 11; id <= 13; ++id) s.arrive(id, kWholly, {1}, 0);
+    for (Id id = 11; id <= 13; ++id) s.arrive(id, kWhole, {1}, 0);
     CHECK(s.trace() == R"(
 900 send 1100 to B
 900 send 1200 to B
@@ -630,9 +658,9 @@
 TEST_CASE(
     "tries of unusual length count as repeats after a push back only, and no more than follow from it") {
     Script s;  // nobody holds shard 2
-    s.list("A0 B1").arrive(1, kWholly, {1}, 0, 1'600).arrive(2, kWholly, {1}, 0, 900).end({100, 200});
-    s.arrive(3, kWholly, {1}, 2, 1'600).arrive(4, kWholly, {1}, 0, 900).arrive(5, kWholly, {1}, 0, 900);
-    s.arrive(6, kWholly, {1}, 0, 900);
+    s.list("A0 B1").arrive(1, kWhole, {1}, 0, 1'600).arrive(2, kWhole, {1}, 0, 900).end({100, 200});
+    s.arrive(3, kWhole, {1}, 2, 1'600).arrive(4, kWhole, {1}, 0, 900).arrive(5, kWhole, {1}, 0, 900);
+    s.arrive(6, kWhole, {1}, 0, 900);
     CHECK(s.trace() == R"(
 0 send 100 to B
 0 send 200 to A
@@ -648,8 +676,8 @@
 TEST_CASE("told weights may miss 1 by a hair; a floor that is just met counts, less does not") {
     Script s;
     s.list("A0 B1 C2 D3")
-        .arrive(1, kPartly, {0.3, 0.29998, 0.2, 0.2})
-        .arrive(2, kPartly, {0.3, 0.299, 0.2, 0.2});
+        .arrive(1, kPartial, {0.3, 0.29998, 0.2, 0.2})
+        .arrive(2, kPartial, {0.3, 0.299, 0.2, 0.2});
     s.pass(50).end({100, 101, 200, 201}).pass(900).quietly().pass(50);
     CHECK(s.trace() == R"(
 980 answer 1 in part
@@ -665,7 +693,7 @@
 
 TEST_CASE("a client that leaves ends all; late outcomes and unknown ids are ignored") {
     Script s;
-    s.list("A0 B1 C2 D3").arrive(1, kWholly, {0.5, 0.5}).pass(5).quietly().play({ClientLeft{1}}).pass(50);
+    s.list("A0 B1 C2 D3").arrive(1, kWhole, {0.5, 0.5}).pass(5).quietly().play({ClientLeft{1}}).pass(50);
     s.end({100}, Outcome::kCancelled)
         .play({ClientLeft{9}, SendEnded{77, 3, {65, 1}, 10, Outcome::kError, {}}});
     CHECK(s.trace() == R"(
@@ -676,8 +704,8 @@
 
 TEST_CASE("a second step is awaited and answered whole only if the first was") {
     Script s;
-    s.wholly.second_step_parts = 1;
-    s.list("A0 B1 C2 D3").arrive(1, kWholly, {0.5, 0.5}).pass(50).end({100, 101}).pass(5);
+    s.whole_op.second_step_parts = 1;
+    s.list("A0 B1 C2 D3").arrive(1, kWhole, {0.5, 0.5}).pass(50).end({100, 101}).pass(5);
     s.play({SecondStep{1, {{150, 0, 1.0, 0, 0}}}}).pass(50).end({150});
     CHECK(s.trace() == R"(
 0 send 100 to B
--- a/tests/move_test.cpp
+++ b/tests/move_test.cpp
@@ -13,7 +13,7 @@
 using namespace pinedoor::test;
 
 // Three op types: `again` (half of the weight is enough), `once`, `marked` (a repeat is dropped for 0.7 s).
-void reshape(Program& program, bool budget, bool copies, int most_sends) {
+void configure(Program& program, bool budget, bool second_copies, int max_sends) {
     program
         .with("\"classes\":[",
               R"("classes":[{"aim_ms":2000.0,"deadline_ms":4000.0,"effect":"guarded","late_worth":0.1,
@@ -22,43 +22,44 @@
         .with("[0.5,1.0]", "[1.0,0.5,1.0]")
         .with("[1.0,1.0]", "[1.0,1.0,1.0]")
         .with("[0.9,0.9]", "[0.9,0.9,0.9]")
-        .with("\"max_attempts\":1", "\"max_attempts\":" + std::to_string(most_sends))
-        .with("\"second_copies\":true", std::string("\"second_copies\":") + (copies ? "true" : "false"))
+        .with("\"max_attempts\":1", "\"max_attempts\":" + std::to_string(max_sends))
+        .with("\"second_copies\":true",
+              std::string("\"second_copies\":") + (second_copies ? "true" : "false"))
         .with("\"cold_from\":0.2", "\"cold_from\":0.1")
         .with("\"siblings\":1", "\"siblings\":4");
     if (!budget) return;
     program.with("\"rules\":{", R"("rules":{"look_back_ms":2000.0,"extra_floor":2.0,"repeat_ratio":0.05,)");
 }
 
-struct Asking {
-    double at = 0;
+struct SentRequest {
+    double sent_at = 0;
     std::size_t parts = 0;
     std::string answer;
 };
 
 struct Clients {  // three for each of the four instances, each asking every 0.4 s
-    std::array<std::array<std::vector<Asking>, 3>, 4> asked;
+    std::array<std::array<std::vector<SentRequest>, 3>, 4> requests;
     std::vector<std::thread> threads;
 
-    void go(std::array<Program*, 4> nodes, double until) {
+    void start(std::array<Program*, 4> nodes, double until) {
         for (std::size_t n = 0; n < 4; ++n) {
             for (std::size_t c = 0; c < 3; ++c) {
-                threads.emplace_back([&list = asked[n][c], node = nodes[n], n, c, until] {
+                threads.emplace_back([&list = requests[n][c], node = nodes[n], n, c, until] {
                     auto peer = node->client();
                     for (int i = 0; seconds_now() < until; ++i) {
-                        const double began = seconds_now();
+                        const double sent_at = seconds_now();
                         const char* const op_types[] = {"again", "once", "marked"};
-                        const auto which = static_cast<std::size_t>(i + static_cast<int>(c)) % 3;
+                        const auto op_type = static_cast<std::size_t>(i + static_cast<int>(c)) % 3;
                         const std::vector<int> shards =
-                            which == 0 ? std::vector<int>{1, 4, 7, 10} : std::vector<int>{i % 12};
-                        const auto name = std::string(1, "abcd"[n]) + std::to_string(c) + op_types[which][0] +
-                                          std::to_string(i);
-                        peer.say(post(op_types[which], name, asks(shards)));
-                        list.push_back({began, shards.size(), peer.answer()});
+                            op_type == 0 ? std::vector<int>{1, 4, 7, 10} : std::vector<int>{i % 12};
+                        const auto name = std::string(1, "abcd"[n]) + std::to_string(c) +
+                                          op_types[op_type][0] + std::to_string(i);
+                        peer.say(post(op_types[op_type], name, asks(shards)));
+                        list.push_back({sent_at, shards.size(), peer.answer()});
                         if (list.back().answer.find("connection=close") != std::string::npos)
                             peer = node->client();
                         std::this_thread::sleep_for(
-                            std::chrono::duration<double>(std::max(0.0, began + 0.4 - seconds_now())));
+                            std::chrono::duration<double>(std::max(0.0, sent_at + 0.4 - seconds_now())));
                     }
                 });
             }
@@ -67,22 +68,22 @@
     void join() {
         for (auto& thread : threads) thread.join();
     }
-    double served(std::size_t node) const {
-        double good = 0, all = 0;
-        for (const auto& list : asked[node]) {
+    double answered_share(std::size_t node) const {
+        double answered = 0, all = 0;
+        for (const auto& list : requests[node]) {
             for (const auto& each : list) {
                 all += 1;
-                good += each.answer.starts_with("200") ? 1 : 0;
+                answered += each.answer.starts_with("200") ? 1 : 0;
             }
         }
-        return good / all;
+        return answered / all;
     }
     // What an instance took in a time: multigets and parts.
-    double taken(std::size_t node, double from, double to) const {
+    double received(std::size_t node, double from, double to) const {
         double sum = 0;
-        for (const auto& list : asked[node]) {
+        for (const auto& list : requests[node]) {
             for (const auto& each : list)
-                sum += each.at >= from && each.at <= to ? 1 + static_cast<double>(each.parts) : 0;
+                sum += each.sent_at >= from && each.sent_at <= to ? 1 + static_cast<double>(each.parts) : 0;
         }
         return sum;
     }
@@ -96,16 +97,16 @@
     Discovery discovery(list);
     Program a(list, discovery.at()), b(list, discovery.at());
     Program c(list, discovery.at()), d(list, discovery.at());
-    reshape(a, true, true, 3);  // old: a budget, copies
-    reshape(b, true, true, 3);
-    reshape(c, false, false, 4);  // new: neither budget nor copies, or both, with more sends
-    reshape(d, true, true, 4);
+    configure(a, true, true, 3);  // old: a budget, copies
+    configure(b, true, true, 3);
+    configure(c, false, false, 4);  // new: neither budget nor copies, or both, with more sends
+    configure(d, true, true, 4);
     const std::array<Program*, 4> nodes{&a, &b, &c, &d};
     for (auto* node : nodes) node->start();
     for (auto* node : nodes) REQUIRE(node->client().connected());
     const double began = seconds_now();
     Clients clients;
-    clients.go(nodes, began + 7);
+    clients.start(nodes, began + 7);
 
     std::this_thread::sleep_for(std::chrono::seconds(2));
     list[3].phase = "Terminating";
@@ -119,10 +120,10 @@
 
     // One final answer each, from the least share at the least, whole only when whole.
     for (std::size_t n = 0; n < 4; ++n) {
-        std::uint64_t asked = 0;
-        for (const auto& client : clients.asked[n]) {
+        std::uint64_t requests = 0;
+        for (const auto& client : clients.requests[n]) {
             for (const auto& each : client) {
-                ++asked;
+                ++requests;
                 CHECK(each.answer != "nothing");
                 if (!each.answer.starts_with("200")) continue;
                 std::size_t values = 0;
@@ -133,12 +134,12 @@
                 CHECK(values >= (whole ? each.parts : (each.parts + 1) / 2));
             }
         }
-        CHECK(asked > 6);
-        CHECK(nodes[n]->counter("multigets_taken") == asked);
+        CHECK(requests > 6);
+        CHECK(nodes[n]->counter("multigets_taken") == requests);
         std::uint64_t ended = 0;
         for (const char* end : {"answered_whole", "answered_in_part", "pushed_back", "failed"})
             ended += nodes[n]->counter(std::string("multigets_") + end);
-        CHECK(ended == asked);
+        CHECK(ended == requests);
         CHECK(nodes[n]->counter("invariants_broken") == 0);
     }
 
@@ -183,18 +184,18 @@
         for (const double at : further) {
             const auto used = std::count_if(further.begin(), further.end(),
                                             [&](double t) { return t > at - 2 && t <= at; });
-            CHECK(static_cast<double>(used) <= 2 + 0.05 * clients.taken(n, at - 2.1, at));
+            CHECK(static_cast<double>(used) <= 2 + 0.05 * clients.received(n, at - 2.1, at));
         }
     }
 
     // Neither kind starves the other.
-    const double old_kind = (clients.served(0) + clients.served(1)) / 2;
-    const double new_kind = (clients.served(2) + clients.served(3)) / 2;
-    MESSAGE("served: old " << old_kind << " new " << new_kind << ", parts " << seen.size() << ", cold "
+    const double old_config = (clients.answered_share(0) + clients.answered_share(1)) / 2;
+    const double new_config = (clients.answered_share(2) + clients.answered_share(3)) / 2;
+    MESSAGE("served: old " << old_config << " new " << new_config << ", parts " << seen.size() << ", cold "
                            << cold);
-    CHECK(old_kind > 0.6);
-    CHECK(new_kind > 0.6);
-    CHECK(std::abs(old_kind - new_kind) < 0.25);
+    CHECK(old_config > 0.6);
+    CHECK(new_config > 0.6);
+    CHECK(std::abs(old_config - new_config) < 0.25);
 }
 
 }  // namespace
--- a/tests/script.hpp
+++ b/tests/script.hpp
@@ -13,54 +13,57 @@
 // Four index servers A to D stand in a ring of four places; a shard is held by its place and the next.
 class Script {
 public:
-    OpType partly{10'000, 20'000, Repeat::kRetriable, 0, 5, 0, 0.6, 1, 0.9, 0};
-    OpType wholly{10'000, 20'000, Repeat::kRetriable, 0, 1, 0, 1, 1, 0.9, 0};
+    OpType partial_op{10'000, 20'000, Repeat::kRetriable, 0, 5, 0, 0.6, 1, 0.9, 0};
+    OpType whole_op{10'000, 20'000, Repeat::kRetriable, 0, 1, 0, 1, 1, 0.9, 0};
     OpType once{10'000, 20'000, Repeat::kNonRetriable, 0, 1, 0.3, 1, 1, 0.9, 0};
-    OpType marked{10'000, 20'000, Repeat::kDeduped, 4'000, 1, 0, 1, 1, 0.9, 0};
+    OpType deduped_op{10'000, 20'000, Repeat::kDeduped, 4'000, 1, 0, 1, 1, 0.9, 0};
     ShardRing ring{4, 2, 1, 0};
     SendTerms sends{3, true, true, 2'500};
     FurtherSendTerms further;
-    ColdTerms cold{0.2, 100'000, 3, 10'000};
-    ListTerms list_terms;
+    ColdTerms cold_start{0.2, 100'000, 3, 10'000};
+    ListTerms list_config;
     int front_nodes = 2;
     ClientTerms clients{true, 5'000, false, 200};
 
     // "A0 B1d C2g D3@400": server and place; d draining, g gone, @ started at that millisecond.
     Script& list(const std::string& text, ListKind kind = ListKind::kFull) {
-        ListNews news{kind, {}};
+        ListNews update{kind, {}};
         std::istringstream in(text);
-        for (std::string word; in >> word;) {
+        for (std::string item; in >> item;) {
             ListEntry entry;
-            entry.server = {static_cast<std::uint32_t>(word.at(0)), 1};
-            entry.place = word.at(1) - '0';
-            const bool draining = word.find('d') != std::string::npos;
-            const bool gone = word.find('g') != std::string::npos;
-            entry.state = gone ? ServerState::kGone : draining ? ServerState::kDraining : ServerState::kReady;
-            const auto at = word.find('@');
-            if (at != std::string::npos) entry.started = std::stoi(word.substr(at + 1)) * 10;
-            news.entries.push_back(entry);
+            entry.server = {static_cast<std::uint32_t>(item.at(0)), 1};
+            entry.place = item.at(1) - '0';
+            const bool draining = item.find('d') != std::string::npos;
+            const bool removed = item.find('g') != std::string::npos;
+            entry.state = removed    ? ServerState::kGone
+                          : draining ? ServerState::kDraining
+                                     : ServerState::kReady;
+            const auto started = item.find('@');
+            if (started != std::string::npos) entry.started = std::stoi(item.substr(started + 1)) * 10;
+            update.entries.push_back(entry);
         }
-        return play({news});
+        return play({update});
     }
 
     // The parts get the ids 100 times the multiget's, and up; one for each weight, at shards that follow.
     Script& arrive(Id id, int op_type, const std::vector<double>& weights, int shard = 0,
                    Time client_ms = 2'000, std::uint64_t key = 0) {
-        MultigetArrival told{id, id, op_type, 0, false, now_ + client_ms * 10, {}};
+        MultigetArrival arrival{id, id, op_type, 0, false, now_ + client_ms * 10, {}};
         for (std::size_t i = 0; i < weights.size(); ++i) {
-            const int at = (shard + static_cast<int>(i)) % ring.places;
-            told.parts.push_back({id * 100 + static_cast<Id>(i), at, weights[i], key == 0 ? 0 : key + i, 0});
+            const int part_shard = (shard + static_cast<int>(i)) % ring.places;
+            arrival.parts.push_back(
+                {id * 100 + static_cast<Id>(i), part_shard, weights[i], key == 0 ? 0 : key + i, 0});
         }
-        return play({told});
+        return play({arrival});
     }
 
     // Ends the latest send of each part that is still out.
     Script& end(const std::vector<Id>& parts, Outcome outcome = Outcome::kReturned) {
         std::vector<Event> events;
         for (const Id part : parts) {
-            auto& sent = out_.at(part).back();
-            const int number = static_cast<int>(out_.at(part).size()) - 1;
-            events.emplace_back(SendEnded{part, number, sent.first, now_ - sent.second, outcome, {}});
+            auto& send = sends_.at(part).back();
+            const int send_number = static_cast<int>(sends_.at(part).size()) - 1;
+            events.emplace_back(SendEnded{part, send_number, send.first, now_ - send.second, outcome, {}});
         }
         return play(events);
     }
@@ -68,7 +71,7 @@
     Script& play(const std::vector<Event>& events) {
         if (!node_) start();
         for (const auto& action : node_->turn(now_, events)) {
-            std::visit([&](const auto& what) { print(what); }, action);
+            std::visit([&](const auto& content) { print(content); }, action);
         }
         return *this;
     }
@@ -92,15 +95,15 @@
 private:
     void start() {
         node_ = std::make_unique<FrontNode>(
-            7, NodePlace{0, front_nodes, 0, 50}, std::vector<OpType>{partly, wholly, once, marked}, ring,
-            sends, further, cold, list_terms, clients, std::vector<TenantShare>{}, HintTerms{});
+            7, NodePlace{0, front_nodes, 0, 50}, std::vector<OpType>{partial_op, whole_op, once, deduped_op},
+            ring, sends, further, cold_start, list_config, clients, std::vector<TenantShare>{}, HintTerms{});
     }
 
     std::ostream& line() { return trace_ << now_ / 10 << ' '; }
     static char name(ServerId id) { return static_cast<char>(id.address); }
 
     void print(const Send& a) {
-        out_[a.part].emplace_back(a.server, now_);
+        sends_[a.part].emplace_back(a.server, now_);
         line() << "send " << a.part << " to " << name(a.server) << '\n';
     }
     void print(const CallOff& a) { line() << "call off " << a.part << " send " << a.send << '\n'; }
@@ -118,7 +121,7 @@
     Time now_ = 0;
     std::unique_ptr<FrontNode> node_;
     std::ostringstream trace_;
-    std::map<Id, std::vector<std::pair<ServerId, Time>>> out_;
+    std::map<Id, std::vector<std::pair<ServerId, Time>>> sends_;
 };
 
 }  // namespace pinedoor::test
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -33,10 +33,10 @@
     return out + body;
 }
 
-std::string complaint(const std::string& one_frame) {
+std::string error_of(const std::string& text) {
     try {
-        wire::BatchDecoder().decode(one_frame);
-    } catch (const wire::BadInput& error) {
+        wire::BatchDecoder().decode(text);
+    } catch (const wire::ProtocolError& error) {
         return error.what();
     }
     return "none";
@@ -55,25 +55,25 @@
         frame(4, kList + "11 0b000000 0300 29000000 00000000 03" + kArrival + "16 06000000 0300 4d000000"));
     CHECK(batch.clock == 84123);
     REQUIRE(batch.records.size() == 3);
-    const auto& news = std::get<wire::Discovery>(batch.records[0].what);
-    CHECK(news.kind == ListKind::kSaved);
-    REQUIRE(news.entries.size() == 2);
-    CHECK(news.entries[1].server == ServerId{0x0a9011f2, 9044});
-    CHECK(news.entries[1].started == 6100'0);
-    const auto& arrival = std::get<wire::Arrival>(batch.records[1].what);
+    const auto& update = std::get<wire::DiscoveryUpdate>(batch.records[0].content);
+    CHECK(update.kind == ListKind::kSaved);
+    REQUIRE(update.entries.size() == 2);
+    CHECK(update.entries[1].server == ServerId{0x0a9011f2, 9044});
+    CHECK(update.entries[1].started == 6100'0);
+    const auto& arrival = std::get<wire::Arrival>(batch.records[1].content);
     CHECK(arrival.is_part);
     CHECK(arrival.part.id == 0x5d3a91c4);
     CHECK(arrival.part.weight == doctest::Approx(0.125));
     CHECK(arrival.part.cost_hint == 12'0);
-    CHECK(std::get<Bell>(batch.records[2].what).token == 77);
+    CHECK(std::get<Bell>(batch.records[2].content).token == 77);
 }
 
 TEST_CASE("a numbered list is taken as it stood at each event, even within one batch") {
     const std::string empty = "1a 08000000 00000000 00000000";
     const std::string refer = "11 0b000000 0300 29000000 00000000 02";
     const auto batch = wire::BatchDecoder().decode(frame(4, kList + refer + empty + refer));
-    CHECK(std::get<wire::Discovery>(batch.records[0].what).entries.size() == 2);
-    CHECK(std::get<wire::Discovery>(batch.records[1].what).entries.empty());
+    CHECK(std::get<wire::DiscoveryUpdate>(batch.records[0].content).entries.size() == 2);
+    CHECK(std::get<wire::DiscoveryUpdate>(batch.records[1].content).entries.empty());
 }
 
 TEST_CASE("actions are written as the wire shows them") {
@@ -86,27 +86,26 @@
 }
 
 TEST_CASE("bad frames get a plain message") {
-    CHECK(complaint(frame(1, "63 02000000 0300")) == "record 0 (code 99): unknown code");
-    CHECK(complaint(frame(1, "16 05000000 0300 4d0000")) == "record 0 (code 22): field nonce is cut short");
-    CHECK(complaint(frame(1, "16 07000000 0300 4d000000 00")) == "record 0 (code 22): 1 bytes left over");
-    CHECK(complaint(frame(1, "16 ffffff7f 0300")) ==
-          "record 0 (code 22): says 2147483647 bytes, holds fewer");
-    CHECK(complaint(frame(2, "16 06000000 0300 4d000000")) == "frame header: field record head is cut short");
-    CHECK(complaint(frame(1, "1a 08000000 00000000 ffffffff")) ==
+    CHECK(error_of(frame(1, "63 02000000 0300")) == "record 0 (code 99): unknown code");
+    CHECK(error_of(frame(1, "16 05000000 0300 4d0000")) == "record 0 (code 22): field nonce is cut short");
+    CHECK(error_of(frame(1, "16 07000000 0300 4d000000 00")) == "record 0 (code 22): 1 bytes left over");
+    CHECK(error_of(frame(1, "16 ffffff7f 0300")) == "record 0 (code 22): says 2147483647 bytes, holds fewer");
+    CHECK(error_of(frame(2, "16 06000000 0300 4d000000")) == "frame header: field record head is cut short");
+    CHECK(error_of(frame(1, "1a 08000000 00000000 ffffffff")) ==
           "record 0 (code 26): says 4294967295 entries, holds fewer");
-    CHECK(complaint(frame(1, "11 0b000000 0300 29000000 07000000 02")) ==
+    CHECK(error_of(frame(1, "11 0b000000 0300 29000000 07000000 02")) ==
           "record 0 (code 17): names an unknown list");
-    CHECK(complaint(frame(0, "") + "x") == "frame header: length does not match the frame");
+    CHECK(error_of(frame(0, "") + "x") == "frame header: length does not match the frame");
 }
 
 TEST_CASE("input that ends inside a frame or promises too much is refused") {
-    std::string got;
-    std::istringstream cut(frame(1, kArrival).substr(0, 30));
-    CHECK_THROWS_WITH(wire::read_frame(cut, got), "frame: cut short by the end of input");
-    std::istringstream vast(bytes("ffffffff"));
-    CHECK_THROWS_AS(wire::read_frame(vast, got), wire::BadInput);
+    std::string result;
+    std::istringstream truncated(frame(1, kArrival).substr(0, 30));
+    CHECK_THROWS_WITH(wire::read_frame(truncated, result), "frame: cut short by the end of input");
+    std::istringstream too_long(bytes("ffffffff"));
+    CHECK_THROWS_AS(wire::read_frame(too_long, result), wire::ProtocolError);
     std::istringstream none("");
-    CHECK_FALSE(wire::read_frame(none, got));
+    CHECK_FALSE(wire::read_frame(none, result));
 }
 
 TEST_CASE("settings text: unknown keys are passed over, bad values are named") {
