--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -99,10 +99,10 @@
     }
 };
 
-FrontNode::FrontNode(std::uint64_t seed, NodePlace place, std::vector<OpType> op_types, ShardRing ring,
+FrontNode::FrontNode(std::uint64_t seed, NodePlace node, std::vector<OpType> op_types, ShardRing ring,
                      SendTerms sends, FurtherSendTerms further, ColdTerms cold, ListTerms list,
                      ClientTerms clients, std::vector<TenantShare>, HintTerms)
-    : impl_(std::make_unique<Impl>(seed, place, std::move(op_types), ring, sends, further, cold, list,
+    : impl_(std::make_unique<Impl>(seed, node, std::move(op_types), ring, sends, further, cold, list,
                                    clients)) {}
 FrontNode::~FrontNode() = default;
 FrontNode::FrontNode(FrontNode&&) noexcept = default;
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -54,7 +54,9 @@
     Time call_cost = 0;
     const Holders* holders = nullptr;  // null: the ring says
 
-    bool holds(int place, int shard) const { return ((place - shard) % places + places) % places < width; }
+    bool holds(int position, int shard) const {
+        return ((position - shard) % places + places) % places < width;
+    }
 };
 
 struct NodePlace {
@@ -298,7 +300,7 @@
 // One front node's decisions. Give it every turn's events in their order; carry out what it returns in order.
 class FrontNode {
 public:
-    FrontNode(std::uint64_t seed, NodePlace place, std::vector<OpType> op_types, ShardRing ring,
+    FrontNode(std::uint64_t seed, NodePlace node, std::vector<OpType> op_types, ShardRing ring,
               SendTerms sends, FurtherSendTerms further, ColdTerms cold, ListTerms list, ClientTerms clients,
               std::vector<TenantShare> tenants, HintTerms hints);
     ~FrontNode();
