--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -1,14 +1,15 @@
-// The front node's one loop over the modules that decide. The interface is logic.hpp: a caller makes one
-// FrontNode for each front node's life, hands it every turn's events, in order, by turn(), and carries out
-// the actions returned, in order, at that same time. Nothing else is kept, read or shared.
+// Event loop of the decision module (interface: logic.hpp). A caller creates one FrontNode for the life of a
+// front node, passes each turn's events in order to turn(), and carries out the returned actions in order at
+// that same time. No other state is kept, read or shared.
 //
-// The modules speak by messages (policy/messages.hpp); a turn empties their inboxes:
-//   list_follower      when discovery is asked for the list, and what the list says
-//   server_health      one index server: what is out there, ejection, trial and return; slow_start: its room
-//   overload_control   alpha, from this node's own time-outs and full refusals
-//   request_lifecycle  requests and their parts: selection, retries, hedges, the one final answer; with
+// The modules exchange messages (policy/messages.hpp); each turn processes the inboxes until they are empty:
+//   list_follower      when to ask discovery for the server list, and what the list says
+//   server_health      one index server: its outstanding sends, ejection, trial and return; slow_start: the
+//                      number of parts that it may be sent
+//   overload_control   alpha, from this node's own time-outs and refusals by full servers
+//   request_lifecycle  requests and their parts: selection, retries, hedged sends, the one final answer; with
 //                      replica_choice, admission, retry_budget, repeat_guess and deadly_keys
-// The mechanism and every departure from it are described in docs/design.md.
+// docs/design.md describes the mechanism and where it departs from its source.
 #include "logic.hpp"
 
 #include <map>
@@ -24,8 +25,9 @@
 namespace pinedoor {
 namespace {
 
-constexpr Time kTurnInterval = 2;       // turns, while requests are open
-constexpr Time kIdleTurnInterval = 20;  // while there are none
+// Time until the next turn without events, in multiples of the minimum time between two turns.
+constexpr Time kTurnInterval = 2;       // while requests are open
+constexpr Time kIdleTurnInterval = 20;  // while none is open
 
 }  // namespace
 
@@ -39,9 +41,9 @@
         inboxes.rng.seed(static_cast<std::uint32_t>(seed ^ (seed >> 32U)));
     }
 
-    // Index servers and their cards go before each message to requests: they must not be decided by a card
-    // that an order of the same turn has made untrue, or a whole multiget goes to one cold server's last free
-    // place.
+    // Servers and their snapshots are processed before each message to requests: a decision must not use a
+    // snapshot that an attempt of the same turn has made out of date, or a whole multiget would be sent to
+    // the last free slot of one cold server.
     void process_inboxes() {
         for (bool busy = true; busy;) {
             busy = process_one(follower, inboxes.list);
@@ -58,8 +60,10 @@
     void deliver(const ServerWord& report) {
         if (servers.contains(report.server)) inboxes.servers[report.server].push_back(report);
     }
+    // All other events: messages to requests are queued. Timers only cause a turn; probes and messages of
+    // other front nodes are not used.
     template <class Other>
-    void deliver(const Other& event) {  // bells only make a turn; probes and peers are not asked
+    void deliver(const Other& event) {
         if constexpr (std::is_constructible_v<policy::RequestMessage, Other>)
             inboxes.requests.push_back(event);
     }
@@ -75,7 +79,7 @@
     ShardRing ring;
     ColdTerms cold_start;
     Time connect_timeout;
-    Time min_budget;
+    Time min_budget;  // shortest latency budget of all op types
     policy::Inboxes inboxes;
     policy::ListFollower follower;
     std::map<ServerId, policy::ServerHealth> servers;
@@ -92,7 +96,8 @@
                 servers.try_emplace(id, inboxes, id, cold_start, node, ring, connect_timeout, min_budget)
                     .first;
             while (process_one(server->second, inbox)) busy = true;
-            // One that left the list for good would be kept for ever; if it returns it is a new one.
+            // A server that has left the list for good would be kept for ever. If it returns it starts as
+            // new.
             if (server->second.is_removed()) inboxes.remove(servers, server);
         }
         return busy;
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -6,9 +6,9 @@
 namespace pinedoor::policy {
 namespace {
 
-constexpr double kCreditPerTimelyAnswer =
-    1.5;  // parts, by an answer within half its latency budget; a late one its inverse
-constexpr double kOverloadLimitShare = 1.0 / 3;  // of the depth is saved while alpha cuts
+// Credit, in parts, for an answer within half its latency budget; a later one gives the inverse.
+constexpr double kCreditPerTimelyAnswer = 1.5;
+constexpr double kOverloadLimitShare = 1.0 / 3;  // of the credit limit, while alpha is above 0
 
 }  // namespace
 
@@ -37,16 +37,16 @@
     earn(fair_share_ * since / 2);
 }
 
-// From a start until the first answer that is late, what was just answered in time may go out again at once,
-// and half as much more: a fresh node knows too little of servers for its even share, and would turn idle
-// ones' clients away.
+// From the start of the node until the first late answer, as many parts as were recently answered in time,
+// and half as many more, may be sent at once. A new node knows too little of the servers for its fair share,
+// and would turn clients of idle servers away.
 void Admission::earn(double parts) {
     const double limit = alpha_ > 0 ? credit_limit_ * kOverloadLimitShare
                                     : std::max(credit_limit_, kCreditPerTimelyAnswer * timely_answers_);
     credit_ = std::min(limit, credit_ + parts);
 }
 
-// As deep as the longest multiget and, on top, this node's even share of a latency budget's work.
+// The limit is the size of the largest multiget plus this node's fair share over one latency budget.
 void Admission::raise_limit() {
     const double share = fair_share_ * static_cast<double>(min_budget_);
     const double limit = static_cast<double>(largest_multiget_) + share;
--- a/src/policy/deadly_keys.hpp
+++ b/src/policy/deadly_keys.hpp
@@ -1,4 +1,4 @@
-// Keys of requests under which servers died, each for a while: the latest 64.
+// Keys of requests whose parts made servers crash, each until it expires. The latest 64 are kept.
 #pragma once
 
 #include <deque>
@@ -11,8 +11,9 @@
 
 class DeadlyKeys {
 public:
-    // Own: seen here, not told by another front node.
+    // `own`: found by this node, not received from another front node.
     void add(DeadlyKey key, bool own);
+    // Whether any part has a key that is known and has not expired.
     bool any_of(const std::vector<PartState>& parts, Time now) const;
     std::vector<DeadlyKey> own() const;
 
--- a/src/policy/list_follower.cpp
+++ b/src/policy/list_follower.cpp
@@ -6,9 +6,9 @@
 namespace pinedoor::policy {
 namespace {
 
-constexpr int kCallsServed = 200;      // calls, in twice the stated time
-constexpr int kMaxOtherCalls = 5;      // calls that may be unanswered when another is made
-constexpr int kMaxRefusalCount = 100;  // refusals: from then on a pause is at its longest anyway
+constexpr int kCallsServed = 200;      // calls that discovery is assumed to serve in twice `refresh_within`
+constexpr int kMaxOtherCalls = 5;      // unanswered calls beside which another one may be made
+constexpr int kMaxRefusalCount = 100;  // the pause has reached its maximum long before
 
 }  // namespace
 
@@ -50,8 +50,9 @@
     if (inboxes_.now >= call_at_) call();
 }
 
-// Asked well within the stated time, and again while no word has come: a lost call must not leave this node
-// sending by an old list. While a list is held calls are made beside each other, sooner as its lease ends.
+// Discovery is called well before it has to be, and again while no answer has arrived: a lost call must not
+// leave this node sending by an outdated list. While a list is held, calls may overlap, and follow each other
+// faster as the lease runs out.
 void ListFollower::call() {
     const bool may_overlap = holds_list() && !config_.own_agent;
     called_at_ = inboxes_.now;
@@ -89,7 +90,7 @@
     check_lease();
 }
 
-// A watch that is open keeps the lease: one that falls silent is ended within it.
+// An open watch keeps the lease: a silent watch is closed before the lease expires.
 void ListFollower::check_lease() {
     const bool expired = config_.ask && !watching_ && lease_.is_expired(inboxes_.now);
     const bool forbidden = expired && lease_.forbids_sends(inboxes_.now);
@@ -101,18 +102,18 @@
         inboxes_.actions.emplace_back(LogLine{expired ? "list_lease: expired" : "list_lease: granted anew"});
 }
 
-// A watch may end instead of telling what has changed. Guards drains: the list held may be out of date from
-// now on, so that discovery is asked again as soon as the other front nodes' calls allow.
+// Discovery may end a watch instead of sending a change, for example a drain. The list may therefore be out
+// of date from now on, and discovery is called again as soon as the calls of the other front nodes allow.
 void ListFollower::on_watch_ended() {
     refusals_in_a_row_ = 0;
     span_ = std::min({first_span(), max_pause(), lease_.max_pause(inboxes_.now)});
     call_at_ = std::max(inboxes_.now + inboxes_.random_up_to(span_), called_at_ + min_pause());
 }
 
-// What refuses may be serving other front nodes, and will serve this one soon; after some refusals in a row
-// it is taken to be down or crowded. While a list is held its lease bounds the pause. Once the widest span
-// was used most others have been served: half of it will do from then on. The least pause keeps this node
-// from calling in a storm, however quickly its calls end.
+// A discovery that refuses may be serving other front nodes, and will serve this one soon; after several
+// refusals in a row it is assumed to be down or overloaded. While a list is held, its lease limits the pause.
+// Once the widest span has been used, most other front nodes have been served, and half of it is enough. The
+// minimum pause prevents a call storm, however quickly the calls end.
 void ListFollower::on_call_refused() {
     const Time max_span =
         listed_.empty() ? 3 * fleet_span_ : std::min(3 * fleet_span_, 2 * config_.must_ask_in);
@@ -124,10 +125,11 @@
     call_at_ = inboxes_.now + min_pause() + inboxes_.random_up_to(std::min(spread, limit));
 }
 
-// Guards discovery: all front nodes start together after a loss of power, and all watches end together when
-// it does. Who must be asked within a stated time is taken to serve a hundred calls in it: those of all nodes
-// are spread at random over half of what that takes, and over more once some are refused. While a list is
-// held, it must not grow old: the older it is at the start, the sooner discovery is asked.
+// Protects discovery: all front nodes start together after a power loss, and all watches end together when
+// discovery stops. Discovery is assumed to serve 100 calls within the time in which each front node must call
+// it. The calls of all front nodes are spread at random over half of the time that this takes, and over more
+// once some are refused. A held list must not become outdated: the older it was at the start, the sooner
+// discovery is called.
 Time ListFollower::first_span() const {
     return holds_list() ? std::min({fleet_span_, call_within_, lease_.first_span(saved_age_)}) : fleet_span_;
 }
--- a/src/policy/list_follower.hpp
+++ b/src/policy/list_follower.hpp
@@ -1,5 +1,5 @@
-// Decides when this front node asks discovery for the list of index servers, and tells the other modules what
-// the list says.
+// Decides when this front node calls discovery for the server list, and passes the entries of the list to the
+// other modules.
 #pragma once
 
 #include <map>
@@ -10,10 +10,10 @@
 
 namespace pinedoor::policy {
 
-// What the list says, as last heard.
+// The server list, as last received.
 class KnownList {
 public:
-    // Returns the entries that are news; whom a full list does not name any more is gone.
+    // Returns the entries that may have changed. Servers that a full list does not name are removed.
     std::vector<ListEntry> apply(const ListNews& update);
     bool empty() const { return listed_.empty(); }
     int count_ready() const;
@@ -34,25 +34,26 @@
     void on_watch_ended();
     void on_call_refused();
     void call();
+    // Logs when the lease expires or is granted again, and stops sends where it forbids them.
     void check_lease();
     bool holds_list() const { return !listed_.empty(); }
     Time min_pause() const {
         return holds_list() ? lease_.min_pause(inboxes_.now) : config_.must_ask_in / 16;
     }
-    // To which pauses grow where there are few other front nodes to be spared.
+    // Maximum pause in a small fleet, where few other front nodes compete for discovery.
     Time max_pause() const { return config_.must_ask_in / 8; }
     Time first_span() const;
 
     Inboxes& inboxes_;
     const ListTerms config_;
-    const Time fleet_span_;  // half of what it takes discovery to serve all front nodes
+    const Time fleet_span_;  // half of the time that discovery takes to serve all front nodes
     KnownList listed_;
     ListLease lease_;
     bool watching_ = false;
-    bool expired_ = false;  // as last logged
-    Time span_ = 0;         // calls are spread at random over it
+    bool expired_ = false;  // state of the lease, as last logged
+    Time span_ = 0;         // calls are spread at random over this time
     Time call_within_ = 0;
-    Time saved_age_ = 0;  // of a known list at the start
+    Time saved_age_ = 0;  // age of a saved list at the start of this node; 0 while watching
     Time call_at_ = 0;
     Time called_at_ = 0;
     int refusals_in_a_row_ = 0;
--- a/src/policy/list_lease.cpp
+++ b/src/policy/list_lease.cpp
@@ -5,16 +5,16 @@
 namespace pinedoor::policy {
 namespace {
 
-// Shares of the lease, or of what is left of it.
-constexpr Time kHeartbeatSlackDivisor = 12;  // on top of the time between two beats
-constexpr Time kMaxPauseDivisor = 8;         // pauses shrink as expiry nears, so that several calls fit in
-constexpr Time kOverdueDivisor = 5;          // and so does the wait for an answer
-// However seldom discovery need be asked, the fixed and the random part of a pause are no longer than these.
+// Divisors of the lease duration, or of the time that is left of the lease.
+constexpr Time kHeartbeatSlackDivisor = 12;  // slack on top of the heartbeat interval
+constexpr Time kMaxPauseDivisor = 8;         // pauses shrink towards expiry, so that several calls fit in
+constexpr Time kOverdueDivisor = 5;          // the wait for an answer shrinks likewise
+// Upper limits on the fixed and the random part of a pause, however long `refresh_within` is.
 constexpr Time kFixedPauseDivisor = 8;
 constexpr Time kRandomPauseDivisor = 4;
-constexpr Time kSavedAgeDivisor = 3;  // by so much the age of a known list counts at most
+constexpr Time kSavedAgeDivisor = 3;  // limit on the age that a saved list counts with
 
-// Shares of the stated time in which discovery must be asked, which tells how many calls it bears.
+// Divisors of `refresh_within`, which is a measure of the calls that discovery sustains.
 constexpr Time kMinPauseDivisor = 16;
 constexpr Time kMinPauseExpiredDivisor = 4;
 constexpr Time kSparingPauseDivisor = 8;
--- a/src/policy/overload_control.cpp
+++ b/src/policy/overload_control.cpp
@@ -6,17 +6,18 @@
 namespace pinedoor::policy {
 namespace {
 
-constexpr Time kWindow = 10'000;             // one second, as the design has it
-constexpr double kOverloadThreshold = 0.05;  // of what ended, under pressure: more is overload
+constexpr Time kWindow = 10'000;             // one second
+constexpr double kOverloadThreshold = 0.05;  // share of the samples in a window that show overload
 constexpr int kMinSamples = 20;
-// Steps go by the mean weight of a part, so that they bite alike on a dozen shards and on many dozens.
+// Alpha changes in steps of the mean weight of a part, so that a step has the same effect on a dozen shards
+// and on several dozens.
 constexpr double kStep = 0.5;
 constexpr double kMaxAlpha = 2;
-constexpr int kSevereDivisor = 4;  // one in so many under pressure
+constexpr int kSevereDivisor = 4;  // overload is severe where more than 1 in 4 samples show it
 constexpr double kLatencyGain = 1.0 / 32;
-constexpr double kQuartileStep = 1.0 / 3;  // a step up for each three down settles at the lower quartile
-constexpr double kMinLowLatency = 10;      // a millisecond
-constexpr double kSmoothing = 8;           // samples that a smoothed figure goes by
+constexpr double kQuartileStep = 1.0 / 3;  // one step up for three steps down settles at the lower quartile
+constexpr double kMinLowLatency = 10;      // one millisecond
+constexpr double kSmoothing = 8;           // number of samples that a moving average covers
 
 }  // namespace
 
@@ -33,7 +34,7 @@
     overloaded_servers_.insert(sample.server);
 }
 
-// The quick one is the lower quartile, which queues move little.
+// The low latency is the lower quartile, on which queues have little effect.
 void OverloadControl::handle(const LatencySample& sample) {
     const auto latency = static_cast<double>(sample.latency);
     stats_.low_latency +=
@@ -55,8 +56,9 @@
     window_ends_ = inboxes_.now + kWindow;
     update_throughput();
     for (const auto& id : inboxes_.known_servers) inboxes_.servers[id].push_back(stats_);
-    // Where few sends end the counts go on. Alpha falls meanwhile; but where the multigets it decides on come
-    // far apart, after a drowned fleet, only once it was used: else it is gone before each next one.
+    // With too few samples the counts carry over to the next window, while alpha falls. After severe
+    // overload, where the multigets that alpha decides on are rare, it falls only once it was used; otherwise
+    // it would be 0 again before each of them.
     const bool enough = samples_ >= kMinSamples;
     const bool unused = mean_interval_ > rare_interval_ && inboxes_.now - last_use_ > kWindow;
     if (!enough && unused && was_severe_) return;
@@ -68,9 +70,10 @@
     reset_counts();
 }
 
-// Over all warm servers and windows: by those alone that answered, a node that sees little would take its few
-// answers of each for what it bears, and all nodes together would push those in slow start over. Where most
-// are in it the rest tell nothing, and what was learnt before holds.
+// The throughput is averaged over all warm servers and windows. Averaged over the servers that answered only,
+// a node that sees little traffic would take its few answers from each for the throughput that servers
+// sustain, and all nodes together would overload the servers in slow start. While most servers are in slow
+// start the others say too little, and the previous value is kept.
 void OverloadControl::update_throughput() {
     const double warm = static_cast<double>(ready_) - in_slow_start_;
     const double answered = std::exchange(warm_answers_, 0);
@@ -78,8 +81,8 @@
         stats_.throughput += (answered / std::max(1.0, warm) / kWindow - stats_.throughput) / kSmoothing;
 }
 
-// Alpha answers pressure on the fleet. Time-outs at a few servers are those servers' trouble, which ejection
-// and retries answer; they must not raise alpha for every op type.
+// Alpha responds to overload of the fleet. Time-outs at a few servers are a fault of these servers, which
+// ejection and retries deal with; they must not raise alpha for all op types.
 bool OverloadControl::is_widespread() const {
     const std::size_t few =
         std::max(std::min(ready_ / kFewServers, kFewServers), sampled_servers_.size() / kFewServers);
--- a/src/policy/repeat_guess.cpp
+++ b/src/policy/repeat_guess.cpp
@@ -6,21 +6,22 @@
 namespace pinedoor::policy {
 namespace {
 
-constexpr double kExpectedDecay =
-    3.0 / 4;  // of the repeats, after one that is none: by time, rare ones were forgotten
-constexpr double kExpectedPerGiveUp = 2;  // repeats, for a request that was given up
-constexpr Time kToleranceDivisor = 20;    // a latency budget's part by which usual times differ
+// Factor on the expected retries after a request that is none. A decay by time would forget rare retries.
+constexpr double kExpectedDecay = 3.0 / 4;
+constexpr double kExpectedPerGiveUp = 2;  // retries that are expected for a request that was given up
+constexpr Time kToleranceDivisor = 20;  // usual times to the deadline differ by this part of a latency budget
 
 }  // namespace
 
-// Where repeats are not marked, no more are guessed than follow from what was given up: else clients that
-// grow impatient would be taken for repeats and pushed back, for ever.
+// Where clients do not mark retries, no more requests are taken for retries than can follow from requests
+// that were given up. Otherwise impatient clients with shorter timeouts would be taken for retries and pushed
+// back for ever.
 bool RepeatGuess::is_retry(const MultigetArrival& arrival, const OpType& type, Time now) {
     auto& history = history_.at(static_cast<std::size_t>(arrival.op_type));
     const Time span = arrival.not_after - now;
     const bool usual = std::abs(span - history.usual_span) <= type.latency_budget / kToleranceDivisor;
     history.confidence += usual ? 1 : -1;
-    if (history.confidence < 0) history = {span, 1, history.expected_retries};  // the majority's
+    if (history.confidence < 0) history = {span, 1, history.expected_retries};  // follows the majority
     if (usual) history.expected_retries *= kExpectedDecay;
     const bool retry = !usual && (clients_mark_retries_ ? arrival.repeat : history.expected_retries >= 1);
     if (retry) history.expected_retries -= 1;
--- a/src/policy/repeat_guess.hpp
+++ b/src/policy/repeat_guess.hpp
@@ -1,5 +1,6 @@
-// Whether a request is one that its client asks again, and when that client began. Tries of an op type last
-// alike, but a repeat may end with its client's whole time, which tells when it began.
+// Detects whether a request is a client's retry. First tries of an op type have about the same time to their
+// deadline; the deadline of a retry may be that of the client's whole operation, from which the start of that
+// operation follows.
 #pragma once
 
 #include <vector>
@@ -14,11 +15,12 @@
         : history_(op_types), clients_mark_retries_(clients_mark_retries) {}
 
     bool is_retry(const MultigetArrival& arrival, const OpType& type, Time now);
-    void on_given_up(int op_type);  // one that was no repeat: its client may ask again
+    // A request that was no retry was given up: its client may retry.
+    void on_given_up(int op_type);
 
 private:
     struct History {
-        Time usual_span = 0;  // what clients mostly give one
+        Time usual_span = 0;  // usual time from the arrival of a request to its deadline
         int confidence = 0;   // that it is still usual
         double expected_retries = 0;
     };
--- a/src/policy/replica_choice.cpp
+++ b/src/policy/replica_choice.cpp
@@ -9,8 +9,10 @@
 namespace pinedoor::policy {
 namespace {
 
-constexpr Time kAvoidBudgets = 32;  // latency budgets after a failed send, by what may not be sent again
-constexpr int kDeferredRank = 1;    // ranks of a replica, the lowest is taken
+// After a failed send a server is avoided for this many latency budgets by parts that may not be sent again.
+constexpr Time kAvoidBudgets = 32;
+// Ranks of a replica. The lowest rank is chosen.
+constexpr int kDeferredRank = 1;
 constexpr int kEjectedRank = 2;
 constexpr int kUnfitRank = 3;
 
@@ -45,8 +47,8 @@
     return found;
 }
 
-// Those ejected, on trial, or too slow for the time left come last, and never first for what cannot be sent
-// again; a retry goes to where credit is and the part was not.
+// Servers that are ejected, on trial, or too slow for the time left rank last, and are never the first choice
+// of a part that cannot be sent again. A retry goes to a server with credit that has not had the part yet.
 const ServerSnapshot* ReplicaChoice::pick(const PartState& part, const OpType& type, Time left,
                                           bool half_answered) {
     const bool is_retry = !part.attempts.empty();
@@ -78,19 +80,21 @@
     const bool avoided = server.last_lost_at > 0 && since_lost < kAvoidBudgets * type.latency_budget;
     const bool suspect =
         type.repeat != Repeat::kRetriable && (avoided || server.health != HealthState::kHealthy);
-    // One that fails at once has the fewest parts out for it, and would draw what others lost.
+    // A server that fails at once has the fewest parts out because of it, and would attract the parts that
+    // others lost.
     const bool just_failed = server.last_lost_at > 0 && since_lost < type.latency_budget;
     return suspect || too_slow || just_failed;
 }
 
 Time ReplicaChoice::shortest_wait(const PartState& part) const {
-    // Where every replica is ejected they count after all: what made so many silent may be over by now, and
-    // pushing back everything until the first returns would make a short stall a long one.
+    // Where all replicas are ejected, they count after all: the cause of the silence of so many may be over
+    // by now, and pushing back all requests until the first server returns would turn a short stall into a
+    // long one.
     constexpr Time kNone = std::numeric_limits<Time>::max();
     Time of_usable = kNone;
     Time of_ejected = kNone;
     for (const auto* server : servers_.replicas_of(part.arrival.shard)) {
-        // A cold server's room comes with time; one on trial has it when its part has ended.
+        // A cold server gets free slots with time; a server on trial gets one when its part has ended.
         if (!server->listed_ready || (server->free_slots < 1 && server->next_slot_at <= inboxes_.now))
             continue;
         auto& shortest = is_ejected(*server) ? of_ejected : of_usable;
@@ -99,14 +103,14 @@
     return of_usable == kNone ? of_ejected : of_usable;
 }
 
-// Servers that fail some of their parts are worth their errors while too many fail to do without them.
+// While too many servers fail some of their parts to do without them, they are used in spite of their errors.
 bool ReplicaChoice::is_ejected(const ServerSnapshot& server) const {
     const bool many = servers_.failing() * static_cast<int>(kFewServers) > static_cast<int>(servers_.count());
     return server.health == HealthState::kEjected || (server.health == HealthState::kFailing && !many);
 }
 
-// The wait that this node's latest answers showed, less the time since, in which a queue that nobody adds to
-// would have shrunk; at least the age of the oldest send that is still out.
+// The wait that this node's latest answers showed, less the time since, by which a queue that gets no new
+// parts would have shrunk; but at least the age of the oldest send that is still out.
 Time ReplicaChoice::expected_wait(const ServerSnapshot& server) const {
     const Time left = std::max<Time>(0, server.recent_latency - (inboxes_.now - server.latency_seen_at));
     return server.oldest_sent_at > 0 ? std::max(left, inboxes_.now - server.oldest_sent_at) : left;
--- a/src/policy/replica_choice.hpp
+++ b/src/policy/replica_choice.hpp
@@ -1,5 +1,5 @@
-// Which replica an attempt goes to: of those that hold the shard the one with the fewest of this node's calls
-// out, ties at random; and how long the quickest of them would take.
+// Chooses the replica for an attempt: among the servers that hold the shard, the one with the fewest of this
+// node's calls out, ties broken at random. Also estimates the shortest wait at any of them.
 #pragma once
 
 #include <map>
@@ -11,13 +11,13 @@
 
 namespace pinedoor::policy {
 
-// What the index servers let know of themselves, by server and by place.
+// The latest snapshots of the index servers, by server and by ring position.
 class ServerSnapshots {
 public:
     explicit ServerSnapshots(ShardRing ring) : ring_(ring) {}
 
     void update(const ServerSnapshot& snapshot);
-    std::vector<const ServerSnapshot*> replicas_of(int shard) const;  // by their ids
+    std::vector<const ServerSnapshot*> replicas_of(int shard) const;  // ordered by server id
     std::size_t count() const { return snapshots_.size(); }
     int failing() const { return failing_; }
 
@@ -25,7 +25,7 @@
     const ShardRing ring_;
     std::map<ServerId, ServerSnapshot> snapshots_;
     std::map<int, std::set<ServerId>> at_position_;
-    int failing_ = 0;  // cards of servers that are
+    int failing_ = 0;  // number of servers in HealthState::kFailing
 };
 
 class ReplicaChoice {
@@ -33,14 +33,16 @@
     ReplicaChoice(Inboxes& inboxes, ShardRing ring) : inboxes_(inboxes), servers_(ring) {}
 
     void handle(const ServerSnapshot& snapshot) { servers_.update(snapshot); }
-    // Null: none is fit. Half in: over half of its request's weight has been answered.
+    // Returns null if no replica is fit. `left`: time left of the latency budget. `half_answered`: more than
+    // half of the weight of the part's request has been answered.
     const ServerSnapshot* pick(const PartState& part, const OpType& type, Time left, bool half_answered);
-    // Until a part could be answered, by what its replicas showed lately.
+    // Shortest time in which a replica of the part could answer it, estimated from recent answers.
     Time shortest_wait(const PartState& part) const;
 
 private:
     bool is_ejected(const ServerSnapshot& server) const;
     bool is_fit_for_retry(const ServerSnapshot& server, const PartState& part) const;
+    // Whether the server is used only where no other replica is.
     bool is_deferred(const ServerSnapshot& server, const OpType& type, Time max_wait) const;
     Time expected_wait(const ServerSnapshot& server) const;
 
@@ -48,7 +50,7 @@
     ServerSnapshots servers_;
 };
 
-// Of the time left that an expected wait may take.
+// Maximum share of the time left that an expected wait may take.
 inline constexpr double kMaxWaitShare = 0.4;
 
 }  // namespace pinedoor::policy
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -6,14 +6,15 @@
 namespace pinedoor::policy {
 namespace {
 
-constexpr double kRounding = 0.00005;      // told weights miss 1 by a hair
-constexpr Time kTurnsToAnswer = 2;         // before the deadline
-constexpr Time kTurnsInTransit = 4;        // that it takes to come and go
-constexpr Time kDeadlyKeyTimeouts = 8;     // route timeouts: its client has long asked again by then
-constexpr int kStragglerDivisor = 8;       // one part in so many
-constexpr Time kStragglerAgeDivisor = 3;   // a latency budget's part
-constexpr double kMostAnswered = 0.5;      // of the weight: from then on unfit replicas are better than none
-constexpr double kGuardedShare = 1.0 / 4;  // of what may be left out, that is sent whatever alpha says
+constexpr double kRounding = 0.00005;  // rounded weights of a multiget may add up to slightly less than 1
+constexpr Time kTurnsToAnswer = 2;     // turns before the deadline at which the final answer is due
+constexpr Time kTurnsInTransit = 4;    // turns of the latency budget for receiving a request and answering it
+// Route timeouts for which a deadly key is kept. Its client has retried long before they have passed.
+constexpr Time kDeadlyKeyTimeouts = 8;
+constexpr int kStragglerDivisor = 8;      // stragglers are at most one part in this many
+constexpr Time kStragglerAgeDivisor = 3;  // a straggler has been out for this fraction of the latency budget
+constexpr double kMostAnswered = 0.5;  // above this share of the weight an unfit replica is better than none
+constexpr double kGuardedShare = 1.0 / 4;  // share of the optional weight that is sent whatever alpha is
 
 }  // namespace
 
@@ -60,8 +61,8 @@
                                   : inboxes_.now;
     request.budget_ends =
         std::min(request.answer_by, client_began + type.latency_budget - kTurnsInTransit * turn_);
-    // The budget holds for both steps, whose parts are alike in kind: the second one has as long as one that
-    // is lost to a silent server needs to be seen and sent again.
+    // The budget covers both steps, whose parts are alike. The time left for the second step suffices to
+    // detect that a part was lost to a silent server and to send it again.
     const Time for_second_step = type.second_step_parts > 0 ? type.latency_budget * 3 / 8 : 0;
     request.step_ends = request.budget_ends - for_second_step;
 }
@@ -99,7 +100,7 @@
     attempt.ended = true;
     attempt.may_have_run = ended.outcome != Outcome::kFull && ended.outcome != Outcome::kNoConnection &&
                            ended.outcome != Outcome::kNeverSent;
-    // What died or never came to be done weighs on no server any more.
+    // A part that was lost with its server, or never reached one, puts no load on any server.
     const bool undone = ended.outcome == Outcome::kReset || ended.outcome == Outcome::kNoConnection ||
                         ended.outcome == Outcome::kNeverSent;
     if (undone) admission_.on_not_run();
@@ -107,7 +108,7 @@
     if (request->single_part == ended.part && !part->any_out()) request->single_part = 0;
     if (!part->is_open()) return;
     if (ended.outcome == Outcome::kReturned) return on_part_answered(*request, *part, attempt);
-    if (part->any_out()) return;  // a copy is still under way
+    if (part->any_out()) return;  // a second copy is still out
     part->stage = Stage::kWaiting;
     part->wants_further_send = false;
     handle(DispatchPart{ended.part});
@@ -122,8 +123,9 @@
     review(request);
 }
 
-// An overdue part gets a second copy where those are allowed; else its attempt is cancelled, and another
-// follows once that is confirmed. Without a fit replica it is left to run, and asked about again.
+// An overdue part gets a second copy where those are allowed. Otherwise its attempt is cancelled, and the
+// next one follows once the cancellation is confirmed. Without a fit replica the attempt goes on, and the
+// part is looked at again each turn.
 void RequestLifecycle::handle(const AttemptOverdue& overdue) {
     const auto [request, part] = requests_.find_part(overdue.part);
     if (part == nullptr || part->stage != Stage::kOut) return;
@@ -145,7 +147,7 @@
     admission_.advance(inboxes_.now);
     for (const Id id : requests_.ids()) {
         review(*requests_.find(id));
-        auto* request = requests_.find(id);  // what has just ended gets no more attempts
+        auto* request = requests_.find(id);  // null if the review has ended the request
         if (request == nullptr) continue;
         mark_stragglers(*request);
         for (const auto& part : request->parts) {
@@ -155,8 +157,9 @@
     }
 }
 
-// A multiget of many parts ends with its slowest replica. Without pressure, what is left of one when seven
-// eighths are in gets a copy elsewhere after a third of the budget, whatever keeps that server.
+// A multiget of many parts takes as long as its slowest replica. Without overload, the parts that are still
+// out when seven eighths have been answered get a second copy at another replica after a third of the budget,
+// whatever delays their servers.
 void RequestLifecycle::mark_stragglers(MultigetState& request) {
     const auto& type = type_of(request.arrival);
     if (!sends_.second_copies || alpha_ > 0 || type.least_share < type.whole_share) return;
@@ -172,11 +175,12 @@
     }
 }
 
-// Guards against multigets that kill every server that begins a part of them: servers die under one, and no
-// part of it is ever answered. From the first death on its parts go again one at a time, until an answer
-// clears it. From the second server on, what is out is cancelled too, if it may all go again. If the part
-// that is out alone dies as well, the multiget is given up; its repeats, known by its key, begin with one
-// part. It delays what a crash of many caught just after it was sent, by one part's time.
+// Contains multigets whose parts crash the servers that run them: servers crash, and no part is ever
+// answered. From the first crash on, the parts are sent one at a time until one is answered. At the crash of
+// a second server, the parts that are out are cancelled too, if the op type and the budget allow sending all
+// again. If the single part's server crashes as well, the multiget is given up, and its retries, recognised
+// by the key, start with one part. A multiget whose parts were only caught in the crash of many servers is
+// delayed by one part's time.
 bool RequestLifecycle::give_up_if_deadly(MultigetState& request, Id part, ServerId server) {
     if (request.step > 1 || request.tally().parts_answered > 0) return false;
     if (request.single_part == part) {
@@ -201,8 +205,7 @@
     deadly_keys_.add({request.parts.front().arrival.key, until}, true);
 }
 
-// The parts of a request in the order in which they go out, and how much of its weight can be answered in
-// time.
+// The parts of a request in the order in which they are sent, and the weight that can be answered in time.
 struct RequestLifecycle::Selection {
     struct Ranked {
         bool too_slow = false;
@@ -210,15 +213,15 @@
         std::size_t index = 0;
         auto operator<=>(const Ranked&) const = default;
     };
-    std::vector<Ranked> parts;  // hopeless last, then by weight
+    std::vector<Ranked> parts;  // parts that cannot be answered in time come last; then by falling weight
     double timely_weight = 0;
 };
 
 RequestLifecycle::Selection RequestLifecycle::rank_parts(const MultigetState& request,
                                                          const OpType& type) const {
     Selection selection;
-    // A late answer that still earns something lengthens the time by that share; what is answered in part
-    // ends with what is in by the step's end.
+    // A late answer that still earns something extends the time by that share. A request that may be answered
+    // in part ends at the end of the step with what has been answered.
     const bool partial = type.least_share < type.whole_share;
     const Time late = partial ? 0 : request.answer_by - request.budget_ends;
     const double left = static_cast<double>(request.step_ends - inboxes_.now) +
@@ -234,14 +237,15 @@
     return selection;
 }
 
-// The design's selection, with a floor guard: parts above alpha go out, and so do the heaviest ones that
-// cover the least share and a quarter of the rest, for where many parts weigh the same or nearly nothing.
+// Parts with a weight above alpha are sent. The floor guard adds the heaviest parts that cover the least
+// share and a quarter of the rest, for requests in which many parts weigh the same or nearly nothing.
 void RequestLifecycle::select(MultigetState& request, const OpType& type) {
     const bool partial = type.least_share < type.whole_share;
     const double guard = type.least_share + (type.whole_share - type.least_share) * kGuardedShare;
     const auto selection = rank_parts(request, type);
-    // What cannot be answered in time is pushed back before any part is sent: parts that end too late to
-    // serve an answer still take their servers' time, and under load that makes the next ones late too.
+    // A request that cannot be answered in time is pushed back before any part is sent: parts that end too
+    // late to be of use would still take their servers' time, and under load would make the next requests
+    // late too.
     if (selection.timely_weight + kRounding < type.least_share)
         return give_up(request, GiveUpReason::kNoHope);
     double covered = 0;
@@ -260,7 +264,7 @@
     if (request.parts.empty()) review(request);
 }
 
-// What may have run goes again only where that is harmless, or inside its deduplication window.
+// A part that may have run is sent again only if it is retriable, or within its deduplication window.
 bool RequestLifecycle::may_send(const PartState& part, const OpType& type) const {
     if (part.attempts.empty()) return true;
     if (static_cast<int>(part.attempts.size()) >= sends_.most_sends) return false;
@@ -317,7 +321,8 @@
     if (inboxes_.now >= request.answer_by)
         return floor_reached ? answer(request, type, false) : give_up(request, GiveUpReason::kTimeOver);
     if (inboxes_.now < request.step_ends) return;
-    // In time with what is in beats whole but late; what is worth nothing late is given up at once.
+    // A partial answer in time is preferred where it earns more than a whole one that is late. A request that
+    // earns nothing late is given up at the end of its budget.
     if (floor_reached && type.short_importance * tally.answered_weight > type.late_importance)
         return answer(request, type, false);
     if (type.late_importance <= 0 && inboxes_.now >= request.budget_ends)
@@ -333,12 +338,12 @@
     request.awaits_second_step = true;
 }
 
-// A pushback says that asking again is harmless: only where that is so. Else the multiget has failed.
+// A pushback states that a retry is harmless, and is used only where that is so. Otherwise the request fails.
 void RequestLifecycle::give_up(MultigetState& request, GiveUpReason reason) {
     const auto& type = type_of(request.arrival);
     const bool harmless = type.repeat == Repeat::kRetriable || request.all_proven_not_run();
     if (!request.is_retry) repeats_.on_given_up(request.arrival.op_type);
-    // Spread over half of it: else all that were turned away together would return together.
+    // Spread at random over the upper half: clients that are pushed back together must not return together.
     const Time max_wait = clients_.longest_retry_after;
     const Time wait = clients_.retry_after ? max_wait - inboxes_.random_up_to(max_wait / 2) : 0;
     if (harmless && request.step == 1)
--- a/src/policy/request_lifecycle.hpp
+++ b/src/policy/request_lifecycle.hpp
@@ -1,5 +1,5 @@
-// The life of a request (multiget): which of its parts go out, when an attempt is made again or beside
-// another, and the one final answer.
+// The life of a request (multiget): selects the parts that are sent, decides on retries and second copies,
+// and gives the one final answer.
 #pragma once
 
 #include <vector>
@@ -41,6 +41,7 @@
         return op_types_.at(static_cast<std::size_t>(arrival.op_type));
     }
     void set_times(MultigetState& request, const OpType& type);
+    // Decides which parts of a new request are sent, or gives it up.
     void select(MultigetState& request, const OpType& type);
     Selection rank_parts(const MultigetState& request, const OpType& type) const;
     bool may_send(const PartState& part, const OpType& type) const;
@@ -52,6 +53,7 @@
     bool give_up_if_deadly(MultigetState& request, Id part, ServerId server);
     void add_deadly_key(const MultigetState& request);
     void cancel_sends(const PartState& part);
+    // Answers the request or gives it up, if its state and the time call for that.
     void review(MultigetState& request);
     void answer(MultigetState& request, const OpType& type, bool whole);
     void give_up(MultigetState& request, GiveUpReason reason);
@@ -63,7 +65,7 @@
     const SendTerms sends_;
     const ClientTerms clients_;
     const Time turn_;
-    const Time slack_;  // until what was decided now may reach a server: a turn and a connect time-out
+    const Time slack_;  // longest time from a decision until its send arrives: a turn and a connect time-out
     RetryBudget budget_;
     ReplicaChoice replicas_;
     Admission admission_;
@@ -73,6 +75,7 @@
     double alpha_ = 0;
 };
 
+// The shortest latency budget of all op types, at least 1.
 Time min_latency_budget(const std::vector<OpType>& op_types);
 
 }  // namespace pinedoor::policy
--- a/src/policy/request_state.hpp
+++ b/src/policy/request_state.hpp
@@ -1,4 +1,4 @@
-// What is kept of a request (multiget), of each of its parts and of each attempt at a part. No decision is
+// State of the open requests (multigets), of their parts, and of the attempts at each part. No decision is
 // made here.
 #pragma once
 
@@ -20,11 +20,12 @@
 };
 
 struct PartState {
+    // kLost: no further send is possible. kLeftOut: not sent, by decision of the selection.
     enum class Stage { kWaiting, kOut, kAnswered, kLost, kLeftOut };
     PartArrival arrival;
     Stage stage = Stage::kWaiting;
     std::vector<AttemptState> attempts;
-    bool wants_further_send = false;  // an attempt is overdue, and no copy or other one has gone out yet
+    bool wants_further_send = false;  // an attempt is overdue, and no further send has been made for it yet
 
     bool all_proven_not_run() const {
         return std::none_of(attempts.begin(), attempts.end(), [](const auto& a) { return a.may_have_run; });
@@ -41,8 +42,9 @@
     bool is_open() const { return stage == Stage::kWaiting || stage == Stage::kOut; }
 };
 
-struct Tally {                   // of a multiget's parts
-    double answered_weight = 0;  // weight
+// Totals over the parts of a multiget.
+struct Tally {
+    double answered_weight = 0;
     double open_weight = 0;
     bool all_answered = true;
     int parts_answered = 0;
@@ -52,16 +54,16 @@
 struct MultigetState {
     MultigetArrival arrival;
     std::vector<PartState> parts;
-    Time budget_ends = 0;   // an answer sent by then is in time
-    Time step_ends = 0;     // where a second step follows, the first one's answer leaves it time
-    Time answer_by = 0;     // the last moment for any final answer
-    bool is_retry = false;  // known or guessed
+    Time budget_ends = 0;  // an answer sent by then is within the latency budget
+    Time step_ends = 0;    // end of the current step's time, which leaves time for a second step that follows
+    Time answer_by = 0;    // latest time for any final answer
+    bool is_retry = false;  // as marked by the client, or as guessed
     int step = 1;
     bool first_step_whole = true;
     bool awaits_second_step = false;
-    std::set<ServerId> crashed_servers;  // under its parts, before any of them was answered
-    bool one_at_a_time = false;          // suspect: its parts go one at a time
-    Id single_part = 0;                  // the one that is out alone
+    std::set<ServerId> crashed_servers;  // crashed under its parts before any part was answered
+    bool one_at_a_time = false;          // suspected of crashing servers: its parts are sent one at a time
+    Id single_part = 0;                  // the part that is out alone; 0: none
 
     Tally tally() const {
         Tally sum;
@@ -80,11 +82,11 @@
     }
 };
 
-// The requests that are open, and the way from a part to its request.
+// The open requests, and an index from each part to its request.
 class OpenRequests {
 public:
     struct Found {
-        MultigetState* request = nullptr;  // null: there is none
+        MultigetState* request = nullptr;  // null: not found
         PartState* part = nullptr;
     };
 
@@ -106,6 +108,7 @@
         for (const auto& [id, request] : requests_) all.push_back(id);
         return all;
     }
+    // Replaces the parts of the request.
     void add_parts(MultigetState& request, const std::vector<PartArrival>& parts) {
         request.parts.clear();
         for (const auto& part : parts) {
@@ -122,7 +125,7 @@
 private:
     struct Location {
         Id request = 0;
-        std::size_t index = 0;
+        std::size_t index = 0;  // among the parts of the request
     };
     std::map<Id, MultigetState> requests_;
     std::map<Id, Location> location_of_;  // by part
--- a/src/policy/retry_budget.hpp
+++ b/src/policy/retry_budget.hpp
@@ -1,5 +1,5 @@
-// The budget of further attempts: retries and second copies keep within the stated few, plus the stated share
-// of what was taken in the same time, and within this node's part of the fleet's limit of them.
+// Budget of further sends: retries and second copies stay within a configured floor plus a configured ratio
+// of the requests and parts received in the same window, and within this node's share of the fleet's limit.
 #pragma once
 
 #include <deque>
@@ -10,19 +10,20 @@
 
 class RetryBudget {
 public:
-    // Slack: a turn and a connect time-out. An attempt counts when it arrives, maybe so much later: it counts
-    // against the budget either way.
+    // `slack`: longest time from a decision until the send arrives: a turn and a connect time-out. A send
+    // counts from its arrival, which is not known here; the budget holds whenever in this time it arrives.
     RetryBudget(Inboxes& inboxes, FurtherSendTerms config, Time slack)
         : inboxes_(inboxes), config_(config), slack_(slack) {}
 
     void record_received(int requests_and_parts) { record({inboxes_.now, requests_and_parts, 0}); }
     void record_further_sends(int sends);
+    // Whether `more` further sends are within the budget.
     bool allows(std::size_t more = 1) const;
 
 private:
     struct Entry {
         Time when = 0;
-        int received = 0;
+        int received = 0;  // requests and parts
         int further_sends = 0;
     };
     void record(const Entry& entry);
@@ -32,7 +33,7 @@
     Inboxes& inboxes_;
     const FurtherSendTerms config_;
     const Time slack_;
-    std::deque<Entry> log_;  // for as long as they count
+    std::deque<Entry> log_;  // entries that still count, oldest first
 };
 
 }  // namespace pinedoor::policy
--- a/src/policy/server_health.cpp
+++ b/src/policy/server_health.cpp
@@ -7,15 +7,16 @@
 namespace pinedoor::policy {
 namespace {
 
-constexpr double kSilenceFactor =
-    3.75;  // times the mean wait: under load all are slow, and copies make that worse
-constexpr double kErrorGain = 1.0 / 8;     // how fast errors, and answers after them, are believed
-constexpr double kMaxErrorRate = 1.0 / 5;  // two errors on end: sound servers hardly ever show that
+// A silence of this many mean latencies is suspicious. Under load all servers are slow, and second copies
+// would make that worse.
+constexpr double kSilenceFactor = 3.75;
+constexpr double kErrorGain = 1.0 / 8;     // gain of the moving average of errors
+constexpr double kMaxErrorRate = 1.0 / 5;  // exceeded by two errors in a row, which sound servers hardly show
 constexpr double kInitialCredit = 2;
 constexpr double kCreditPerAnswer = 1.0 / 4;
 constexpr double kMaxCredit = 8;
-constexpr int kFullsToEject = 3;          // on end
-constexpr double kMinLatencyGain = 0.25;  // of the latest wait in the smoothed one
+constexpr int kFullsToEject = 3;          // in a row
+constexpr double kMinLatencyGain = 0.25;  // minimum weight of the latest latency in the moving average
 
 bool shows_overload(Outcome outcome) { return outcome == Outcome::kFull || outcome == Outcome::kTimedOut; }
 
@@ -92,8 +93,8 @@
     max_silence_ = std::max(min_silence_, static_cast<Time>(kSilenceFactor * stats.mean_latency));
 }
 
-// Guards a node that sees little of a server, or has just started: what others saw counts where it has no
-// later answer of its own, and while they try a server it need not.
+// Helps a node that sees little of a server, or has just started: the observations of others count where it
+// has no later answer of its own, and while others try a server this node need not.
 void ServerHealth::handle(const ServerWord& report) {
     slow_start_.set_others_rate(report.taken);
     tried_by_others_ = report.held;
@@ -127,7 +128,8 @@
 void ServerHealth::on_ended(const SendEnded& ended, const OutstandingSend& send) {
     const bool was_ejected = is_ejected();
     const bool on_trial = health_ == HealthState::kOnTrial;
-    if (ended.outcome <= Outcome::kError) last_contact_ = inboxes_.now;  // a full room tells nothing
+    // A refusal by a full server is no contact: a hung server refuses too, once its queue is full.
+    if (ended.outcome <= Outcome::kError) last_contact_ = inboxes_.now;
     switch (ended.outcome) {
         case Outcome::kReturned: on_answer(ended); break;
         case Outcome::kError: on_error(on_trial); break;
@@ -140,7 +142,8 @@
     }
     Time& evidence_at = ended.outcome == Outcome::kReturned ? last_answered_at_ : last_failed_at_;
     const bool no_reply = ended.outcome == Outcome::kTimedOut || ended.outcome == Outcome::kReset;
-    // It may have answered others since; a full one is no worse than the load that all bring.
+    // A send without reply counts from when it was sent, since the server may have answered others later. A
+    // refusal as full is no evidence of a fault, only of the common load.
     if (ended.outcome != Outcome::kFull)
         evidence_at = std::max(evidence_at, no_reply ? send.sent_at : inboxes_.now);
     if (!send.sample_posted && !was_ejected && !(on_trial && ended.outcome == Outcome::kFull))
@@ -153,7 +156,7 @@
     credit_ = std::min(kMaxCredit, credit_ + kCreditPerAnswer);
     inboxes_.overload.push_back(LatencySample{ended.took, !is_cold()});
     update_latency(ended.took, false);
-    // An answer ends the doubt that silence raised; only time ends the one that errors raised.
+    // An answer ends an ejection for silence; an ejection for errors ends only with time.
     if (health_ != HealthState::kFailing) health_ = HealthState::kHealthy;
 }
 
@@ -164,21 +167,21 @@
     if (error_rate_ > kMaxErrorRate || on_trial) eject(HealthState::kFailing, "errors");
 }
 
-// A hung server's room fills up; then it refuses quickly, which looks like little out there.
+// The queue of a hung server fills up; after that it refuses at once, so that few sends are out at it.
 void ServerHealth::on_full(bool on_trial) {
     credit_ = 0;
     if (++fulls_in_a_row_ >= kFullsToEject || on_trial) eject(HealthState::kEjected, "full");
 }
 
-// Its server may live. One that died refuses the next part, which goes alone.
+// The server may still be alive. If it crashed it refuses the next part, which is sent alone.
 void ServerHealth::on_reset(bool on_trial, const OutstandingSend& send) {
     credit_ = 0;
     if (on_trial && send.sent_at > last_contact_) eject(HealthState::kEjected, "reset");
     if (health_ == HealthState::kHealthy) put_on_trial();
 }
 
-// A process that was down comes back cold, whatever the list says. It refuses at once; one that lets the time
-// run out is behind a cut or slow way, and may be warm all the while.
+// A process that was down comes back cold, whatever the list says. It refuses connections at once. Where the
+// connect time-out passes instead, the network path is cut or slow, and the server may have stayed warm.
 void ServerHealth::on_no_connection(const SendEnded& ended) {
     credit_ = 0;
     if (ended.took < connect_timeout_) begin_slow_start(inboxes_.now);
@@ -192,12 +195,12 @@
 }
 
 void ServerHealth::update_latency(Time latency, bool is_lower_bound) {
-    // It went on answering what came long after, and not this: some of what it takes it never answers.
+    // The server answered sends made long after this one, and not this one: some parts it never answers.
     if (is_lower_bound && last_contact_ - (inboxes_.now - latency) > max_silence_)
         last_lost_at_ = inboxes_.now;
     const Time before = std::max<Time>(0, recent_latency_ - (inboxes_.now - latency_seen_at_));
     if (is_lower_bound && latency <= before) return;
-    // Where answers are rare each is all that is known; a node that sees many smooths them.
+    // Where answers are rare, the latest one replaces the average; where they are frequent they are smoothed.
     const auto rarity =
         static_cast<double>(inboxes_.now - latency_seen_at_) / static_cast<double>(ejection_time_);
     const double gain = std::clamp(rarity, kMinLatencyGain, 1.0);
@@ -205,8 +208,8 @@
     latency_seen_at_ = inboxes_.now;
 }
 
-// Guards against a server that takes work and answers nothing, whatever ails it: a hang, a cut link, a zone
-// gone without word, a process that stands still. A live one with work in hand is heard from often.
+// Detects a server that accepts parts and answers none, whatever the cause: a hang, a cut link, a lost zone,
+// a suspended process. A live server with parts out answers often.
 void ServerHealth::check_silence() {
     if (sends_.empty() || is_ejected()) return;
     const Time since = std::max(last_contact_, sends_.oldest_sent_at(inboxes_.now));
@@ -253,8 +256,9 @@
         made.free_slots = std::min(made.free_slots, slow_start_.free_slots());
         made.next_slot_at = slow_start_.next_slot_at();
     }
-    // On trial it gets one part at a time; one that is cancelled has told nothing. So too while ejected,
-    // where no other replica is left: it tells early that a stall of many is over.
+    // A server on trial gets one part at a time; a cancelled part decides nothing. The same holds for an
+    // ejected server, which is used where no other replica is left: this shows early that a stall of many is
+    // over.
     const bool one_part_only = health_ == HealthState::kOnTrial || health_ == HealthState::kEjected;
     if (one_part_only) made.free_slots = std::min(made.free_slots, sends_.empty() ? 1 : 0);
     return made;
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -5,8 +5,8 @@
 namespace pinedoor::policy {
 namespace {
 
-constexpr double kSafetyFactor = 0.9;  // of the stated multiple
-constexpr double kMinRate = 1e-12;     // so that nothing is divided by 0
+constexpr double kSafetyFactor = 0.9;  // on the configured overload multiple
+constexpr double kMinRate = 1e-12;     // avoids a division by 0
 
 }  // namespace
 
@@ -26,7 +26,8 @@
     const double max_slots = std::max(1.0, rate * static_cast<double>(config_.tip_after) / 2);
     slots_ = std::min(max_slots, slots_ + rate * static_cast<double>(now - accrued_to_));
     accrued_to_ = now;
-    // Once warm it has room: settings that let a server start with nothing make the rate 0 at first.
+    // With an initial share of 0 the rate is 0 at first. A slot is free at the latest when the server is
+    // warm.
     const double wait =
         std::min((1 - slots_) / std::max(rate, kMinRate), static_cast<double>(config_.warm_after));
     next_slot_at_ = slots_ >= 1 ? 0 : now + static_cast<Time>(wait);
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -1,7 +1,8 @@
-// Slow start: how many parts an index server that has begun a short while ago may be sent. Guards it against
-// being pushed over: it may be sent nine tenths of the stated multiple, at its least warmth by now, of what
-// servers are seen to bear of this node's parts, or of its even share of what one core bears. Room gathers
-// with time, up to half a span's, so that no burst spends the allowance at once.
+// Slow start: limits the parts that are sent to an index server that has recently started, so that it is not
+// overloaded while cold. Slots for parts accrue at nine tenths of the configured overload multiple, scaled by
+// the lowest warmth that the server can have by now, of the throughput that warm servers sustain of this
+// node's parts, or of this node's share of one core's throughput. They accrue up to half the time in which
+// overload brings a server down, so that no burst spends the whole allowance at once.
 #pragma once
 
 #include "policy/messages.hpp"
@@ -12,21 +13,21 @@
 public:
     SlowStart(ColdTerms config, int front_nodes) : config_(config), front_nodes_(front_nodes) {}
 
-    // Room: the share of one part that it has at once. Spread at random, else all front nodes, told of a
-    // start at once, would send their first part at once.
+    // `slots`: the fraction of a slot to start with. It should be random, or all front nodes that learn of
+    // the start together would send their first part together.
     void begin(Time started_at, Time now, double slots);
     bool is_on(Time now) const { return started_at_ > 0 && now < started_at_ + config_.warm_after; }
-    Time started_at() const {
-        return started_at_;
-    }  // as told, or as guessed from refused connections; 0: never
+    // When the server started, as reported or as inferred from refused connections. 0: never.
+    Time started_at() const { return started_at_; }
 
-    // What others are told to send, of what all even shares make together.
+    // Sets the rate at which the other front nodes send, in parts per tenth of a millisecond. It is
+    // subtracted from what the whole fleet may send.
     void set_others_rate(double parts) { others_rate_ = parts; }
-    // With the pace of all servers' answers. The room is that of this moment.
+    // Accrues slots up to `now`, given the statistics of all servers' answers.
     void accrue(Time now, const AnswerStats& stats);
     void on_sent();
     int free_slots() const;
-    Time next_slot_at() const { return next_slot_at_; }  // 0: there is some
+    Time next_slot_at() const { return next_slot_at_; }  // 0: a slot is free
     std::uint64_t parts_sent() const { return parts_sent_; }
 
 private:
