--- a/src/peers/carrier.cpp
+++ b/src/peers/carrier.cpp
@@ -17,32 +17,32 @@
 namespace pinedoor::peers {
 namespace {
 
-constexpr net::Moment kStreamTime = 30'000;  // a whole state, one way
-constexpr net::Moment kReadSeeds = 50'000;
-constexpr net::Moment kTellConflict = 100'000;
-constexpr std::size_t kMostLinks = 128;
-constexpr std::size_t kLongestWords = 256;
-constexpr std::size_t kMostSeeds = 64;
-constexpr std::size_t kLength = 4;  // in front of a state, least significant byte first
-
-net::Endpoint to_endpoint(At at) { return {at.address, at.port}; }
-At to_at(net::Endpoint at) { return {at.address, at.port}; }
-
-std::vector<At> to_ats(const std::vector<net::Endpoint>& all) {
-    std::vector<At> ats;
-    for (const auto& each : all) ats.push_back(to_at(each));
-    return ats;
+constexpr net::Moment kConnectionTimeout = 30'000;  // a whole state, one way
+constexpr net::Moment kSeedsReadInterval = 50'000;
+constexpr net::Moment kConflictLogInterval = 100'000;
+constexpr std::size_t kMaxConnections = 128;
+constexpr std::size_t kMaxCommandBytes = 256;
+constexpr std::size_t kMaxSeeds = 64;
+constexpr std::size_t kLengthPrefixBytes = 4;  // in front of a state, least significant byte first
+
+net::Endpoint to_endpoint(At address) { return {address.address, address.port}; }
+At to_peer_address(net::Endpoint endpoint) { return {endpoint.address, endpoint.port}; }
+
+std::vector<At> to_peer_addresses(const std::vector<net::Endpoint>& all) {
+    std::vector<At> addresses;
+    for (const auto& each : all) addresses.push_back(to_peer_address(each));
+    return addresses;
 }
 
-sockaddr_in to_address(net::Endpoint at) {
+sockaddr_in to_sockaddr(net::Endpoint endpoint) {
     sockaddr_in address{};
     address.sin_family = AF_INET;
-    address.sin_port = htons(at.port);
-    address.sin_addr.s_addr = htonl(at.address);
+    address.sin_port = htons(endpoint.port);
+    address.sin_addr.s_addr = htonl(endpoint.address);
     return address;
 }
 
-sockaddr_un to_path(const std::string& path) {
+sockaddr_un to_unix_sockaddr(const std::string& path) {
     sockaddr_un address{};
     address.sun_family = AF_UNIX;
     if (path.size() >= sizeof address.sun_path)
@@ -51,7 +51,7 @@
     return address;
 }
 
-std::string with_length(std::string bytes) {
+std::string add_length_prefix(std::string bytes) {
     std::string framed;
     for (unsigned shift = 0; shift < 32; shift += 8)
         framed += static_cast<char>((bytes.size() >> shift) & 0xffU);
@@ -59,347 +59,354 @@
 }
 
 // The frame's body if it is all there; its size is in `needs` once that is known.
-std::optional<std::string_view> frame(std::string_view held, std::size_t& needs) {
-    if (held.size() < kLength) return std::nullopt;
-    needs = 0;
-    for (std::size_t i = 0; i < kLength; ++i)
-        needs |= static_cast<std::size_t>(static_cast<unsigned char>(held[i])) << (8 * i);
-    if (held.size() < kLength + needs) return std::nullopt;
-    return held.substr(kLength, needs);
+std::optional<std::string_view> read_frame(std::string_view buffer, std::size_t& body_size) {
+    if (buffer.size() < kLengthPrefixBytes) return std::nullopt;
+    body_size = 0;
+    for (std::size_t i = 0; i < kLengthPrefixBytes; ++i)
+        body_size |= static_cast<std::size_t>(static_cast<unsigned char>(buffer[i])) << (8 * i);
+    if (buffer.size() < kLengthPrefixBytes + body_size) return std::nullopt;
+    return buffer.substr(kLengthPrefixBytes, body_size);
 }
 
 }  // namespace
 
-Carrier::Carrier(net::Scheduler& scheduler, PeerTerms terms, std::string name, int zone, std::uint64_t seed,
-                 Said said)
-    : scheduler_(scheduler), terms_(std::move(terms)), said_(std::move(said)),
-      wire_(terms_.cluster, terms_.secret), membership_(std::move(name), to_at(terms_.advertise), zone,
-                                                        static_cast<std::uint64_t>(scheduler.now() / 10),
-                                                        seed, terms_.membership, to_ats(terms_.seeds)),
+Carrier::Carrier(net::Scheduler& scheduler, PeerTerms settings, std::string name, int zone,
+                 std::uint64_t seed, EventLog log_event)
+    : scheduler_(scheduler), settings_(std::move(settings)), log_event_(std::move(log_event)),
+      codec_(settings_.cluster, settings_.secret),
+      membership_(std::move(name), to_peer_address(settings_.advertise), zone,
+                  static_cast<std::uint64_t>(scheduler.now() / 10), seed, settings_.membership,
+                  to_peer_addresses(settings_.seeds)),
       gossip_(membership_.self().name, membership_.self().at, membership_.self().incarnation,
               membership_.self().life, seed + 1, {}),
       timer_(scheduler) {}
 
 void Carrier::start() {
-    const auto fail = [](const std::string& what) {
+    const auto error = [](const std::string& what) {
         return std::system_error(errno, std::generic_category(), what);
     };
-    const auto where = "peers on " + net::to_text(terms_.listen);
-    datagrams_ = net::Fd(socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-    const auto address = to_address(terms_.listen);
-    if (!datagrams_ ||
-        bind(datagrams_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
-        throw fail(where);
-    streams_ = net::listen_on(terms_.listen);
-    on_datagrams_ = std::make_unique<net::Waiter>(scheduler_, datagrams_.get());
-    on_streams_ = std::make_unique<net::Waiter>(scheduler_, streams_.get());
-    const auto begin = [this](net::Task& task, net::Task made) {
-        task = std::move(made);
+    const auto description = "peers on " + net::to_text(settings_.listen);
+    datagram_socket_ = net::Fd(socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+    const auto address = to_sockaddr(settings_.listen);
+    if (!datagram_socket_ ||
+        bind(datagram_socket_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0)
+        throw error(description);
+    stream_listener_ = net::listen_on(settings_.listen);
+    datagram_waiter_ = std::make_unique<net::Waiter>(scheduler_, datagram_socket_.get());
+    stream_waiter_ = std::make_unique<net::Waiter>(scheduler_, stream_listener_.get());
+    const auto start_task = [this](net::Task& task, net::Task started) {
+        task = std::move(started);
         task.start([this](std::exception_ptr failure) {
             if (failure) scheduler_.defer([failure] { std::rethrow_exception(failure); });
         });
     };
-    if (!terms_.control.empty()) {
+    if (!settings_.control.empty()) {
         // What an earlier life left; the path is this node's alone, as its folder is.
-        unlink(terms_.control.c_str());
-        control_ = net::Fd(socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
-        const auto path = to_path(terms_.control);
+        unlink(settings_.control.c_str());
+        control_listener_ = net::Fd(socket(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+        const auto path = to_unix_sockaddr(settings_.control);
         const auto mask = umask(0177);
         const bool bound =
-            control_ && bind(control_.get(), reinterpret_cast<const sockaddr*>(&path), sizeof path) == 0;
+            control_listener_ &&
+            bind(control_listener_.get(), reinterpret_cast<const sockaddr*>(&path), sizeof path) == 0;
         umask(mask);
-        if (!bound || listen(control_.get(), 4) != 0) throw fail(terms_.control);
-        on_control_ = std::make_unique<net::Waiter>(scheduler_, control_.get());
-        begin(controlling_, accept(*on_control_, control_, true));
+        if (!bound || listen(control_listener_.get(), 4) != 0) throw error(settings_.control);
+        control_waiter_ = std::make_unique<net::Waiter>(scheduler_, control_listener_.get());
+        start_task(control_task_, accept_connections(*control_waiter_, control_listener_, true));
     }
     read_seeds();
-    begin(receiving_, receive());
-    begin(accepting_, accept(*on_streams_, streams_, false));
-    begin(timing_, keep_time());
+    start_task(receive_task_, receive_datagrams());
+    start_task(accept_task_, accept_connections(*stream_waiter_, stream_listener_, false));
+    start_task(timer_task_, run_timers());
 }
 
-void Carrier::leave() { act(membership_.leave(scheduler_.now())); }
+void Carrier::leave() { execute_all(membership_.leave(scheduler_.now())); }
 
-net::Task Carrier::receive() {
-    constexpr int kAtOnce = 32;  // then others have their turn
-    std::array<char, kLargestDatagram + 1> bytes{};
+net::Task Carrier::receive_datagrams() {
+    constexpr int kMaxDatagramsPerWakeup = 32;  // then others have their turn
+    std::array<char, kMaxDatagramBytes + 1> bytes{};
     for (;;) {
-        for (int i = 0; i < kAtOnce && on_datagrams_->may(net::kRead); ++i) {
+        for (int i = 0; i < kMaxDatagramsPerWakeup && datagram_waiter_->may(net::kRead); ++i) {
             sockaddr_in from{};
             socklen_t size = sizeof from;
-            const auto got = recvfrom(datagrams_.get(), bytes.data(), bytes.size(), 0,
+            const auto got = recvfrom(datagram_socket_.get(), bytes.data(), bytes.size(), 0,
                                       reinterpret_cast<sockaddr*>(&from), &size);
             if (got < 0) {
-                if (errno == EAGAIN) on_datagrams_->used_up(net::kRead);
+                if (errno == EAGAIN) datagram_waiter_->used_up(net::kRead);
                 if (errno != EINTR && errno != ECONNREFUSED) break;
                 continue;
             }
             ++counts_.datagrams_in;
             counts_.bytes_in += static_cast<std::uint64_t>(got);
-            auto read = wire_.read({bytes.data(), static_cast<std::size_t>(got)});
-            if (const auto* why = std::get_if<Refused>(&read))
-                refuse(*why, net::to_text({ntohl(from.sin_addr.s_addr), ntohs(from.sin_port)}));
-            else if (const auto* talk = std::get_if<Talk>(&read))
-                act(gossip_.take(scheduler_.now(), *talk));
-            else if (const auto* letter = std::get_if<Letter>(&read))
-                take(*letter);
+            auto decoded = codec_.decode({bytes.data(), static_cast<std::size_t>(got)});
+            if (const auto* reason = std::get_if<RejectReason>(&decoded))
+                reject(*reason, net::to_text({ntohl(from.sin_addr.s_addr), ntohs(from.sin_port)}));
+            else if (const auto* gossip = std::get_if<Talk>(&decoded))
+                execute_all(gossip_.take(scheduler_.now(), *gossip));
+            else if (const auto* direct = std::get_if<DirectMessage>(&decoded))
+                deliver(*direct);
             else
-                act(membership_.take(scheduler_.now(), std::get<Message>(read)));
+                execute_all(membership_.receive(scheduler_.now(), std::get<Message>(decoded)));
         }
-        co_await on_datagrams_->wait(net::kRead);
+        co_await datagram_waiter_->wait(net::kRead);
     }
 }
 
-net::Task Carrier::keep_time() {
+net::Task Carrier::run_timers() {
     for (;;) {
         const auto now = scheduler_.now();
-        if (!terms_.seeds_file.empty() && now - seeds_read_ > kReadSeeds) read_seeds();
-        if (now >= membership_.due()) act(membership_.tick(now));
-        if (now >= gossip_.due()) act(gossip_.tick(now));
+        if (!settings_.seeds_file.empty() && now - seeds_read_at_ > kSeedsReadInterval) read_seeds();
+        if (now >= membership_.due()) execute_all(membership_.tick(now));
+        if (now >= gossip_.due()) execute_all(gossip_.tick(now));
         co_await timer_.wait(0, std::max(std::min(membership_.due(), gossip_.due()), scheduler_.now() + 1));
     }
 }
 
 void Carrier::read_seeds() {
-    if (terms_.seeds_file.empty()) return;
-    seeds_read_ = scheduler_.now();
-    auto seeds = to_ats(terms_.seeds);
-    std::ifstream file(terms_.seeds_file);
-    for (std::string line; std::getline(file, line) && seeds.size() < kMostSeeds;) {
-        if (const auto at = net::parse_endpoint(line)) seeds.push_back(to_at(*at));
+    if (settings_.seeds_file.empty()) return;
+    seeds_read_at_ = scheduler_.now();
+    auto seeds = to_peer_addresses(settings_.seeds);
+    std::ifstream file(settings_.seeds_file);
+    for (std::string line; std::getline(file, line) && seeds.size() < kMaxSeeds;) {
+        if (const auto endpoint = net::parse_endpoint(line)) seeds.push_back(to_peer_address(*endpoint));
     }
-    membership_.seed_with(std::move(seeds));
+    membership_.set_seeds(std::move(seeds));
 }
 
-void Carrier::act(std::vector<Action> actions) {
-    for (auto& action : actions) std::visit([this](auto& what) { carry_out(what); }, action);
+void Carrier::execute_all(std::vector<Action> actions) {
+    for (auto& action : actions) std::visit([this](auto& each) { execute(each); }, action);
     timer_.signal();
 }
 
-void Carrier::act(std::vector<SendTalk> talks) {
-    for (const auto& each : talks) send(each.to, wire_.write(each.talk));
+void Carrier::execute_all(std::vector<SendTalk> messages) {
+    for (const auto& each : messages) send(each.to, codec_.write(each.talk));
     timer_.signal();
 }
 
-void Carrier::publish(const std::string& topic, std::string value, Time lives) {
-    gossip_.publish(scheduler_.now(), topic, std::move(value), lives);
+void Carrier::publish(const std::string& topic, std::string value, Time lifetime) {
+    gossip_.publish(scheduler_.now(), topic, std::move(value), lifetime);
     timer_.signal();
 }
 
-void Carrier::take(const Letter& letter) {
-    const auto reader = readers_.find(letter.topic);
-    if (reader != readers_.end()) reader->second(letter.from, letter.bytes);
+void Carrier::deliver(const DirectMessage& message) {
+    const auto handler = direct_handlers_.find(message.topic);
+    if (handler != direct_handlers_.end()) handler->second(message.from, message.payload);
 }
 
 void Carrier::send_letter(const std::string& to, const std::string& topic, std::string bytes) {
-    if (const auto at = membership_.at_of(to))
-        send(*at, wire_.write(Letter{membership_.self().name, topic, std::move(bytes)}));
+    if (const auto address = membership_.address_of(to))
+        send(*address, codec_.write(DirectMessage{membership_.self().name, topic, std::move(bytes)}));
 }
 
-void Carrier::tell_gossip() {
+void Carrier::update_gossip_members() {
     Gossip::Members others;
-    for (const auto& claim : membership_.members()) {
-        if (claim.name != membership_.self().name) others.emplace_back(claim.name, claim.at);
+    for (const auto& record : membership_.members()) {
+        if (record.name != membership_.self().name) others.emplace_back(record.name, record.at);
     }
     gossip_.set_members(std::move(others));
 }
 
-void Carrier::carry_out(SendTo& what) { send(what.to, wire_.write(what.message)); }
+void Carrier::execute(SendMessage& action) { send(action.to, codec_.write(action.message)); }
 
 void Carrier::send(At to, const std::string& bytes) {
-    const auto address = to_address(to_endpoint(to));
-    const auto sent = sendto(datagrams_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL,
+    const auto address = to_sockaddr(to_endpoint(to));
+    const auto sent = sendto(datagram_socket_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL,
                              reinterpret_cast<const sockaddr*>(&address), sizeof address);
-    if (sent < 0) ++counts_.unsent;  // as lost as on its way; it is found out alike
+    if (sent < 0) ++counts_.send_failures;  // as lost as on its way; it is found out alike
     ++counts_.datagrams_out;
     counts_.bytes_out += bytes.size();
 }
 
-void Carrier::carry_out(Exchange& exchange) {
-    ++counts_.exchanges;
-    auto fd = links_.size() < kMostLinks ? net::connect_to(to_endpoint(exchange.with)).first : net::Fd{};
+void Carrier::execute(StateSync& action) {
+    ++counts_.syncs;
+    auto fd =
+        connections_.size() < kMaxConnections ? net::connect_to(to_endpoint(action.peer)).first : net::Fd{};
     if (!fd) {
-        ++counts_.exchanges_failed;
+        ++counts_.syncs_failed;
         return;
     }
-    start_link(std::move(fd), &Carrier::ask_for_state);
+    start_connection(std::move(fd), &Carrier::request_state);
 }
 
-void Carrier::carry_out(Changed& changed) {
-    const auto& claim = changed.claim;
-    said_(changed.is_member ? "peer_joined" : "peer_gone",
-          "peer " + claim.name + " at " + net::to_text(to_endpoint(claim.at)) +
-              (changed.is_member ? " is a member" : std::string(" is ") + name_of(claim.standing)));
-    tell_gossip();
-    for (const auto& each : watchers_) each(changed);
+void Carrier::execute(Changed& change) {
+    const auto& record = change.record;
+    log_event_(change.is_member ? "peer_joined" : "peer_gone",
+               "peer " + record.name + " at " + net::to_text(to_endpoint(record.at)) +
+                   (change.is_member ? " is a member" : std::string(" is ") + name_of(record.state)));
+    update_gossip_members();
+    for (const auto& each : listeners_) each(change);
 }
 
-void Carrier::carry_out(Conflict& conflict) {
+void Carrier::execute(NameConflict& conflict) {
     const auto now = scheduler_.now();
-    if (conflict_told_ != 0 && now - conflict_told_ < kTellConflict) return;
-    conflict_told_ = now;
-    said_("peer_conflict", "another process goes by the name " + membership_.self().name + ", at " +
-                               net::to_text(to_endpoint(conflict.at)));
+    if (conflict_logged_at_ != 0 && now - conflict_logged_at_ < kConflictLogInterval) return;
+    conflict_logged_at_ = now;
+    log_event_("peer_conflict", "another process goes by the name " + membership_.self().name + ", at " +
+                                    net::to_text(to_endpoint(conflict.address)));
 }
 
-void Carrier::refuse(Refused why, const std::string& from) {
-    ++counts_.refused;
-    if (++refused_[why] == 1)
-        said_("peer_refused", std::string("a message is refused for its ") + name_of(why) + ", from " + from);
+void Carrier::reject(RejectReason reason, const std::string& from) {
+    ++counts_.rejected;
+    if (++rejected_[reason] == 1)
+        log_event_("peer_refused",
+                   std::string("a message is refused for its ") + name_of(reason) + ", from " + from);
 }
 
-void Carrier::start_link(net::Fd fd, net::Task (Carrier::*serves)(Link&)) {
-    links_.push_back(std::make_unique<Link>(scheduler_, std::move(fd)));
-    auto& link = *links_.back();
-    link.task = (this->*serves)(link);
-    link.task.start(
-        [this, &link](std::exception_ptr) { scheduler_.defer([this, &link] { end_link(link); }); });
+void Carrier::start_connection(net::Fd fd, net::Task (Carrier::*serve)(Connection&)) {
+    connections_.push_back(std::make_unique<Connection>(scheduler_, std::move(fd)));
+    auto& connection = *connections_.back();
+    connection.task = (this->*serve)(connection);
+    connection.task.start([this, &connection](std::exception_ptr) {
+        scheduler_.defer([this, &connection] { end_connection(connection); });
+    });
 }
 
 // After the round in which its coroutine ended: a guest goes on with another one.
-void Carrier::end_link(Link& link) {
-    if (std::exchange(link.guest, false) && guests_) {
-        link.task = guests_(link.stream);
-        link.task.start(
-            [this, &link](std::exception_ptr) { scheduler_.defer([this, &link] { end_link(link); }); });
+void Carrier::end_connection(Connection& connection) {
+    if (std::exchange(connection.is_http, false) && http_handler_) {
+        connection.task = http_handler_(connection.stream);
+        connection.task.start([this, &connection](std::exception_ptr) {
+            scheduler_.defer([this, &connection] { end_connection(connection); });
+        });
         return;
     }
-    std::erase_if(links_, [&link](const auto& each) { return each.get() == &link; });
+    std::erase_if(connections_, [&connection](const auto& each) { return each.get() == &connection; });
 }
 
-net::Task Carrier::accept(net::Waiter& waiter, const net::Fd& listener, bool control) {
-    constexpr net::Moment kPause = 1'000;  // while there is no room
+net::Task Carrier::accept_connections(net::Waiter& waiter, const net::Fd& listener, bool is_control) {
+    constexpr net::Moment kRetryDelay = 1'000;  // while there is no room
     for (;;) {
-        const bool room = links_.size() < kMostLinks;
-        if (room) {
+        const bool has_room = connections_.size() < kMaxConnections;
+        if (has_room) {
             auto [fd, error] = net::accept_from(listener);
             if (fd) {
-                start_link(std::move(fd), control ? &Carrier::answer_operator : &Carrier::give_state);
+                start_connection(std::move(fd), is_control ? &Carrier::serve_control : &Carrier::serve_state);
                 continue;
             }
             if (error == EAGAIN) waiter.used_up(net::kRead);
         }
-        if (room && !waiter.may(net::kRead))
+        if (has_room && !waiter.may(net::kRead))
             co_await waiter.wait(net::kRead);
         else
-            co_await waiter.wait(0, scheduler_.now() + kPause);
+            co_await waiter.wait(0, scheduler_.now() + kRetryDelay);
     }
 }
 
-bool Carrier::take_state(std::string_view bytes, const std::string& from) {
-    auto read = wire_.read_state(bytes);
-    if (const auto* why = std::get_if<Refused>(&read)) return refuse(*why, from), false;
-    act(membership_.take_state(scheduler_.now(), std::get<std::vector<Claim>>(read)));
+bool Carrier::receive_state(std::string_view bytes, const std::string& from) {
+    auto decoded = codec_.decode_state(bytes);
+    if (const auto* reason = std::get_if<RejectReason>(&decoded)) return reject(*reason, from), false;
+    execute_all(membership_.receive_state(scheduler_.now(), std::get<std::vector<MemberRecord>>(decoded)));
     return true;
 }
 
 // Says its own state, and reads the other's.
-net::Task Carrier::ask_for_state(Link& link) {
-    auto& waiter = link.stream.waiter();
-    const auto until = scheduler_.now() + kStreamTime;
-    const auto ours = with_length(wire_.write_state(membership_.state()));
-    std::size_t written = 0, needs = 0;
-    while (scheduler_.now() < until && !link.stream.broken()) {
-        if (written < ours.size() && waiter.may(net::kWrite)) {
-            if (net::socket_error(link.stream.fd()) != 0) break;
-            written += link.stream.write(std::string_view(ours).substr(written));
+net::Task Carrier::request_state(Connection& connection) {
+    auto& waiter = connection.stream.waiter();
+    const auto deadline = scheduler_.now() + kConnectionTimeout;
+    const auto request = add_length_prefix(codec_.encode_state(membership_.all_records()));
+    std::size_t written = 0, body_size = 0;
+    while (scheduler_.now() < deadline && !connection.stream.broken()) {
+        if (written < request.size() && waiter.may(net::kWrite)) {
+            if (net::socket_error(connection.stream.fd()) != 0) break;
+            written += connection.stream.write(std::string_view(request).substr(written));
         }
         if (waiter.may(net::kRead)) {
-            const auto got = link.stream.read();
-            if (const auto body = frame(link.stream.buffer().held(), needs)) {
-                take_state(*body, "a state that was asked for");
+            const auto got = connection.stream.read();
+            if (const auto body = read_frame(connection.stream.buffer().held(), body_size)) {
+                receive_state(*body, "a state that was asked for");
                 co_return;
             }
-            if (got == net::Stream::Got::kEnd || got == net::Stream::Got::kBroken || needs > kLargestState)
+            if (got == net::Stream::Got::kEnd || got == net::Stream::Got::kBroken ||
+                body_size > kMaxStateBytes)
                 break;
         }
-        co_await waiter.wait(net::kRead | (written < ours.size() ? unsigned{net::kWrite} : 0U), until);
+        co_await waiter.wait(net::kRead | (written < request.size() ? unsigned{net::kWrite} : 0U), deadline);
     }
-    ++counts_.exchanges_failed;
-    if (scheduler_.now() < until) act(membership_.exchange_refused(scheduler_.now()));
+    ++counts_.syncs_failed;
+    if (scheduler_.now() < deadline) execute_all(membership_.sync_refused(scheduler_.now()));
 }
 
-net::Task Carrier::give_state(Link& link) {
-    auto& waiter = link.stream.waiter();
-    const auto until = scheduler_.now() + kStreamTime;
-    std::string ours;
-    std::size_t written = 0, needs = 0;
-    while (scheduler_.now() < until && !link.stream.broken()) {
-        if (ours.empty() && waiter.may(net::kRead)) {
-            const auto got = link.stream.read();
-            if (link.stream.buffer().held().starts_with("GET ")) {  // as a length it would be too long
-                link.guest = true;
+net::Task Carrier::serve_state(Connection& connection) {
+    auto& waiter = connection.stream.waiter();
+    const auto deadline = scheduler_.now() + kConnectionTimeout;
+    std::string response;
+    std::size_t written = 0, body_size = 0;
+    while (scheduler_.now() < deadline && !connection.stream.broken()) {
+        if (response.empty() && waiter.may(net::kRead)) {
+            const auto got = connection.stream.read();
+            if (connection.stream.buffer().held().starts_with("GET ")) {  // as a length it would be too long
+                connection.is_http = true;
                 co_return;
             }
-            if (const auto body = frame(link.stream.buffer().held(), needs)) {
+            if (const auto body = read_frame(connection.stream.buffer().held(), body_size)) {
                 // As it was before: whoever asks knows what it said itself.
-                ours = with_length(wire_.write_state(membership_.state()));
-                if (!take_state(*body, "a state that was sent")) co_return;
+                response = add_length_prefix(codec_.encode_state(membership_.all_records()));
+                if (!receive_state(*body, "a state that was sent")) co_return;
             } else if (got == net::Stream::Got::kEnd || got == net::Stream::Got::kBroken ||
-                       needs > kLargestState) {
+                       body_size > kMaxStateBytes) {
                 co_return;
             }
         }
-        if (!ours.empty() && waiter.may(net::kWrite)) {
-            written += link.stream.write(std::string_view(ours).substr(written));
-            if (written == ours.size()) co_return;
+        if (!response.empty() && waiter.may(net::kWrite)) {
+            written += connection.stream.write(std::string_view(response).substr(written));
+            if (written == response.size()) co_return;
         }
-        co_await waiter.wait(ours.empty() ? net::kRead : net::kWrite, until);
+        co_await waiter.wait(response.empty() ? net::kRead : net::kWrite, deadline);
     }
 }
 
-net::Task Carrier::answer_operator(Link& link) {
-    auto& waiter = link.stream.waiter();
-    const auto until = scheduler_.now() + kStreamTime;
+net::Task Carrier::serve_control(Connection& connection) {
+    auto& waiter = connection.stream.waiter();
+    const auto deadline = scheduler_.now() + kConnectionTimeout;
     std::string out;
     std::size_t written = 0;
-    while (scheduler_.now() < until && !link.stream.broken()) {
+    while (scheduler_.now() < deadline && !connection.stream.broken()) {
         if (out.empty() && waiter.may(net::kRead)) {
-            const auto got = link.stream.read();
-            const auto held = link.stream.buffer().held();
-            const auto end = held.find('\n');
+            const auto got = connection.stream.read();
+            const auto buffer = connection.stream.buffer().held();
+            const auto end = buffer.find('\n');
             if (end != std::string_view::npos)
-                out = answer(held.substr(0, end));
+                out = run_command(buffer.substr(0, end));
             else if (got == net::Stream::Got::kEnd || got == net::Stream::Got::kBroken ||
-                     held.size() > kLongestWords)
+                     buffer.size() > kMaxCommandBytes)
                 co_return;
         }
         if (!out.empty() && waiter.may(net::kWrite)) {
-            written += link.stream.write(std::string_view(out).substr(written));
+            written += connection.stream.write(std::string_view(out).substr(written));
             if (written == out.size()) co_return;
         }
-        co_await waiter.wait(out.empty() ? net::kRead : net::kWrite, until);
+        co_await waiter.wait(out.empty() ? net::kRead : net::kWrite, deadline);
     }
 }
 
-std::string Carrier::answer(std::string_view words) {
-    const auto line = [](const Claim& claim) {
-        return claim.name + ' ' + name_of(claim.standing) + ' ' + net::to_text(to_endpoint(claim.at)) +
-               " zone " + std::to_string(claim.zone) + " incarnation " + std::to_string(claim.incarnation) +
-               (claim.by.empty() ? "" : " by " + claim.by) + '\n';
+std::string Carrier::run_command(std::string_view line) {
+    const auto describe = [](const MemberRecord& record) {
+        return record.name + ' ' + name_of(record.state) + ' ' + net::to_text(to_endpoint(record.at)) +
+               " zone " + std::to_string(record.zone) + " incarnation " + std::to_string(record.incarnation) +
+               (record.reported_by.empty() ? "" : " by " + record.reported_by) + '\n';
     };
     std::string out;
-    if (words == "list") {
-        for (const auto& claim : membership_.members()) out += line(claim);
+    if (line == "list") {
+        for (const auto& record : membership_.members()) out += describe(record);
         return out;
     }
-    if (words == "facts") {
-        for (const auto& fact : gossip_.facts(scheduler_.now()))
-            out += fact.origin + ' ' + fact.topic + " age_ms " + std::to_string(fact.age / 10) + " of " +
-                   std::to_string(fact.lives / 10) + ' ' + fact.value + '\n';
+    if (line == "facts") {
+        for (const auto& record : gossip_.facts(scheduler_.now()))
+            out += record.origin + ' ' + record.topic + " age_ms " + std::to_string(record.age / 10) +
+                   " of " + std::to_string(record.lives / 10) + ' ' + record.value + '\n';
         return out;
     }
-    const auto first = words.substr(0, words.find(' '));
-    if (const auto answers = answers_.find(std::string(first)); answers != answers_.end())
-        return answers->second(words.substr(std::min(words.size(), first.size() + 1)));
-    if (words == "show") return print_counters();
-    if (words == "leave") {
+    const auto name = line.substr(0, line.find(' '));
+    if (const auto command = commands_.find(std::string(name)); command != commands_.end())
+        return command->second(line.substr(std::min(line.size(), name.size() + 1)));
+    if (line == "show") return print_counters();
+    if (line == "leave") {
         leave();
         return "left\n";
     }
-    if (words.starts_with("show ")) {
-        for (const auto& claim : membership_.state()) {
-            if (claim.name == words.substr(5)) out += line(claim);
+    if (line.starts_with("show ")) {
+        for (const auto& record : membership_.all_records()) {
+            if (record.name == line.substr(5)) out += describe(record);
         }
         return out.empty() ? "nobody of that name is known\n" : out;
     }
@@ -407,45 +414,45 @@
 }
 
 std::string Carrier::print_counters() const {
-    const auto& decided = membership_.counts();
+    const auto& membership = membership_.counts();
     std::string out;
     const auto add = [&out](const char* name, std::uint64_t value) {
         out += std::string("peers_") + name + ' ' + std::to_string(value) + '\n';
     };
-    add("members", membership_.alive());
-    add("health", static_cast<std::uint64_t>(membership_.health()));
-    add("probes", decided.probes);
-    add("probes_failed", decided.probes_failed);
-    add("suspected", decided.suspected);
-    add("found_dead", decided.found_dead);
-    add("refuted", decided.refuted);
-    add("stood_still", decided.stood_still);
-    add("conflicts", decided.conflicts);
-    add("without_room", decided.without_room);
+    add("members", membership_.member_count());
+    add("health", static_cast<std::uint64_t>(membership_.health_score()));
+    add("probes", membership.probes);
+    add("probes_failed", membership.probes_failed);
+    add("suspected", membership.suspected);
+    add("found_dead", membership.declared_dead);
+    add("refuted", membership.refuted);
+    add("stood_still", membership.suspensions);
+    add("conflicts", membership.conflicts);
+    add("without_room", membership.rejected_full);
     add("datagrams_in", counts_.datagrams_in);
     add("datagrams_out", counts_.datagrams_out);
     add("bytes_in", counts_.bytes_in);
     add("bytes_out", counts_.bytes_out);
-    add("unsent", counts_.unsent);
-    add("refused", counts_.refused);
-    add("exchanges", counts_.exchanges);
-    add("exchanges_failed", counts_.exchanges_failed);
-    const auto& said = gossip_.counts();
+    add("unsent", counts_.send_failures);
+    add("refused", counts_.rejected);
+    add("exchanges", counts_.syncs);
+    add("exchanges_failed", counts_.syncs_failed);
+    const auto& gossip = gossip_.counts();
     add("facts", gossip_.size());
-    add("facts_newer", said.newer);
-    add("facts_over", said.over);
-    add("facts_without_room", said.without_room);
-    add("comparisons", said.compared);
-    add("comparisons_differed", said.differed);
+    add("facts_newer", gossip.newer);
+    add("facts_over", gossip.rejected_expired);
+    add("facts_without_room", gossip.rejected_full);
+    add("comparisons", gossip.digests_sent);
+    add("comparisons_differed", gossip.digests_differed);
     return out;
 }
 
-std::string ask_node(const std::string& path, const std::string& words) {
+std::string ask_node(const std::string& path, const std::string& command) {
     const net::Fd fd(socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0));
-    const auto address = to_path(path);
-    const auto text = words + '\n';
-    const timeval patience{5, 0};
-    setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &patience, sizeof patience);
+    const auto address = to_unix_sockaddr(path);
+    const auto text = command + '\n';
+    const timeval timeout{5, 0};
+    setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
     if (!fd || connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
         send(fd.get(), text.data(), text.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(text.size()))
         throw std::runtime_error(path + ": no front node answers there; name its peers.control");
--- a/src/peers/decide.hpp
+++ b/src/peers/decide.hpp
@@ -40,179 +40,180 @@
     auto operator<=>(const At&) const = default;
 };
 
-enum class Standing : std::uint8_t { kAlive, kSuspect, kDead, kLeft };
-const char* name_of(Standing standing);
+enum class MemberState : std::uint8_t { kAlive, kSuspect, kDead, kLeft };
+const char* name_of(MemberState state);
 
 // What is said of a member. Of two claims the newer holds everywhere, in whatever order they come: they are
 // ordered by incarnation, then standing, then the rest, so that merging commutes.
-struct Claim {
+struct MemberRecord {
     std::string name;
     std::uint64_t incarnation = 0;  // begins with the wall clock of the member's start; only itself raises it
-    Standing standing = Standing::kAlive;
+    MemberState state = MemberState::kAlive;
     std::uint64_t life = 0;  // a number drawn at each start
     At at;
     int zone = 0;
-    std::string by;  // who suspects it, or found it dead
+    std::string reported_by;  // who suspects it, or found it dead
 
-    bool newer_than(const Claim& other) const;
+    bool supersedes(const MemberRecord& other) const;
 };
 
 struct Message {
-    enum class Kind : std::uint8_t { kPing, kPingFor, kAck, kNack, kTell } kind = Kind::kPing;
-    std::uint32_t number = 0;
+    enum class Kind : std::uint8_t { kPing, kPingRequest, kAck, kNack, kUpdates } kind = Kind::kPing;
+    std::uint32_t sequence = 0;
     std::string from;
-    At from_at;          // where the answer goes
+    At from_address;     // where the answer goes
     std::string target;  // kPing, kPingFor: who is meant
-    At target_at;        // kPingFor
-    std::vector<Claim> claims;
+    At target_address;   // kPingFor
+    std::vector<MemberRecord> records;
 };
 
 struct MembershipTerms {
-    Time period = 10'000;       // between two probes (SWIM 3.1)
-    Time timeout = 3'000;       // until a probe goes by way of others
-    int by_others = 3;          // so many
-    double suspicion = 4;       // periods times log10 of the members until a suspect is dead, at least
-    double suspicion_most = 6;  // times that, at most (Lifeguard 4.2)
-    Time tell = 2'000;          // while there is news, to so many others each time
-    int tell_to = 3;
-    int confirmations = 3;    // from which on it is the least
-    double spread = 5;        // times log10 of the members that a claim is passed on (SWIM 4.1)
-    int worst_health = 8;     // (Lifeguard 4.1)
-    Time exchange = 300'000;  // whole states, with one other
-    Time forget = 600'000;    // the dead and those who left
+    Time period = 10'000;     // between two probes (SWIM 3.1)
+    Time timeout = 3'000;     // until a probe goes by way of others
+    int indirect_probes = 3;  // so many
+    double suspicion = 4;     // periods times log10 of the members until a suspect is dead, at least
+    double max_suspicion_multiplier = 6;  // times that, at most (Lifeguard 4.2)
+    Time update_interval = 2'000;         // while there is news, to so many others each time
+    int update_fan_out = 3;
+    int confirmations = 3;             // from which on it is the least
+    double retransmit_multiplier = 5;  // times log10 of the members that a claim is passed on (SWIM 4.1)
+    int max_health_score = 8;          // (Lifeguard 4.1)
+    Time exchange = 300'000;           // whole states, with one other
+    Time forget = 600'000;             // the dead and those who left
     std::size_t most_members = 4'096;
-    std::size_t claim_bytes = 1'000;  // in one message
+    std::size_t max_record_bytes = 1'000;  // in one message
     // Baselines for measurements: plain SWIM has neither.
     bool local_health = true;
     bool sooner_by_confirmation = true;
 };
 
-struct SendTo {
+struct SendMessage {
     At to;
     Message message;
 };
-struct Exchange {  // whole states, both ways, over a stream
-    At with;
+struct StateSync {  // whole states, both ways, over a stream
+    At peer;
 };
 struct Changed {  // a member came, or is one no more; suspects are members still
-    Claim claim;
+    MemberRecord record;
     bool is_member = false;
 };
-struct Conflict {  // another process goes by our name
-    At at;
+struct NameConflict {  // another process goes by our name
+    At address;
 };
-using Action = std::variant<SendTo, Exchange, Changed, Conflict>;
+using Action = std::variant<SendMessage, StateSync, Changed, NameConflict>;
 
 // Of this node, since its start.
-struct PeerCounts {
-    std::uint64_t probes = 0, probes_failed = 0, suspected = 0, found_dead = 0, refuted = 0, stood_still = 0,
-                  conflicts = 0, without_room = 0;
+struct MembershipCounts {
+    std::uint64_t probes = 0, probes_failed = 0, suspected = 0, declared_dead = 0, refuted = 0,
+                  suspensions = 0, conflicts = 0, rejected_full = 0;
 };
 
 class Membership {
 public:
     // `incarnation`: the wall clock at the start, in milliseconds.
     Membership(std::string name, At at, int zone, std::uint64_t incarnation, std::uint64_t seed,
-               MembershipTerms terms, std::vector<At> seeds);
+               MembershipTerms settings, std::vector<At> seeds);
 
     std::vector<Action> tick(Time now);  // at due(), or later
     Time due() const { return due_; }
-    std::vector<Action> take(Time now, const Message& message);
-    std::vector<Action> take_state(Time now, const std::vector<Claim>& claims);
-    std::vector<Action> exchange_refused(Time now);  // or cut off; not: too slow
-    std::vector<Claim> state() const;                // of all that are known, this node first
-    std::vector<Action> leave(Time now);             // tells some; others hear of it from them
-    void seed_with(std::vector<At> seeds) { seeds_ = std::move(seeds); }
-
-    std::optional<At> at_of(const std::string& name) const;  // of a member
-    std::vector<Claim> members() const;  // alive or suspect, this node among them, by name
-    std::size_t alive() const { return alive_ + 1; }
-    int health() const { return health_; }  // 0: good
-    const PeerCounts& counts() const { return counts_; }
-    const Claim& self() const { return self_; }
+    std::vector<Action> receive(Time now, const Message& message);
+    std::vector<Action> receive_state(Time now, const std::vector<MemberRecord>& records);
+    std::vector<Action> sync_refused(Time now);     // or cut off; not: too slow
+    std::vector<MemberRecord> all_records() const;  // of all that are known, this node first
+    std::vector<Action> leave(Time now);            // tells some; others hear of it from them
+    void set_seeds(std::vector<At> seeds) { seeds_ = std::move(seeds); }
+
+    std::optional<At> address_of(const std::string& name) const;  // of a member
+    std::vector<MemberRecord> members() const;  // alive or suspect, this node among them, by name
+    std::size_t member_count() const { return other_members_ + 1; }
+    int health_score() const { return health_score_; }  // 0: good
+    const MembershipCounts& counts() const { return counts_; }
+    const MemberRecord& self() const { return self_; }
 
 private:
-    struct Known {
-        Claim claim;
-        Time over_at = 0;             // a suspect's end, or when one that is gone is forgotten
-        std::uint32_t last_look = 0;  // number of the probe that a suspect gets before its end; 0: none yet
-        Time since = 0;
-        std::set<std::string> accusers;
-        std::size_t among_living = 0;  // its place there, if it is alive
+    struct KnownMember {
+        MemberRecord record;
+        Time expires_at = 0;            // a suspect's end, or when one that is gone is forgotten
+        std::uint32_t final_probe = 0;  // number of the probe that a suspect gets before its end; 0: none yet
+        Time state_since = 0;
+        std::set<std::string> suspected_by;
+        std::size_t alive_index = 0;  // its place there, if it is alive
     };
     struct Probe {
-        std::uint32_t number = 0;
+        std::uint32_t sequence = 0;
         std::string target;
-        Time others_at = 0, ends = 0;
-        bool others_asked = false, heard = false;
-        int asked = 0, nacks_due = 0;
+        Time indirect_at = 0, ends_at = 0;
+        bool indirect_sent = false, acked = false;
+        int indirect_requests = 0, nacks_missing = 0;
     };
-    struct ForAnother {  // a probe on another's behalf
-        At asker;
-        std::uint32_t number = 0;
+    struct RelayedProbe {  // a probe on another's behalf
+        At requester;
+        std::uint32_t sequence = 0;
         std::string target;
-        Time nack_at = 0, ends = 0;
-        bool nacked = false;
+        Time nack_at = 0, ends_at = 0;
+        bool nack_sent = false;
     };
-    struct Rumour {
-        int passed = 0;
-        std::uint64_t number = 0;
+    struct PendingUpdate {
+        int transmissions = 0;
+        std::uint64_t version = 0;
     };
-    struct Waiting {  // of a rumour that was passed on so often; out of date if the rumour has another number
-                      // now
+    struct QueuedUpdate {  // of a rumour that was passed on so often; out of date if the rumour has another
+                           // number
+                           // now
         std::string name;
-        std::uint64_t number = 0;
+        std::uint64_t version = 0;
     };
 
-    bool is_member(const Claim& claim) const { return claim.standing <= Standing::kSuspect; }
-    void heed(Time now, const Claim& claim);
-    void heed_about_self(const Claim& claim);
-    void put(Time now, const Claim& claim);
-    void set_living(const std::string& name, Known& known, bool was, bool is);
+    bool is_member(const MemberRecord& record) const { return record.state <= MemberState::kSuspect; }
+    void apply_record(Time now, const MemberRecord& record);
+    void apply_own_record(const MemberRecord& record);
+    void store_record(Time now, const MemberRecord& record);
+    void update_alive_names(const std::string& name, KnownMember& known, bool was_alive, bool is_alive);
     void suspect(Time now, const std::string& name);
-    void set_suspicion(Time now, Known& known) const;
-    void spread(const std::string& name);
-    std::vector<Claim> claims_for(const std::string& reader);
-    void send(At to, Message message, const std::string& reader);
+    void set_suspicion_timeout(Time now, KnownMember& known) const;
+    void queue_update(const std::string& name);
+    std::vector<MemberRecord> select_updates(const std::string& recipient);
+    void send(At to, Message message, const std::string& recipient);
     void probe_next(Time now);
-    void look_at_probe(Time now);
-    void look_at_suspects(Time now);
-    void ask_others(const std::string& target, std::uint32_t number);
-    void heard_from(Time now, const std::string& name);
-    void worsen(int by);
-    void stood_still(Time by);
-    void exchange(Time now);
-    void tell_some(Time now);
-    std::vector<std::string> some_members(std::size_t count, const std::string& but);
-    const Claim* claim_of(const std::string& name) const;
-    Time scaled(Time time) const { return terms_.local_health ? time * (1 + health_) : time; }
+    void check_probe(Time now);
+    void check_expired(Time now);
+    void send_indirect_probes(const std::string& target, std::uint32_t sequence);
+    void restart_suspicion(Time now, const std::string& name);
+    void adjust_health(int delta);
+    void handle_suspension(Time duration);
+    void start_sync(Time now);
+    void send_updates(Time now);
+    std::vector<std::string> random_members(std::size_t count, const std::string& except);
+    const MemberRecord* find_record(const std::string& name) const;
+    Time scaled(Time time) const { return settings_.local_health ? time * (1 + health_score_) : time; }
     double log_members() const;
-    void set_due();
-    std::size_t below(std::size_t count) { return static_cast<std::size_t>(chance_() % count); }
+    void update_due();
+    std::size_t random_below(std::size_t count) { return static_cast<std::size_t>(rng_() % count); }
 
-    const MembershipTerms terms_;
+    const MembershipTerms settings_;
     std::vector<At> seeds_;
-    Claim self_;
+    MemberRecord self_;
     bool leaving_ = false;
-    std::mt19937_64 chance_;
-    std::map<std::string, Known> known_;      // all but this node
-    std::set<std::string> timed_;             // of these, who has an over_at
-    std::size_t alive_ = 0;                   // of these
-    std::vector<const std::string*> living_;  // names in known_ of those alive, in no order
-    std::vector<std::string> order_;          // of probes, shuffled anew for each round (SWIM 4.3)
-    std::size_t next_in_order_ = 0;
+    std::mt19937_64 rng_;
+    std::map<std::string, KnownMember> known_;     // all but this node
+    std::set<std::string> expiring_;               // of these, who has an over_at
+    std::size_t other_members_ = 0;                // of these
+    std::vector<const std::string*> alive_names_;  // names in known_ of those alive, in no order
+    std::vector<std::string> probe_order_;         // of probes, shuffled anew for each round (SWIM 4.3)
+    std::size_t next_probe_ = 0;
     std::optional<Probe> probe_;
-    std::map<std::uint32_t, ForAnother> for_others_;
-    std::map<std::string, Rumour> rumours_;
-    std::vector<std::vector<Waiting>>
-        by_passed_;  // so that a message costs what it holds, not what there is to say
-    std::uint64_t last_rumour_ = 0;
-    std::uint32_t last_number_ = 0;
-    int health_ = 0;
-    int lonely_tries_ = 0;
-    int exchanges_ = 0;
-    Time probe_at_ = 0, exchange_at_ = 0, tell_at_ = 0, due_ = 0, last_ = 0;
-    PeerCounts counts_;
+    std::map<std::uint32_t, RelayedProbe> relayed_probes_;
+    std::map<std::string, PendingUpdate> pending_updates_;
+    std::vector<std::vector<QueuedUpdate>>
+        update_queues_;  // so that a message costs what it holds, not what there is to say
+    std::uint64_t last_version_ = 0;
+    std::uint32_t last_sequence_ = 0;
+    int health_score_ = 0;
+    int isolated_syncs_ = 0;
+    int syncs_ = 0;
+    Time probe_at_ = 0, sync_at_ = 0, updates_at_ = 0, due_ = 0, last_event_at_ = 0;
+    MembershipCounts counts_;
     std::vector<Action> actions_;
 };
 
--- a/src/peers/list_source.cpp
+++ b/src/peers/list_source.cpp
@@ -11,166 +11,175 @@
 
 constexpr Time kNever = std::numeric_limits<Time>::max();
 
-std::uint64_t weight_of(const std::string& name) { return XXH64(name.data(), name.size(), 0); }
+std::uint64_t hash_of(const std::string& name) { return XXH64(name.data(), name.size(), 0); }
 
 }  // namespace
 
-ListSource::ListSource(std::string name, std::uint64_t seed, ListSourceTerms terms)
-    : name_(std::move(name)), terms_(terms), chance_(seed) {}
+ListSource::ListSource(std::string name, std::uint64_t seed, ListSourceSettings settings)
+    : name_(std::move(name)), settings_(settings), rng_(seed) {}
 
 void ListSource::set_members(Time now, Members members) {
-    if (first_seen_ == 0) first_seen_ = now;
+    if (started_at_ == 0) started_at_ = now;
     if (members == members_) return;
     members_ = std::move(members);
     // A few late ones among many change hardly anybody's place.
-    const auto few = members_.size() / 32;
-    const auto apart = std::max(members_.size(), count_then_) - std::min(members_.size(), count_then_);
-    if (apart > few || !unsettled_) {
+    const auto tolerated = members_.size() / 32;
+    const auto difference =
+        std::max(members_.size(), members_at_change_) - std::min(members_.size(), members_at_change_);
+    if (difference > tolerated || !is_unsettled_) {
         changed_at_ = now;
-        count_then_ = members_.size();
+        members_at_change_ = members_.size();
     }
-    unsettled_ = true;
+    is_unsettled_ = true;
     // Whom it has the list from may be gone: the call will end, and is not waited for.
-    const bool gone = source_ && !source_->discovery &&
-                      std::none_of(members_.begin(), members_.end(),
-                                   [this](const auto& each) { return each.first == source_->name; });
-    if (gone && call_at_ == 0) lost(now);
+    const bool removed = current_ && !current_->discovery &&
+                         std::none_of(members_.begin(), members_.end(),
+                                      [this](const auto& each) { return each.first == current_->name; });
+    if (removed && call_at_ == 0) lost(now);
     due_ = 0;
 }
 
 void ListSource::settle(Time now) {
-    unsettled_ = false;
-    order_ = members_;
-    std::sort(order_.begin(), order_.end(), [](const auto& a, const auto& b) {
-        return std::pair(weight_of(a.first), a.first) > std::pair(weight_of(b.first), b.first);
+    is_unsettled_ = false;
+    ranking_ = members_;
+    std::sort(ranking_.begin(), ranking_.end(), [](const auto& a, const auto& b) {
+        return std::pair(hash_of(a.first), a.first) > std::pair(hash_of(b.first), b.first);
     });
-    places_.clear();
-    for (std::size_t i = 0; i < order_.size(); ++i) places_[order_[i].first] = static_cast<int>(i);
-    const bool held = holds(), was = place_ >= 0;
-    const auto mine =
-        std::find_if(order_.begin(), order_.end(), [this](const auto& each) { return each.first == name_; });
-    place_ = mine == order_.end() ? static_cast<int>(order_.size()) : static_cast<int>(mine - order_.begin());
+    ranks_.clear();
+    for (std::size_t i = 0; i < ranking_.size(); ++i) ranks_[ranking_[i].first] = static_cast<int>(i);
+    const bool was_root = is_root(), was_settled = rank_ >= 0;
+    const auto own = std::find_if(ranking_.begin(), ranking_.end(),
+                                  [this](const auto& each) { return each.first == name_; });
+    rank_ =
+        own == ranking_.end() ? static_cast<int>(ranking_.size()) : static_cast<int>(own - ranking_.begin());
     // A follower whose source serves it stays there, wherever it stands now: else each newcomer moves many.
-    if (was && held == holds()) return;
-    const bool served = source_ && without_since_ == 0 && call_at_ == 0;
-    if (!was && served && !holds()) return;
+    if (was_settled && was_root == is_root()) return;
+    const bool served = current_ && without_list_since_ == 0 && call_at_ == 0;
+    if (!was_settled && served && !is_root()) return;
     call_at_ = now;
-    if (without_since_ == 0) without_since_ = now;
-    if (was) return;
-    for (int at = place_; at >= terms_.holders; at = (at - terms_.holders) / terms_.fan_out)
-        call_at_ += terms_.level;
+    if (without_list_since_ == 0) without_list_since_ = now;
+    if (was_settled) return;
+    for (int rank = rank_; rank >= settings_.roots; rank = (rank - settings_.roots) / settings_.fan_out)
+        call_at_ += settings_.level_delay;
 }
 
-bool ListSource::discovery_is_next(Time now) const {
+bool ListSource::should_call_discovery(Time now) const {
     // While some say that they have the list they are asked twice as often first.
-    const int by_members = terms_.by_members * (others_.empty() ? 1 : 2);
-    return holds() || (failures_ >= by_members && now - without_since_ >= terms_.without);
+    const int max_failures = settings_.max_member_failures * (list_holders_.empty() ? 1 : 2);
+    return is_root() || (consecutive_failures_ >= max_failures &&
+                         now - without_list_since_ >= settings_.max_time_without_list);
 }
 
 ListSource::Source ListSource::next_source(Time now) {
-    if (ahead_) return *std::exchange(ahead_, std::nullopt);
-    if (discovery_is_next(now)) return {true, "", {}};
-    const bool any = failures_ > 0 || place_ < 0;
+    if (newer_holder_) return *std::exchange(newer_holder_, std::nullopt);
+    if (should_call_discovery(now)) return {true, "", {}};
+    const bool use_holders = consecutive_failures_ > 0 || rank_ < 0;
     // One that stands still may say for seconds more that it has the list: another is asked first.
-    if (any && !others_.empty()) {
-        const auto at = chance_() % others_.size();
-        return others_[others_[at].source.name == left_ ? (at + 1) % others_.size() : at].source;
+    if (use_holders && !list_holders_.empty()) {
+        const auto index = rng_() % list_holders_.size();
+        return list_holders_[list_holders_[index].source.name == last_lost_
+                                 ? (index + 1) % list_holders_.size()
+                                 : index]
+            .source;
     }
-    if (failures_ == 0) return {false, order_[parent_place()].first, order_[parent_place()].second};
+    if (consecutive_failures_ == 0)
+        return {false, ranking_[parent_rank()].first, ranking_[parent_rank()].second};
     // After its parent any that stands where that does or before, or asks discovery.
-    const auto before =
-        std::min(order_.size(), std::max(parent_place() + 1, static_cast<std::size_t>(terms_.holders)));
-    auto at = chance_() % before;
-    if (order_[at].first == left_) at = (at + 1) % before;
-    return {false, order_[at].first, order_[at].second};
+    const auto candidates =
+        std::min(ranking_.size(), std::max(parent_rank() + 1, static_cast<std::size_t>(settings_.roots)));
+    auto index = rng_() % candidates;
+    if (ranking_[index].first == last_lost_) index = (index + 1) % candidates;
+    return {false, ranking_[index].first, ranking_[index].second};
 }
 
 void ListSource::heard(Time) {
-    failures_ = 0;
-    without_since_ = 0;
-    word_by_ = 0;
+    consecutive_failures_ = 0;
+    without_list_since_ = 0;
+    response_due_at_ = 0;
 }
 
 bool ListSource::compare(Time now, std::uint64_t revision, const std::vector<Holding>& others) {
     // The first word of it ends the wait, at random: the others wait as well.
-    const bool waits = call_at_ > now && failures_ > 0 && !holds();
-    const bool none = others_.empty();
-    others_.clear();
+    const bool was_waiting = call_at_ > now && consecutive_failures_ > 0 && !is_root();
+    const bool had_none = list_holders_.empty();
+    list_holders_.clear();
     for (const auto& each : others) {
-        const auto at = places_.find(each.source.name);
-        if (place_ < 0)
-            others_.push_back(each);
-        else if (at != places_.end() && (at->second < place_ || at->second < terms_.holders))
-            others_.push_back(each);
+        const auto rank = ranks_.find(each.source.name);
+        if (rank_ < 0)
+            list_holders_.push_back(each);
+        else if (rank != ranks_.end() && (rank->second < rank_ || rank->second < settings_.roots))
+            list_holders_.push_back(each);
     }
-    if (none && !others_.empty() && waits) {
-        call_at_ =
-            std::min(call_at_, now + static_cast<Time>(chance_() % static_cast<std::uint64_t>(terms_.again)));
+    if (had_none && !list_holders_.empty() && was_waiting) {
+        call_at_ = std::min(
+            call_at_, now + static_cast<Time>(rng_() % static_cast<std::uint64_t>(settings_.retry_delay)));
         due_ = 0;
     }
     // One that has just started need not wait for its place: others have the list already.
-    if (place_ < 0 && !others_.empty() && !source_ && call_at_ == 0) {
-        without_since_ = now;
-        call_at_ = now + 1 + static_cast<Time>(chance_() % static_cast<std::uint64_t>(terms_.again));
+    if (rank_ < 0 && !list_holders_.empty() && !current_ && call_at_ == 0) {
+        without_list_since_ = now;
+        call_at_ = now + 1 + static_cast<Time>(rng_() % static_cast<std::uint64_t>(settings_.retry_delay));
         due_ = 0;
     }
-    const auto best = std::max_element(others_.begin(), others_.end(),
-                                       [](const auto& a, const auto& b) { return a.revision < b.revision; });
-    const bool behind = best != others_.end() && best->revision > revision && source_ && call_at_ == 0;
+    const auto newest =
+        std::max_element(list_holders_.begin(), list_holders_.end(),
+                         [](const auto& a, const auto& b) { return a.revision < b.revision; });
+    const bool behind =
+        newest != list_holders_.end() && newest->revision > revision && current_ && call_at_ == 0;
     if (!behind) return behind_since_ = 0, false;
     if (behind_since_ == 0) behind_since_ = now;
-    if (now - behind_since_ < terms_.behind || now < not_before_) return false;
+    if (now - behind_since_ < settings_.max_lag_time || now < next_switch_at_) return false;
     behind_since_ = 0;
     // If that one is its source already, or turns out no better, it is not asked again and again.
-    not_before_ = now + terms_.behind_again +
-                  static_cast<Time>(chance_() % static_cast<std::uint64_t>(terms_.behind_again));
-    ahead_ = best->source;
+    next_switch_at_ = now + settings_.switch_interval +
+                      static_cast<Time>(rng_() % static_cast<std::uint64_t>(settings_.switch_interval));
+    newer_holder_ = newest->source;
     call_at_ = now;
     due_ = 0;
     return true;
 }
 
 bool ListSource::is_circle(const std::vector<std::string>& via) const {
-    constexpr std::size_t kLongestWay =
+    constexpr std::size_t kMaxPathLength =
         16;  // a tree of two holders and sixteen behind each has four levels at most
-    return via.size() >= kLongestWay || std::find(via.begin(), via.end(), name_) != via.end();
+    return via.size() >= kMaxPathLength || std::find(via.begin(), via.end(), name_) != via.end();
 }
 
 // Members are asked again soon. Discovery is, at random, within the time that it would take for all that may
 // have lost their source with this one.
 void ListSource::lost(Time now) {
-    word_by_ = 0;
-    left_ = source_ ? source_->name : std::string();
-    failures_ = std::min(failures_ + 1, 16);
-    if (without_since_ == 0) without_since_ = now;
-    const Time most = holds() ? terms_.most_again_holder : terms_.most_again;
-    const Time grown = std::min(most, terms_.again << std::min(failures_ - 1, 8));
-    const Time all = terms_.each * static_cast<Time>(members_.size()) / 2;
-    const Time span = discovery_is_next(now) && !holds() ? std::max(grown, all) : grown;
-    call_at_ = now + grown / 2 + static_cast<Time>(chance_() % static_cast<std::uint64_t>(span + 1));
+    response_due_at_ = 0;
+    last_lost_ = current_ ? current_->name : std::string();
+    consecutive_failures_ = std::min(consecutive_failures_ + 1, 16);
+    if (without_list_since_ == 0) without_list_since_ = now;
+    const Time max_delay = is_root() ? settings_.max_root_retry_delay : settings_.max_retry_delay;
+    const Time delay = std::min(max_delay, settings_.retry_delay << std::min(consecutive_failures_ - 1, 8));
+    const Time all_calls = settings_.discovery_call_time * static_cast<Time>(members_.size()) / 2;
+    const Time span = should_call_discovery(now) && !is_root() ? std::max(delay, all_calls) : delay;
+    call_at_ = now + delay / 2 + static_cast<Time>(rng_() % static_cast<std::uint64_t>(span + 1));
     due_ = 0;
 }
 
 std::optional<ListSource::Source> ListSource::tick(Time now) {
-    if (unsettled_) {
+    if (is_unsettled_) {
         // One that is alone waits longer: others may have started with it and not found it yet.
-        const bool alone = members_.size() <= 1;
-        const bool still = now - changed_at_ >= terms_.settle && !alone;
-        if (still || now - first_seen_ >= terms_.most_settle) settle(now);
+        const bool isolated = members_.size() <= 1;
+        const bool stable = now - changed_at_ >= settings_.settle_time && !isolated;
+        if (stable || now - started_at_ >= settings_.max_settle_time) settle(now);
     }
     std::optional<Source> call;
-    const bool may = place_ >= 0 || !others_.empty();
-    if (may && call_at_ > 0 && now >= call_at_) {
+    const bool can_call = rank_ >= 0 || !list_holders_.empty();
+    if (can_call && call_at_ > 0 && now >= call_at_) {
         call_at_ = 0;
-        source_ = call = next_source(now);
-        word_by_ = call->discovery ? 0 : now + terms_.first_word;
+        current_ = call = next_source(now);
+        response_due_at_ = call->discovery ? 0 : now + settings_.response_timeout;
     }
-    due_ = call_at_ > 0 && may ? call_at_ : kNever;
-    if (word_by_ > now) due_ = std::min(due_, word_by_);
-    if (unsettled_)
-        due_ = std::min(
-            due_, std::max(now + 1, std::min(changed_at_ + terms_.settle, first_seen_ + terms_.most_settle)));
-    if (unsettled_ && due_ <= now) due_ = now + terms_.settle;
+    due_ = call_at_ > 0 && can_call ? call_at_ : kNever;
+    if (response_due_at_ > now) due_ = std::min(due_, response_due_at_);
+    if (is_unsettled_)
+        due_ = std::min(due_, std::max(now + 1, std::min(changed_at_ + settings_.settle_time,
+                                                         started_at_ + settings_.max_settle_time)));
+    if (is_unsettled_ && due_ <= now) due_ = now + settings_.settle_time;
     return call;
 }
 
--- a/src/peers/wire.hpp
+++ b/src/peers/wire.hpp
@@ -25,16 +25,16 @@
 namespace pinedoor::peers {
 
 inline constexpr int kWireVersion = 1;
-inline constexpr std::size_t kLargestDatagram = 1'400;
-inline constexpr std::size_t kLargestState = std::size_t{1} << 20U;
-inline constexpr std::size_t kLongestName = 64;
+inline constexpr std::size_t kMaxDatagramBytes = 1'400;
+inline constexpr std::size_t kMaxStateBytes = std::size_t{1} << 20U;
+inline constexpr std::size_t kMaxNameBytes = 64;
 
-enum class Refused { kSize, kSecret, kNoMessage, kVersion, kCluster, kField };
-const char* name_of(Refused why);
+enum class RejectReason { kSize, kSecret, kNoMessage, kVersion, kCluster, kField };
+const char* name_of(RejectReason reason);
 
-struct Letter {  // from one member to another, about a topic
+struct DirectMessage {  // from one member to another, about a topic
     std::string from, topic;
-    std::string bytes;  // kLongestValue at most
+    std::string payload;  // kLongestValue at most
 };
 
 class Wire {
@@ -42,15 +42,15 @@
     Wire(std::string cluster, std::string_view secret);
 
     std::string write(const Message& message) const;
-    std::string write(const Talk& talk) const;
-    std::string write(const Letter& letter) const;
-    std::string write_state(const std::vector<Claim>& claims) const;
-    std::variant<Message, Talk, Letter, Refused> read(std::string_view bytes) const;
-    std::variant<std::vector<Claim>, Refused> read_state(std::string_view bytes) const;
+    std::string write(const Talk& message) const;
+    std::string write(const DirectMessage& message) const;
+    std::string encode_state(const std::vector<MemberRecord>& records) const;
+    std::variant<Message, Talk, DirectMessage, RejectReason> decode(std::string_view bytes) const;
+    std::variant<std::vector<MemberRecord>, RejectReason> decode_state(std::string_view bytes) const;
 
 private:
-    std::string seal(std::string bytes) const;
-    std::optional<std::string_view> unseal(std::string_view bytes) const;
+    std::string append_mac(std::string bytes) const;
+    std::optional<std::string_view> verify_mac(std::string_view bytes) const;
 
     const std::string cluster_;
     std::string key_;  // empty: no secret
--- a/tests/peers/list_source_test.cpp
+++ b/tests/peers/list_source_test.cpp
@@ -14,10 +14,10 @@
 
 constexpr Time kSecond = 10'000;
 
-ListSource::Members members(int count, int but = -1) {
+ListSource::Members members(int count, int except = -1) {
     ListSource::Members all;
     for (int i = 0; i < count; ++i) {
-        if (i != but) all.emplace_back("n" + std::to_string(i), At{1, static_cast<std::uint16_t>(i + 1)});
+        if (i != except) all.emplace_back("n" + std::to_string(i), At{1, static_cast<std::uint16_t>(i + 1)});
     }
     return all;
 }
@@ -33,40 +33,41 @@
 
 TEST_CASE("two of three hundred ask discovery; the rest form a tree without a circle, sixteen behind each") {
     std::map<std::string, std::string> parents;
-    std::map<std::string, int> behind;
+    std::map<std::string, int> followers;
     int discovery = 0;
     for (int i = 0; i < 300; ++i) {
-        ListSource one("n" + std::to_string(i), static_cast<std::uint64_t>(i), {});
+        ListSource source("n" + std::to_string(i), static_cast<std::uint64_t>(i), {});
         Time now = 1;
-        one.set_members(now, members(300));
-        const auto call = next_call(one, now, 10 * kSecond);
+        source.set_members(now, members(300));
+        const auto call = next_call(source, now, 10 * kSecond);
         REQUIRE(call);
         CHECK(now < 4 * kSecond);
         discovery += call->discovery ? 1 : 0;
-        CHECK(call->discovery == one.holds());
-        if (!call->discovery) parents["n" + std::to_string(i)] = call->name, ++behind[call->name];
+        CHECK(call->discovery == source.is_root());
+        if (!call->discovery) parents["n" + std::to_string(i)] = call->name, ++followers[call->name];
     }
     CHECK(discovery == 2);
-    for (const auto& [name, count] : behind) CHECK(count <= 16);
+    for (const auto& [name, count] : followers) CHECK(count <= 16);
     for (const auto& [name, parent] : parents) {
         int steps = 0;
-        for (auto at = name; parents.contains(at); at = parents.at(at)) REQUIRE(++steps <= 3);
+        for (auto ancestor = name; parents.contains(ancestor); ancestor = parents.at(ancestor))
+            REQUIRE(++steps <= 3);
     }
 }
 
 TEST_CASE("a source that ends is followed by others, and only after a while by discovery, spread over time") {
     std::set<Time> at_discovery;
     for (int i = 0; i < 100; ++i) {
-        ListSource one("n" + std::to_string(i), static_cast<std::uint64_t>(i) + 7, {});
+        ListSource source("n" + std::to_string(i), static_cast<std::uint64_t>(i) + 7, {});
         Time now = 1;
-        one.set_members(now, members(100));
-        if (const auto call = next_call(one, now, 10 * kSecond); !call || call->discovery) continue;
-        one.heard(now);
+        source.set_members(now, members(100));
+        if (const auto call = next_call(source, now, 10 * kSecond); !call || call->discovery) continue;
+        source.heard(now);
         now += kSecond;
         const Time since = now;
         for (int calls = 0; calls < 40; ++calls) {
-            one.lost(now);
-            const auto call = next_call(one, now, now + 60 * kSecond);
+            source.lost(now);
+            const auto call = next_call(source, now, now + 60 * kSecond);
             REQUIRE(call);
             if (!call->discovery) continue;
             CHECK(calls >= 3);
@@ -80,133 +81,133 @@
 
 TEST_CASE(
     "whoever is served stays where it is while members come and go, unless its source or its kind changes") {
-    ListSource one("n7", 1, {});
+    ListSource source("n7", 1, {});
     Time now = 1;
-    one.set_members(now, members(60));
-    const auto call = next_call(one, now, 10 * kSecond);
+    source.set_members(now, members(60));
+    const auto call = next_call(source, now, 10 * kSecond);
     REQUIRE(call);
     REQUIRE(!call->discovery);
-    one.heard(now);
-    one.set_members(now, members(60, 3));
-    if (call->name != "n3") CHECK(!next_call(one, now, now + 20 * kSecond));
+    source.heard(now);
+    source.set_members(now, members(60, 3));
+    if (call->name != "n3") CHECK(!next_call(source, now, now + 20 * kSecond));
     const int parent = std::stoi(call->name.substr(1));
-    one.set_members(now, members(60, parent));
-    const auto other = next_call(one, now, now + 20 * kSecond);
+    source.set_members(now, members(60, parent));
+    const auto other = next_call(source, now, now + 20 * kSecond);
     REQUIRE(other);
     CHECK(other->name != call->name);
     CHECK(!other->discovery);
 }
 
 TEST_CASE("one that is alone asks discovery after a while, and a holder that its members outrank leaves it") {
-    ListSource one("n0", 1, {});
+    ListSource source("n0", 1, {});
     Time now = 1;
-    one.set_members(now, members(1));
-    auto call = next_call(one, now, 20 * kSecond);
+    source.set_members(now, members(1));
+    auto call = next_call(source, now, 20 * kSecond);
     REQUIRE(call);
     CHECK(call->discovery);
     CHECK(now >= 6 * kSecond);
-    one.heard(now);
-    one.set_members(now, members(50));
-    if (call = next_call(one, now, now + 20 * kSecond); !one.holds()) {
+    source.heard(now);
+    source.set_members(now, members(50));
+    if (call = next_call(source, now, now + 20 * kSecond); !source.is_root()) {
         REQUIRE(call);
         CHECK(!call->discovery);
     }
 }
 
-std::string holder(int count, int which) {
+std::string member_at_rank(int count, int rank) {
     for (int i = 0; i < count; ++i) {
-        ListSource one("n" + std::to_string(i), 1, {});
+        ListSource source("n" + std::to_string(i), 1, {});
         Time now = 1;
-        one.set_members(now, members(count));
-        next_call(one, now, 10 * kSecond);
-        if (one.place() == which) return "n" + std::to_string(i);
+        source.set_members(now, members(count));
+        next_call(source, now, 10 * kSecond);
+        if (source.place() == rank) return "n" + std::to_string(i);
     }
     return {};
 }
 
 TEST_CASE(
     "whoever waits for its next call is told of one that has the list, and asks it soon and not discovery") {
-    const auto first = holder(50, 0), second = holder(50, 1);
+    const auto first = member_at_rank(50, 0), second = member_at_rank(50, 1);
     for (int i = 0; i < 50; ++i) {
-        ListSource one("n" + std::to_string(i), static_cast<std::uint64_t>(i) + 3, {});
+        ListSource source("n" + std::to_string(i), static_cast<std::uint64_t>(i) + 3, {});
         Time now = 1;
-        one.set_members(now, members(50));
-        auto call = next_call(one, now, 10 * kSecond);
+        source.set_members(now, members(50));
+        auto call = next_call(source, now, 10 * kSecond);
         REQUIRE(call);
         if (call->discovery) continue;
         for (int calls = 0; calls < 2; ++calls) {  // nobody has it for a while
-            one.lost(now);
-            REQUIRE(next_call(one, now, now + 20 * kSecond));
+            source.lost(now);
+            REQUIRE(next_call(source, now, now + 20 * kSecond));
         }
-        one.lost(now);
-        CHECK(!one.compare(now, 0, {{{false, first, {1, 8}}, 12}, {{false, second, {1, 10}}, 12}}));
-        const Time told = now;
-        call = next_call(one, now, now + 20 * kSecond);
+        source.lost(now);
+        CHECK(!source.compare(now, 0, {{{false, first, {1, 8}}, 12}, {{false, second, {1, 10}}, 12}}));
+        const Time advertised_at = now;
+        call = next_call(source, now, now + 20 * kSecond);
         REQUIRE(call);
         CHECK(!call->discovery);
         CHECK((call->name == first || call->name == second));
-        CHECK(now - told <= 3'000);
+        CHECK(now - advertised_at <= 3'000);
     }
 }
 
 TEST_CASE(
     "a source that lies behind another for two seconds is left for that one, a holder's discovery too") {
-    const auto ahead_of_all = holder(50, 0);
+    const auto ahead_of_all = member_at_rank(50, 0);
     for (int i = 0; i < 50; ++i) {
         if ("n" + std::to_string(i) == ahead_of_all) continue;
-        ListSource one("n" + std::to_string(i), 1, {});
+        ListSource source("n" + std::to_string(i), 1, {});
         Time now = 1;
-        one.set_members(now, members(50));
-        REQUIRE(next_call(one, now, 10 * kSecond));
-        one.heard(now);
+        source.set_members(now, members(50));
+        REQUIRE(next_call(source, now, 10 * kSecond));
+        source.heard(now);
         const std::vector<ListSource::Holding> same{{{false, ahead_of_all, {1, 8}}, 12}},
             ahead{{{false, ahead_of_all, {1, 8}}, 13}};
-        CHECK(!one.compare(now, 12, same));
-        CHECK(!one.compare(now, 12, ahead));
-        CHECK(!one.compare(now += kSecond, 12, ahead));
-        CHECK(!one.compare(now, 13, ahead));  // it has come
-        CHECK(!one.compare(now, 13, {{{false, ahead_of_all, {1, 8}}, 14}}));
+        CHECK(!source.compare(now, 12, same));
+        CHECK(!source.compare(now, 12, ahead));
+        CHECK(!source.compare(now += kSecond, 12, ahead));
+        CHECK(!source.compare(now, 13, ahead));  // it has come
+        CHECK(!source.compare(now, 13, {{{false, ahead_of_all, {1, 8}}, 14}}));
         now += 2 * kSecond;
-        CHECK(one.compare(now, 13, {{{false, ahead_of_all, {1, 8}}, 14}}));
-        const auto call = next_call(one, now, now + kSecond);
+        CHECK(source.compare(now, 13, {{{false, ahead_of_all, {1, 8}}, 14}}));
+        const auto call = next_call(source, now, now + kSecond);
         REQUIRE(call);
         CHECK(call->name == ahead_of_all);
-        one.heard(now);
+        source.heard(now);
         // No better there: it stays for a while, whatever is said.
         for (int second = 0; second < 4; ++second, now += kSecond)
-            CHECK(!one.compare(now, 13, {{{false, ahead_of_all, {1, 8}}, 15}}));
+            CHECK(!source.compare(now, 13, {{{false, ahead_of_all, {1, 8}}, 15}}));
     }
 }
 
 // Guards against a source that stands still: the kernel takes the call, and nothing comes. Members waited
 // three seconds for the first word, and then asked the same one again, one time in two or three.
 TEST_CASE("a member that does not answer is left after 1.5 s, and another is asked next, holders too") {
-    const auto first = holder(60, 0), second = holder(60, 1);
+    const auto first = member_at_rank(60, 0), second = member_at_rank(60, 1);
     const std::vector<ListSource::Holding> both{{{false, first, {1, 8}}, 12}, {{false, second, {1, 10}}, 12}};
     std::set<std::string> next;
     for (int i = 0; i < 60; ++i) {
-        ListSource one("n" + std::to_string(i), static_cast<std::uint64_t>(i), {});
+        ListSource source("n" + std::to_string(i), static_cast<std::uint64_t>(i), {});
         Time now = 1;
-        one.set_members(now, members(60));
-        auto call = next_call(one, now, 10 * kSecond);
+        source.set_members(now, members(60));
+        auto call = next_call(source, now, 10 * kSecond);
         REQUIRE(call);
         if (call->discovery) continue;
-        CHECK(!one.is_silent(now + 14'999));
-        CHECK(one.due() <= now + 15'000);
-        CHECK(one.is_silent(now += 15'000));
+        CHECK(!source.is_silent(now + 14'999));
+        CHECK(source.due() <= now + 15'000);
+        CHECK(source.is_silent(now += 15'000));
         for (int calls = 0; calls < 6; ++calls) {
             const auto silent = call->name;
-            one.lost(now);
-            CHECK(!one.is_silent(now));
-            if (calls % 2 == 1) one.compare(now, 0, both);
-            call = next_call(one, now, now + 10 * kSecond);
+            source.lost(now);
+            CHECK(!source.is_silent(now));
+            if (calls % 2 == 1) source.compare(now, 0, both);
+            call = next_call(source, now, now + 10 * kSecond);
             REQUIRE(call);
             CHECK(call->name != silent);
             if (calls == 0) next.insert(call->name);
         }
-        one.heard(now);
-        CHECK(!one.is_silent(now +
-                             60 * kSecond));  // further silence ends the call, which is the watch's to see
+        source.heard(now);
+        CHECK(!source.is_silent(now +
+                                60 * kSecond));  // further silence ends the call, which is the watch's to see
     }
     CHECK(next.contains(first));
     CHECK(next.contains(second));
@@ -219,32 +220,32 @@
     "its own") {
     constexpr int kMembers = 30;
     std::map<std::string, int> places;
-    const auto settled = [&](int i) {
-        auto one = std::make_unique<ListSource>("n" + std::to_string(i), static_cast<std::uint64_t>(i) + 5,
-                                                ListSourceTerms{});
+    const auto settled_source = [&](int i) {
+        auto source = std::make_unique<ListSource>("n" + std::to_string(i), static_cast<std::uint64_t>(i) + 5,
+                                                   ListSourceSettings{});
         Time now = 1;
-        one->set_members(now, members(kMembers));
-        next_call(*one, now, 20 * kSecond);
-        return one;
+        source->set_members(now, members(kMembers));
+        next_call(*source, now, 20 * kSecond);
+        return source;
     };
-    for (int i = 0; i < kMembers; ++i) places["n" + std::to_string(i)] = settled(i)->place();
+    for (int i = 0; i < kMembers; ++i) places["n" + std::to_string(i)] = settled_source(i)->place();
     std::vector<ListSource::Holding> all;  // everybody says it has it
     for (const auto& [name, place] : places) all.push_back({{false, name, {1, 1}}, 7});
     for (int i = 0; i < kMembers; ++i) {
         const auto name = "n" + std::to_string(i);
-        const auto one = settled(i);
+        const auto source = settled_source(i);
         Time now = 30 * kSecond;
         for (int calls = 0; calls < 20; ++calls) {
-            one->lost(now);
-            one->compare(now, 0, all);
-            const auto call = next_call(*one, now, now + 60 * kSecond);
+            source->lost(now);
+            source->compare(now, 0, all);
+            const auto call = next_call(*source, now, now + 60 * kSecond);
             REQUIRE(call);
             if (!call->discovery) CHECK(places[call->name] < std::max(2, places[name]));
             CHECK(call->name != name);
         }
-        CHECK(one->is_circle({"n0", name}));
-        CHECK(!one->is_circle({"someone", "another"}));
-        CHECK(one->is_circle(std::vector<std::string>(16, "someone")));
+        CHECK(source->is_circle({"n0", name}));
+        CHECK(!source->is_circle({"someone", "another"}));
+        CHECK(source->is_circle(std::vector<std::string>(16, "someone")));
     }
 }
 
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -19,7 +19,7 @@
     fleet.run(30 * kSecond);
     CHECK(fleet.all_know(40));
     CHECK(fleet.deaths_told_of_living == 0);
-    CHECK(fleet.largest < 1'400);
+    CHECK(fleet.largest_message < 1'400);
 }
 
 // Guards starts: those that were refused stayed alone for up to a second, and the others had to wait for
@@ -65,8 +65,8 @@
         fleet.run(600 * kSecond);
         CAPTURE(loss);
         CHECK(fleet.deaths_told_of_living <= (loss > 0.2 ? 24 : 0));
-        CHECK(fleet.sum().suspected > 0);  // it did come to doubts
-        CHECK(fleet.sum().refuted > 0);
+        CHECK(fleet.total_counts().suspected > 0);  // it did come to doubts
+        CHECK(fleet.total_counts().refuted > 0);
         fleet.loss = 0;
         CHECK(fleet.run_until(10 * kSecond, [&] { return fleet.all_know(25); }));
     }
@@ -78,13 +78,13 @@
     SimulatedPeers fleet(20, 4);
     fleet.start_all();
     REQUIRE(fleet.run_until(10 * kSecond, [&] { return fleet.all_know(20); }));
-    for (const Time sleeps : {kSecond / 2, 5 * kSecond, 180 * kSecond}) {
-        const auto found = fleet.node(5).who->counts().found_dead;
+    for (const Time duration : {kSecond / 2, 5 * kSecond, 180 * kSecond}) {
+        const auto before = fleet.node(5).membership->counts().declared_dead;
         fleet.stop(5);
-        fleet.run(sleeps);
+        fleet.run(duration);
         fleet.wake(5);
         fleet.run(3 * kSecond);
-        CHECK(fleet.node(5).who->counts().found_dead == found);
+        CHECK(fleet.node(5).membership->counts().declared_dead == before);
         CHECK(fleet.run_until(40 * kSecond, [&] { return fleet.all_know(20); }));
     }
     CHECK(fleet.deaths_told_of_living == 0);
@@ -112,14 +112,14 @@
     fleet.cut = [](int a, int b) { return a == 3 && b == 4; };
     fleet.run(300 * kSecond);
     CHECK(fleet.all_know(12));
-    CHECK(fleet.sum().found_dead == 0);
+    CHECK(fleet.total_counts().declared_dead == 0);
 }
 
 TEST_CASE("seeds that are all gone let a member in once any of them is back") {
     SimulatedPeers fleet(6, 7, {}, {0, 1});
     for (int i = 2; i < 6; ++i) fleet.start(i);
     fleet.run(60 * kSecond);
-    for (int i = 2; i < 6; ++i) CHECK(fleet.node(i).who->alive() == 1);
+    for (int i = 2; i < 6; ++i) CHECK(fleet.node(i).membership->member_count() == 1);
     fleet.start(1);
     CHECK(fleet.run_until(60 * kSecond, [&] { return fleet.all_know(5); }));
 }
@@ -130,11 +130,11 @@
     REQUIRE(fleet.run_until(10 * kSecond, [&] { return fleet.all_know(10); }));
     fleet.kill(4);
     fleet.start(4, "", 17);  // a clock that jumped back by years
-    const auto life = fleet.node(4).who->self().life;
+    const auto instance_id = fleet.node(4).membership->self().life;
     CHECK(fleet.run_until(60 * kSecond, [&] {
-        const auto members = fleet.node(0).who->members();
+        const auto members = fleet.node(0).membership->members();
         return std::any_of(members.begin(), members.end(),
-                           [&](const auto& m) { return m.name == "n4" && m.life == life; });
+                           [&](const auto& m) { return m.name == "n4" && m.life == instance_id; });
     }));
     CHECK(fleet.run_until(10 * kSecond, [&] { return fleet.all_know(10); }));
 }
@@ -170,49 +170,50 @@
     CHECK(bytes[1] < 2'000);  // a second; whole states, every 30 s, are what grows
 }
 
-Claim any_claim() {
+MemberRecord any_record() {
     static const std::vector<std::string> kNames{"a", "b"};
-    Claim claim;
-    claim.name = *rc::gen::elementOf(kNames);
-    claim.incarnation = *rc::gen::inRange<std::uint64_t>(1, 4);
-    claim.standing = static_cast<Standing>(*rc::gen::inRange(0, 4));
-    claim.life = *rc::gen::inRange<std::uint64_t>(1, 3);
-    claim.at = {1, *rc::gen::inRange<std::uint16_t>(1, 3)};
-    claim.by = *rc::gen::elementOf(kNames);
-    return claim;
+    MemberRecord record;
+    record.name = *rc::gen::elementOf(kNames);
+    record.incarnation = *rc::gen::inRange<std::uint64_t>(1, 4);
+    record.state = static_cast<MemberState>(*rc::gen::inRange(0, 4));
+    record.life = *rc::gen::inRange<std::uint64_t>(1, 3);
+    record.at = {1, *rc::gen::inRange<std::uint16_t>(1, 3)};
+    record.reported_by = *rc::gen::elementOf(kNames);
+    return record;
 }
 
 // What holds of each name, without timers and accusers.
-std::string heard(const std::vector<Claim>& claims) {
-    Membership who("self", {1, 9}, 0, 1, 1, {}, {});
+std::string merged_state(const std::vector<MemberRecord>& records) {
+    Membership membership("self", {1, 9}, 0, 1, 1, {}, {});
     for (const auto& name : {"a", "b"}) {
-        Claim first;
+        MemberRecord first;
         first.name = name;
         first.at = {1, 1};
-        who.take(1, {Message::Kind::kNack, 0, "x", {}, "", {}, {first}});
+        membership.receive(1, {Message::Kind::kNack, 0, "x", {}, "", {}, {first}});
     }
-    for (const auto& claim : claims) who.take(1, {Message::Kind::kNack, 0, "x", {}, "", {}, {claim}});
+    for (const auto& record : records)
+        membership.receive(1, {Message::Kind::kNack, 0, "x", {}, "", {}, {record}});
     std::string text;
-    for (const auto& claim : who.state()) {
-        if (claim.name == "self") continue;
-        text += claim.name + ' ' + std::to_string(claim.incarnation) + ' ' + name_of(claim.standing) + ' ' +
-                std::to_string(claim.life) + ' ' + std::to_string(claim.at.port) + '\n';
+    for (const auto& record : membership.all_records()) {
+        if (record.name == "self") continue;
+        text += record.name + ' ' + std::to_string(record.incarnation) + ' ' + name_of(record.state) + ' ' +
+                std::to_string(record.life) + ' ' + std::to_string(record.at.port) + '\n';
     }
     return text;
 }
 
 TEST_CASE("claims come to the same in whatever order and however often they come") {
     CHECK(rc::check("merge", [] {
-        std::vector<Claim> claims;
-        for (int i = *rc::gen::inRange(0, 6); i > 0; --i) claims.push_back(any_claim());
-        const auto once = heard(claims);
-        auto again = claims;
-        again.insert(again.end(), claims.begin(), claims.end());
-        RC_ASSERT(heard(again) == once);
-        std::reverse(claims.begin(), claims.end());
-        RC_ASSERT(heard(claims) == once);
-        if (claims.size() > 1) std::rotate(claims.begin(), claims.begin() + 1, claims.end());
-        RC_ASSERT(heard(claims) == once);
+        std::vector<MemberRecord> records;
+        for (int i = *rc::gen::inRange(0, 6); i > 0; --i) records.push_back(any_record());
+        const auto once = merged_state(records);
+        auto again = records;
+        again.insert(again.end(), records.begin(), records.end());
+        RC_ASSERT(merged_state(again) == once);
+        std::reverse(records.begin(), records.end());
+        RC_ASSERT(merged_state(records) == once);
+        if (records.size() > 1) std::rotate(records.begin(), records.begin() + 1, records.end());
+        RC_ASSERT(merged_state(records) == once);
     }));
 }
 
--- a/tests/peers/processes_test.cpp
+++ b/tests/peers/processes_test.cpp
@@ -40,68 +40,68 @@
 // Whom each front node said that it knows, last before a time.
 class Views {
 public:
-    void take(const std::string& line) {
+    void add_line(const std::string& line) {
         std::istringstream words(line);
-        Time at = 0;
-        std::string what;
+        Time time = 0;
+        std::string event;
         int node = 0;
-        if (!(words >> at >> what >> node) || what != "knows") return;
-        auto& names = all_[node][at];
+        if (!(words >> time >> event >> node) || event != "knows") return;
+        auto& names = views_[node][time];
         for (std::string name; words >> name;) names.insert(name);
     }
-    std::set<std::string> at(int node, Time when) const {
-        const auto& mine = all_.at(node);
-        auto found = mine.upper_bound(when);
-        return found == mine.begin() ? std::set<std::string>{} : std::prev(found)->second;
+    std::set<std::string> view_at(int node, Time when) const {
+        const auto& views = views_.at(node);
+        auto found = views.upper_bound(when);
+        return found == views.begin() ? std::set<std::string>{} : std::prev(found)->second;
     }
     bool knows(int node, int other, Time when) const {
-        return at(node, when).contains("lab-" + std::to_string(other));
+        return view_at(node, when).contains("lab-" + std::to_string(other));
     }
 
 private:
-    std::map<int, std::map<Time, std::set<std::string>>> all_;
+    std::map<int, std::map<Time, std::set<std::string>>> views_;
 };
 
-struct Seen {
+struct FleetRun {
     FleetTotals totals;
     Views views;
     FleetReader reader;
     std::vector<Breach> breaches;
 };
-Seen play_unjudged(const std::string& faults, const World::Changes& changes) {
+FleetRun run_without_rules(const std::string& faults, const World::Changes& changes) {
     const auto world = FleetWorld::from_text(std::string(kPeers) + faults, "peers.toml", changes);
-    Seen seen{{}, {}, FleetReader(world.world.nodes), {}};
-    seen.totals = play_fleet(world, {PINEDOOR_PROGRAM, 300, {}}, [&](const std::string& line) {
-        seen.views.take(line);
-        seen.reader.take(line);
+    FleetRun run{{}, {}, FleetReader(world.world.nodes), {}};
+    run.totals = play_fleet(world, {PINEDOOR_PROGRAM, 300, {}}, [&](const std::string& line) {
+        run.views.add_line(line);
+        run.reader.take(line);
     });
-    seen.breaches = seen.reader.finish();
-    return seen;
+    run.breaches = run.reader.finish();
+    return run;
 }
-Seen play(const std::string& faults, const World::Changes& changes = {}) {
-    auto seen = play_unjudged(faults, changes);
-    test::check_rules(seen.breaches, seen.totals, faults.find("stop") != std::string::npos);
-    return seen;
+FleetRun run_fleet(const std::string& faults, const World::Changes& changes = {}) {
+    auto run = run_without_rules(faults, changes);
+    test::check_rules(run.breaches, run.totals, faults.find("stop") != std::string::npos);
+    return run;
 }
 
 TEST_CASE(
     "twelve processes find each other; those that are killed are gone, those that stood still are back") {
     test::judge(
         [&] {
-            return play(
+            return run_fleet(
                 "[[faults]]\nkind = \"kill\"\nfrom_s = 4\nuntil_s = 10\nnodes = [0, 5]\n"  // a seed among
                                                                                            // them
                 "[[faults]]\nkind = \"stop\"\nfrom_s = 4\nuntil_s = 9\nnodes = [7]\n",
                 {{"seconds", "15"}});
         },
-        [&](const auto& seen, test::Figures& figures) {
+        [&](const auto& run, test::Figures& figures) {
             for (int i = 0; i < 12; ++i) {
-                FIGURE(seen.views.at(i, 4 * kSecond).size() == 12);
-                FIGURE(seen.views.at(i, 15 * kSecond).size() == 12);  // all are back
+                FIGURE(run.views.view_at(i, 4 * kSecond).size() == 12);
+                FIGURE(run.views.view_at(i, 15 * kSecond).size() == 12);  // all are back
                 if (i == 0 || i == 5 || i == 7) continue;
-                FIGURE(!seen.views.knows(i, 0, 10 * kSecond));
-                FIGURE(!seen.views.knows(i, 5, 10 * kSecond));
-                FIGURE(seen.views.knows(i, 3, 10 * kSecond));
+                FIGURE(!run.views.knows(i, 0, 10 * kSecond));
+                FIGURE(!run.views.knows(i, 5, 10 * kSecond));
+                FIGURE(run.views.knows(i, 3, 10 * kSecond));
             }
         });
 }
@@ -109,37 +109,37 @@
 TEST_CASE("losses, doubles, swaps and flipped bits between peers make nobody a stranger") {
     test::judge(
         [&] {
-            return play(
+            return run_fleet(
                 "[[faults]]\nkind = \"links\"\nbetween = \"peers\"\nnodes = [0, 1, 2, 3, 4, 5]\nfrom_s = "
                 "3\nuntil_s = 11\n"
                 "lose = 0.15\ntwice = 0.3\nswap = 0.3\nflip = 0.05\n");
         },
-        [&](const auto& seen, test::Figures& figures) {
+        [&](const auto& run, test::Figures& figures) {
             for (int i = 0; i < 12; ++i) {
                 for (int second = 4; second < 12; second += 2)
-                    FIGURE(seen.views.at(i, second * kSecond).size() == 12);
+                    FIGURE(run.views.view_at(i, second * kSecond).size() == 12);
             }
-            FIGURE(seen.totals.totals.service() > 0.95);
+            FIGURE(run.totals.totals.service() > 0.95);
         });
 }
 
 TEST_CASE("halves that are cut apart know themselves alone, and each other again when they are healed") {
     test::judge(
         [&] {
-            return play(
+            return run_fleet(
                 "[[faults]]\nkind = \"links\"\nbetween = \"peers\"\nnodes = [0, 2, 4, 6, 8, 10]\nfrom_s = "
                 "3\nuntil_s = 9\n"
                 "cut = true\n",
                 {{"seconds", "18"}});
         },
-        [&](const auto& seen, test::Figures& figures) {
+        [&](const auto& run, test::Figures& figures) {
             for (int i = 0; i < 12; ++i) {
-                FIGURE(seen.views.at(i, 3 * kSecond).size() == 12);
-                FIGURE(seen.views.at(i, 9 * kSecond).size() == 6);
-                FIGURE(seen.views.knows(i, (i + 2) % 12, 9 * kSecond));
-                FIGURE(seen.views.at(i, 18 * kSecond).size() == 12);
+                FIGURE(run.views.view_at(i, 3 * kSecond).size() == 12);
+                FIGURE(run.views.view_at(i, 9 * kSecond).size() == 6);
+                FIGURE(run.views.knows(i, (i + 2) % 12, 9 * kSecond));
+                FIGURE(run.views.view_at(i, 18 * kSecond).size() == 12);
             }
-            FIGURE(seen.totals.totals.service() > 0.95);  // clients notice nothing of it
+            FIGURE(run.totals.totals.service() > 0.95);  // clients notice nothing of it
         });
 }
 
@@ -147,15 +147,15 @@
 
 namespace {
 
-int holder(int nodes, int which) {  // by place: so few members stand behind the first one alone
+int node_at_rank(int nodes, int rank) {  // by place: so few members stand behind the first one alone
     for (int i = 0; i < nodes; ++i) {
-        peers::ListSource one("lab-" + std::to_string(i), 1, {});
+        peers::ListSource source("lab-" + std::to_string(i), 1, {});
         peers::ListSource::Members all;
         for (int j = 0; j < nodes; ++j) all.emplace_back("lab-" + std::to_string(j), peers::At{1, 1});
-        one.set_members(1, std::move(all));
-        one.tick(1);
-        one.tick(100'000);
-        if (one.place() == which) return i;
+        source.set_members(1, std::move(all));
+        source.tick(1);
+        source.tick(100'000);
+        if (source.place() == rank) return i;
     }
     return -1;
 }
@@ -165,39 +165,39 @@
     "thirty processes that start at once with peers meet discovery with a handful of calls, and all serve") {
     test::judge(
         [&] {
-            return play("", {{"nodes", "30"},
-                             {"fleet.known", "0"},
-                             {"fleet.period_ms", "1000"},
-                             {"fleet.discovery.calls_per_second", "5"},
-                             {"seconds", "14"}});
+            return run_fleet("", {{"nodes", "30"},
+                                  {"fleet.known", "0"},
+                                  {"fleet.period_ms", "1000"},
+                                  {"fleet.discovery.calls_per_second", "5"},
+                                  {"seconds", "14"}});
         },
-        [&](const auto& seen, test::Figures& figures) {
-            FIGURE(seen.totals.calls.size() <= 12);
-            FIGURE(seen.totals.count(CallDesk::End::kRefused) == 0);
-            FIGURE(seen.reader.served_by(1) > 0);
-            FIGURE(seen.reader.served_by(0.99) < 12 * kSecond);
+        [&](const auto& run, test::Figures& figures) {
+            FIGURE(run.totals.calls.size() <= 12);
+            FIGURE(run.totals.count(CallDesk::End::kRefused) == 0);
+            FIGURE(run.reader.served_by(1) > 0);
+            FIGURE(run.reader.served_by(0.99) < 12 * kSecond);
         });
 }
 
 // The checker counts a server as told gone, to each front node, when discovery's list has it so: what reaches
 // a follower later than the stated time breaks the rule of drains.
 TEST_CASE("holders are stopped, killed and cut off from discovery; news of servers comes before and after") {
-    const auto first = std::to_string(holder(12, 0)), second = std::to_string(holder(12, 1));
+    const auto first = std::to_string(node_at_rank(12, 0)), second = std::to_string(node_at_rank(12, 1));
     test::judge(
         [&] {
-            return play("[[faults]]\nkind = \"stop\"\nfrom_s = 5\nuntil_s = 9\nnodes = [" + first + "]\n" +
-                            "[[faults]]\nkind = \"kill\"\nfrom_s = 10\nuntil_s = 12\nnodes = [" + second +
-                            "]\n" +
-                            "[[faults]]\nkind = \"links\"\nbetween = \"discovery\"\nway = \"back\"\ncut = "
-                            "true\nfrom_s = 14\n" +
-                            "until_s = 18\nnodes = [" + first + "]\n" +
-                            "[[troubles]]\nkind = \"crash\"\nfrom_s = 4\nuntil_s = 4.5\nshare = 0.25\n" +
-                            "[[troubles]]\nkind = \"crash\"\nfrom_s = 19\nuntil_s = 20\nshare = 0.25\n",
-                        {{"seconds", "24"}, {"fleet.known", "0"}, {"fleet.discovery.calls_per_second", "5"}});
+            return run_fleet(
+                "[[faults]]\nkind = \"stop\"\nfrom_s = 5\nuntil_s = 9\nnodes = [" + first + "]\n" +
+                    "[[faults]]\nkind = \"kill\"\nfrom_s = 10\nuntil_s = 12\nnodes = [" + second + "]\n" +
+                    "[[faults]]\nkind = \"links\"\nbetween = \"discovery\"\nway = \"back\"\ncut = "
+                    "true\nfrom_s = 14\n" +
+                    "until_s = 18\nnodes = [" + first + "]\n" +
+                    "[[troubles]]\nkind = \"crash\"\nfrom_s = 4\nuntil_s = 4.5\nshare = 0.25\n" +
+                    "[[troubles]]\nkind = \"crash\"\nfrom_s = 19\nuntil_s = 20\nshare = 0.25\n",
+                {{"seconds", "24"}, {"fleet.known", "0"}, {"fleet.discovery.calls_per_second", "5"}});
         },
-        [&](const auto& seen, test::Figures& figures) {
-            FIGURE(seen.totals.calls.size() <= 16);
-            FIGURE(seen.totals.count(CallDesk::End::kRefused) == 0);
+        [&](const auto& run, test::Figures& figures) {
+            FIGURE(run.totals.calls.size() <= 16);
+            FIGURE(run.totals.count(CallDesk::End::kRefused) == 0);
         });
 }
 
@@ -206,26 +206,27 @@
 // states nothing at all.
 TEST_CASE(
     "a holder is stopped and then the list is cut in half: the holder's followers know it within 4.5 s") {
-    const auto stopped = "nodes = [" + std::to_string(holder(12, 0)) + "]\n";
+    const auto stopped = "nodes = [" + std::to_string(node_at_rank(12, 0)) + "]\n";
     for (const bool at_once : {false, true}) {
         test::judge(
             [&] {
-                auto seen =
-                    play_unjudged("[[faults]]\nkind = \"stop\"\nfrom_s = 4\nuntil_s = 11\n" + stopped +
-                                      "[[faults]]\nkind = \"discovery-half\"\nfrom_s = 4.2\nuntil_s = 10\n",
-                                  {{"fleet.known", "0"},
-                                   {"fleet.period_ms", "1000"},
-                                   {"clients.0.per_second", "120"},
-                                   {"fleet.news_by_ms", at_once ? "0" : "4500"}});
-                CHECK(seen.totals.totals.bad_exits == 0);
-                return seen;
+                auto run = run_without_rules(
+                    "[[faults]]\nkind = \"stop\"\nfrom_s = 4\nuntil_s = 11\n" + stopped +
+                        "[[faults]]\nkind = \"discovery-half\"\nfrom_s = 4.2\nuntil_s = 10\n",
+                    {{"fleet.known", "0"},
+                     {"fleet.period_ms", "1000"},
+                     {"clients.0.per_second", "120"},
+                     {"fleet.news_by_ms", at_once ? "0" : "4500"}});
+                CHECK(run.totals.totals.bad_exits == 0);
+                return run;
             },
-            [&](const auto& seen, test::Figures& figures) {
-                int late = 0;
-                for (const auto& each : seen.breaches) late += each.rule == Breach::Rule::kDrainsKept ? 1 : 0;
-                if (!at_once) CHECK(late == 0);  // the rule of drains, in each play
-                FIGURE(!at_once || late > 0);
-                FIGURE(seen.totals.calls.size() <= 16);
+            [&](const auto& run, test::Figures& figures) {
+                int drain_breaches = 0;
+                for (const auto& each : run.breaches)
+                    drain_breaches += each.rule == Breach::Rule::kDrainsKept ? 1 : 0;
+                if (!at_once) CHECK(drain_breaches == 0);  // the rule of drains, in each play
+                FIGURE(!at_once || drain_breaches > 0);
+                FIGURE(run.totals.calls.size() <= 16);
             });
     }
 }
--- a/tests/peers/wire_test.cpp
+++ b/tests/peers/wire_test.cpp
@@ -8,70 +8,74 @@
 
 using namespace pinedoor::peers;
 
-Message example() {
-    Claim claim{"n1", 1'700'000'000'000, Standing::kSuspect, 0xfedcba9876543210U, {0x7f000001, 7946}, 2,
-                "n7"};
-    return {Message::Kind::kPingFor, 77, "n0", {0x7f000001, 1}, "n1", {0x7f000001, 2}, {claim, claim}};
+Message example_message() {
+    MemberRecord record{
+        "n1", 1'700'000'000'000, MemberState::kSuspect, 0xfedcba9876543210U, {0x7f000001, 7946}, 2, "n7"};
+    return {Message::Kind::kPingRequest, 77, "n0", {0x7f000001, 1}, "n1", {0x7f000001, 2}, {record, record}};
 }
 
-Refused refused(const Wire& wire, std::string_view bytes) { return std::get<Refused>(wire.read(bytes)); }
+RejectReason reject_reason(const Wire& wire, std::string_view bytes) {
+    return std::get<RejectReason>(wire.decode(bytes));
+}
 
 TEST_CASE("what is written is read, with and without a secret") {
     for (const char* secret : {"", "sixteen letters!"}) {
         const Wire wire("here", secret);
-        const auto bytes = wire.write(example());
-        const auto read = std::get<Message>(wire.read(bytes));
-        CHECK(wire.write(read) == bytes);
-        CHECK(read.number == 77);
-        CHECK(read.claims.at(1).life == 0xfedcba9876543210U);
-        const auto claims = std::get<std::vector<Claim>>(wire.read_state(wire.write_state(example().claims)));
-        CHECK(claims.size() == 2);
-        CHECK(claims[0].by == "n7");
+        const auto bytes = wire.write(example_message());
+        const auto decoded = std::get<Message>(wire.decode(bytes));
+        CHECK(wire.write(decoded) == bytes);
+        CHECK(decoded.sequence == 77);
+        CHECK(decoded.records.at(1).life == 0xfedcba9876543210U);
+        const auto records = std::get<std::vector<MemberRecord>>(
+            wire.decode_state(wire.encode_state(example_message().records)));
+        CHECK(records.size() == 2);
+        CHECK(records[0].reported_by == "n7");
     }
 }
 
 TEST_CASE("another cluster, another version, another secret, too much: each refused by its name") {
     const Wire wire("here", "");
-    CHECK(refused(wire, Wire("there", "").write(example())) == Refused::kCluster);
-    CHECK(refused(Wire("here", "sixteen letters!"), wire.write(example())) == Refused::kSecret);
-    CHECK(refused(Wire("here", "sixteen letters!"), Wire("here", "sixteen letters?").write(example())) ==
-          Refused::kSecret);
-    auto newer = wire.write(example());
+    CHECK(reject_reason(wire, Wire("there", "").write(example_message())) == RejectReason::kCluster);
+    CHECK(reject_reason(Wire("here", "sixteen letters!"), wire.write(example_message())) ==
+          RejectReason::kSecret);
+    CHECK(reject_reason(Wire("here", "sixteen letters!"),
+                        Wire("here", "sixteen letters?").write(example_message())) == RejectReason::kSecret);
+    auto newer = wire.write(example_message());
     newer[newer.find("pinedoor") + 8] = 2;  // the version, which CBOR writes as itself
-    CHECK(refused(wire, newer) == Refused::kVersion);
-    CHECK(refused(wire, std::string(kLargestDatagram + 1, 'x')) == Refused::kSize);
-    CHECK(refused(wire, "") == Refused::kNoMessage);
-    CHECK(refused(wire, wire.write_state({})) == Refused::kField);
-    auto bad = example();
-    bad.claims[0].name = "a b";
-    CHECK(refused(wire, wire.write(bad)) == Refused::kField);
-    bad = example();
-    bad.claims[0].name = std::string(65, 'x');
-    CHECK(refused(wire, wire.write(bad)) == Refused::kNoMessage);
+    CHECK(reject_reason(wire, newer) == RejectReason::kVersion);
+    CHECK(reject_reason(wire, std::string(kMaxDatagramBytes + 1, 'x')) == RejectReason::kSize);
+    CHECK(reject_reason(wire, "") == RejectReason::kNoMessage);
+    CHECK(reject_reason(wire, wire.encode_state({})) == RejectReason::kField);
+    auto bad = example_message();
+    bad.records[0].name = "a b";
+    CHECK(reject_reason(wire, wire.write(bad)) == RejectReason::kField);
+    bad = example_message();
+    bad.records[0].name = std::string(65, 'x');
+    CHECK(reject_reason(wire, wire.write(bad)) == RejectReason::kNoMessage);
     // Arrays in arrays, as deep as they go, end at the second.
-    CHECK(refused(wire, std::string(1'000, '\x81')) == Refused::kNoMessage);
-    CHECK(std::holds_alternative<Refused>(wire.read_state(std::string(kLargestState, '\x81'))));
+    CHECK(reject_reason(wire, std::string(1'000, '\x81')) == RejectReason::kNoMessage);
+    CHECK(std::holds_alternative<RejectReason>(wire.decode_state(std::string(kMaxStateBytes, '\x81'))));
 }
 
 TEST_CASE(
     "a message that was cut or changed anywhere is refused under a secret, and never harms without one") {
-    const Wire open("here", ""), sealed("here", "sixteen letters!");
-    const auto plain = open.write(example()), closed = sealed.write(example());
-    for (std::size_t i = 0; i < closed.size(); ++i) {
-        auto changed = closed;
+    const Wire unsealed("here", ""), sealed("here", "sixteen letters!");
+    const auto plain = unsealed.write(example_message()), sealed_bytes = sealed.write(example_message());
+    for (std::size_t i = 0; i < sealed_bytes.size(); ++i) {
+        auto changed = sealed_bytes;
         changed[i] = static_cast<char>(changed[i] ^ 0x10);
-        CHECK(refused(sealed, changed) == Refused::kSecret);
-        CHECK(std::holds_alternative<Refused>(sealed.read(closed.substr(0, i))));
-        if (i < plain.size()) open.read(plain.substr(0, i));
+        CHECK(reject_reason(sealed, changed) == RejectReason::kSecret);
+        CHECK(std::holds_alternative<RejectReason>(sealed.decode(sealed_bytes.substr(0, i))));
+        if (i < plain.size()) unsealed.decode(plain.substr(0, i));
     }
     CHECK(rc::check("changed bytes", [&] {
         auto changed = plain;
         for (int n = *rc::gen::inRange(1, 6); n > 0; --n)
             changed[*rc::gen::inRange<std::size_t>(0, changed.size())] = *rc::gen::arbitrary<char>();
-        const auto read = open.read(changed);
-        if (const auto* message = std::get_if<Message>(&read)) {
-            RC_ASSERT(message->from.size() <= kLongestName);
-            for (const auto& claim : message->claims) RC_ASSERT(!claim.name.empty() && claim.zone >= 0);
+        const auto decoded = unsealed.decode(changed);
+        if (const auto* message = std::get_if<Message>(&decoded)) {
+            RC_ASSERT(message->from.size() <= kMaxNameBytes);
+            for (const auto& record : message->records) RC_ASSERT(!record.name.empty() && record.zone >= 0);
         }
     }));
 }
