--- a/src/store/asked_again.cpp
+++ b/src/store/asked_again.cpp
@@ -6,8 +6,8 @@
 namespace pinedoor::store {
 
 std::optional<std::string> read_key(std::string_view header) {
-    const auto trim = header.find_first_not_of(" \t");
-    header.remove_prefix(std::min(trim, header.size()));
+    const auto first = header.find_first_not_of(" \t");
+    header.remove_prefix(std::min(first, header.size()));
     header = header.substr(0, header.find_last_not_of(" \t") + 1);
     if (header.size() < 2 || header.front() != '"' || header.back() != '"') return std::nullopt;
     std::string key;
@@ -21,21 +21,21 @@
         if (c < ' ' || c > '~') return std::nullopt;
         key.push_back(c);
     }
-    if (key.empty() || key.size() > kLongestKey) return std::nullopt;
+    if (key.empty() || key.size() > kMaxKeyLength) return std::nullopt;
     return key;
 }
 
-AskedAgain judge(const Holder& holder, std::string_view fingerprint) {
-    if (holder.fingerprint != fingerprint) return AskedAgain::kOtherBody;
-    if (!holder.fate) return holder.alive ? AskedAgain::kUnderWay : AskedAgain::kInDoubt;
+RepeatVerdict judge_repeat(const KeyHolder& holder, std::string_view fingerprint) {
+    if (holder.fingerprint != fingerprint) return RepeatVerdict::kDifferentBody;
+    if (!holder.fate) return holder.alive ? RepeatVerdict::kInProgress : RepeatVerdict::kInDoubt;
     switch (*holder.fate) {
         case Fate::kAnswered:
         case Fate::kAnsweredInPart:
-            return holder.answer.empty() ? AskedAgain::kAnswerNotKept : AskedAgain::kAnswer;
+            return holder.answer.empty() ? RepeatVerdict::kAnswerNotKept : RepeatVerdict::kAnswer;
         case Fate::kRefused:  // of a part that may have run: a key that is free is not held
         case Fate::kFailed: break;
     }
-    return AskedAgain::kFailed;
+    return RepeatVerdict::kFailed;
 }
 
 bool frees_key(Fate fate, const PartFates& parts, bool retriable) {
@@ -49,15 +49,15 @@
     std::vector<bool> recorded(op_types.size());
     for (std::size_t i = 0; i < op_types.size(); ++i) recorded[i] = named.empty() && !retriable[i];
     for (const auto& name : named) {
-        const auto at = std::find(op_types.begin(), op_types.end(), name);
-        if (at == op_types.end())
+        const auto found = std::find(op_types.begin(), op_types.end(), name);
+        if (found == op_types.end())
             throw std::invalid_argument("store.op_types: '" + name + "' is no op type here");
-        recorded[static_cast<std::size_t>(at - op_types.begin())] = true;
+        recorded[static_cast<std::size_t>(found - op_types.begin())] = true;
     }
     return recorded;
 }
 
-Fate fate_of_left(const PartFates& parts) {
+Fate outcome_after_disconnect(const PartFates& parts) {
     return frees_key(Fate::kRefused, parts, false) ? Fate::kRefused : Fate::kFailed;
 }
 
--- a/src/store/asked_again.hpp
+++ b/src/store/asked_again.hpp
@@ -17,20 +17,20 @@
 
 namespace pinedoor::store {
 
-constexpr std::size_t kLongestKey = 255;
+constexpr std::size_t kMaxKeyLength = 255;
 
 // The key in a header's value; none if it is no structured string or has a length that is not taken.
 std::optional<std::string> read_key(std::string_view header);
 
-enum class AskedAgain : std::uint8_t {
+enum class RepeatVerdict : std::uint8_t {
     kAnswer,         // the recorded answer, and no send
     kAnswerNotKept,  // answered, but the answer was too large to keep
-    kUnderWay,       // 409: ask again later
+    kInProgress,     // 409: ask again later
     kInDoubt,        // it may have run, and is never run again
     kFailed,         // it has failed, and is never run again
-    kOtherBody       // 422
+    kDifferentBody   // 422
 };
-AskedAgain judge(const Holder& holder, std::string_view fingerprint);
+RepeatVerdict judge_repeat(const KeyHolder& holder, std::string_view fingerprint);
 
 // Whether a multiget that ended like this leaves its key free. Not if any part may have run, for the next one
 // would be a second run; where runs are harmless (`retriable`) every refusal does.
@@ -42,6 +42,6 @@
                         const std::vector<std::string>& named);
 
 // The fate of a multiget whose client has left before its end.
-Fate fate_of_left(const PartFates& parts);
+Fate outcome_after_disconnect(const PartFates& parts);
 
 }  // namespace pinedoor::store
--- a/src/store/backend.hpp
+++ b/src/store/backend.hpp
@@ -17,30 +17,30 @@
 public:
     struct Enrolled {
         bool good = false;
-        bool schema = false;  // it fails by its schema: a person must act
+        bool schema_error = false;  // it fails by its schema: a person must act
         std::uint64_t incarnation = 0;
         std::string why;
     };
-    enum class End { kStored, kRefused, kEntriesAtFault, kUnsure };
+    enum class End { kStored, kRejected, kEntriesRejected, kUnknown };
     struct Written {
-        End end = End::kRefused;
+        End end = End::kRejected;
         std::vector<Claim> claims;  // kStored: one for each entry
         std::vector<bool> present;  // after settle()
-        std::string why;
+        std::string error;
     };
 
     virtual ~Backend() = default;
     // Connects, checks the schema (a new SQLite file gets one) and enrolls; what was open before is closed.
     virtual void open(Registration registration, std::function<void(Enrolled)> done) = 0;
     virtual void write(Entries entries, std::function<void(Written)> done) = 0;
-    virtual void settle(Entries entries, std::function<void(Written)> done) = 0;
+    virtual void reconcile(Entries entries, std::function<void(Written)> done) = 0;
     // Says that this process is alive and deletes what is old (0: nothing); its failure is found by others.
-    virtual void tend(Time delete_before, std::size_t most,
-                      std::function<void(std::size_t deleted)> done) = 0;
+    virtual void maintain(Time delete_before, std::size_t max_deletes,
+                          std::function<void(std::size_t deleted)> done) = 0;
     // Says that this process ends in order; done() is called within the time, whatever comes of it.
-    virtual void leave(Time within, std::function<void()> done) = 0;
+    virtual void deregister(Time timeout, std::function<void()> done) = 0;
     // Told when an open store goes away while nothing is asked of it.
-    virtual void on_lost(std::function<void()> lost) = 0;
+    virtual void on_lost(std::function<void()> callback) = 0;
 };
 
 }  // namespace pinedoor::store
--- a/src/store/catalog.cpp
+++ b/src/store/catalog.cpp
@@ -7,26 +7,27 @@
 namespace pinedoor::store {
 namespace {
 
-constexpr std::array<Fate, 4> kFates{Fate::kAnswered, Fate::kAnsweredInPart, Fate::kRefused, Fate::kFailed};
+constexpr std::array<Fate, 4> kOutcomeKinds{Fate::kAnswered, Fate::kAnsweredInPart, Fate::kRefused,
+                                            Fate::kFailed};
 
 std::string state_of(std::int64_t fate, bool alive) {
     if (fate >= 1 && fate <= 4) return std::string(name_of(static_cast<Fate>(fate)));
-    return alive ? kUnderWay : kInDoubt;
+    return alive ? kStateInProgress : kStateInDoubt;
 }
 
-std::uint64_t unsigned_of(const Value& value) { return static_cast<std::uint64_t>(number_of(value)); }
+std::uint64_t to_unsigned(const Value& value) { return static_cast<std::uint64_t>(number_of(value)); }
 
-std::vector<Value> names(const RecordId& id) {
+std::vector<Value> id_values(const RecordId& id) {
     return {id.node, static_cast<std::int64_t>(id.incarnation), static_cast<std::int64_t>(id.number)};
 }
 
 }  // namespace
 
-std::string print_id(const RecordId& id) {
+std::string format_id(const RecordId& id) {
     return id.node + '/' + std::to_string(id.incarnation) + '/' + std::to_string(id.number);
 }
 
-std::optional<RecordId> read_id(const std::string& text) {
+std::optional<RecordId> parse_id(const std::string& text) {
     const auto last = text.rfind('/');
     if (last == std::string::npos || last == 0) return std::nullopt;
     const auto middle = text.rfind('/', last - 1);
@@ -44,11 +45,11 @@
     return id;
 }
 
-bool is_state(const std::string& text) {
-    return fate_named(text).has_value() || text == kInDoubt || text == kUnderWay;
+bool is_record_state(const std::string& text) {
+    return parse_outcome_kind(text).has_value() || text == kStateInDoubt || text == kStateInProgress;
 }
 
-std::vector<Record> list(SqlDb& db, const Filter& filter, Time lease) {
+std::vector<Record> list_records(SqlDb& db, const Filter& filter, Time lease) {
     std::string where = "coalesce(r.asked, 0) >= $1 AND coalesce(r.asked, 0) < $2";
     std::vector<Value> values{filter.since, filter.until, lease};
     const auto add = [&values](Value value) {
@@ -57,14 +58,14 @@
         name.insert(name.begin(), '$');
         return name;
     };
-    if (const auto fate = fate_named(filter.state)) {
+    if (const auto fate = parse_outcome_kind(filter.state)) {
         where += " AND r.fate = " + add(static_cast<std::int64_t>(*fate));
     } else if (!filter.state.empty()) {
-        where += std::string(" AND r.fate IS NULL AND ") + (filter.state == kInDoubt ? "NOT " : "") +
-                 alive_term("r", "$3");
+        where += std::string(" AND r.fate IS NULL AND ") + (filter.state == kStateInDoubt ? "NOT " : "") +
+                 alive_condition("r", "$3");
     }
     if (filter.tenant) where += " AND r.tenant = " + add(*filter.tenant);
-    if (!filter.client.empty()) where += " AND r.client = " + add(filter.client);
+    if (!filter.request_name.empty()) where += " AND r.client = " + add(filter.request_name);
     if (!filter.op_type.empty()) where += " AND r.op_type = " + add(filter.op_type);
     if (!filter.key.empty()) where += " AND r.ikey = " + add(filter.key);
     if (filter.id) {
@@ -72,34 +73,34 @@
                  " AND r.incarnation = " + add(static_cast<std::int64_t>(filter.id->incarnation)) +
                  " AND r.number = " + add(static_cast<std::int64_t>(filter.id->number));
     }
-    if (filter.after_asked >= 0) {
+    if (filter.after_requested_at >= 0) {
         where += " AND (coalesce(r.asked, 0), r.node, r.incarnation, r.number) > (" +
-                 add(filter.after_asked) + ", " + add(filter.after.node) + ", " +
-                 add(static_cast<std::int64_t>(filter.after.incarnation)) + ", " +
-                 add(static_cast<std::int64_t>(filter.after.number)) + ')';
+                 add(filter.after_requested_at) + ", " + add(filter.after_id.node) + ", " +
+                 add(static_cast<std::int64_t>(filter.after_id.incarnation)) + ", " +
+                 add(static_cast<std::int64_t>(filter.after_id.number)) + ')';
     }
     const auto rows =
-        db.run("SELECT r.node, r.incarnation, r.number, r.fate, CASE WHEN " + alive_term("r", "$3") +
+        db.run("SELECT r.node, r.incarnation, r.number, r.fate, CASE WHEN " + alive_condition("r", "$3") +
                    " THEN 1 ELSE 0 END, r.op_type, r.tenant, r.client, r.ikey, r.asked, r.not_after, "
                    "r.parts, r.ended, "
                    "r.part_fates, r.note, r.answer FROM records r WHERE " +
                    where + " ORDER BY coalesce(r.asked, 0), r.node, r.incarnation, r.number LIMIT " +
-                   add(static_cast<std::int64_t>(filter.most)),
+                   add(static_cast<std::int64_t>(filter.max_records)),
                values);
     std::vector<Record> records;
     for (const auto& row : rows) {
         Record record;
-        record.id = {text_of(row.at(0)), unsigned_of(row.at(1)), unsigned_of(row.at(2))};
+        record.id = {text_of(row.at(0)), to_unsigned(row.at(1)), to_unsigned(row.at(2))};
         record.state = state_of(number_of(row.at(3)), number_of(row.at(4)) != 0);
         record.op_type = text_of(row.at(5));
         record.tenant = text_of(row.at(6));
-        record.client = text_of(row.at(7));
+        record.request_name = text_of(row.at(7));
         record.key = text_of(row.at(8));
-        record.asked = number_of(row.at(9));
-        record.not_after = number_of(row.at(10));
-        record.parts = number_of(row.at(11));
-        record.ended = number_of(row.at(12));
-        record.part_fates = text_of(row.at(13));
+        record.requested_at = number_of(row.at(9));
+        record.deadline = number_of(row.at(10));
+        record.part_count = number_of(row.at(11));
+        record.ended_at = number_of(row.at(12));
+        record.part_outcomes = text_of(row.at(13));
         record.note = text_of(row.at(14));
         record.answer = text_of(row.at(15));
         records.push_back(std::move(record));
@@ -107,29 +108,29 @@
     return records;
 }
 
-std::vector<Settled> history_of(SqlDb& db, const RecordId& id) {
-    std::vector<Settled> history;
+std::vector<Resolution> resolution_history(SqlDb& db, const RecordId& id) {
+    std::vector<Resolution> history;
     for (const auto& row : db.run("SELECT at, who, why, was, became FROM history WHERE node = $1 AND "
                                   "incarnation = $2 AND number = $3 ORDER BY at",
-                                  names(id))) {
+                                  id_values(id))) {
         history.push_back({number_of(row.at(0)), text_of(row.at(1)), text_of(row.at(2)),
                            state_of(number_of(row.at(3)), false), state_of(number_of(row.at(4)), false)});
     }
     return history;
 }
 
-Resolved resolve(SqlDb& db, const RecordId& id, Fate became, const std::string& who, const std::string& why,
-                 Time lease) {
+ResolveResult resolve(SqlDb& db, const RecordId& id, Fate outcome_kind, const std::string& resolved_by,
+                      const std::string& reason, Time lease) {
     Transaction transaction(db);
     Filter filter;
     filter.id = id;
-    const auto found = list(db, filter, lease);
-    if (found.empty()) return Resolved::kUnknown;
-    if (found[0].state != kInDoubt) return Resolved::kNotInDoubt;
-    auto values = names(id);
-    values.emplace_back(static_cast<std::int64_t>(became));
-    values.emplace_back(who);
-    values.emplace_back(why);
+    const auto records = list_records(db, filter, lease);
+    if (records.empty()) return ResolveResult::kNotFound;
+    if (records[0].state != kStateInDoubt) return ResolveResult::kNotInDoubt;
+    auto values = id_values(id);
+    values.emplace_back(static_cast<std::int64_t>(outcome_kind));
+    values.emplace_back(resolved_by);
+    values.emplace_back(reason);
     db.run(
         "INSERT INTO history(node, incarnation, number, at, who, why, was, became) "
         "VALUES ($1, $2, $3, pinedoor_now(), $5, $6, 0, $4)",
@@ -138,28 +139,28 @@
     db.run(
         "UPDATE records SET fate = $4, note = $5 WHERE node = $1 AND incarnation = $2 AND number = $3 AND "
         "fate IS NULL",
-        {values[0], values[1], values[2], values[3], "settled by " + who + ": " + why});
+        {values[0], values[1], values[2], values[3], "settled by " + resolved_by + ": " + reason});
     db.run("UPDATE claims SET state = $4 WHERE node = $1 AND incarnation = $2 AND number = $3",
-           {values[0], values[1], values[2], std::int64_t{became == Fate::kRefused ? 1 : 2}});
+           {values[0], values[1], values[2], std::int64_t{outcome_kind == Fate::kRefused ? 1 : 2}});
     transaction.commit();
-    return Resolved::kDone;
+    return ResolveResult::kResolved;
 }
 
 Summary summary(SqlDb& db, Time lease) {
-    Summary found;
-    found.schema = schema_version(db);
-    for (const auto fate : kFates) {
-        found.by_state.emplace_back(name_of(fate),
-                                    number_of(db.run("SELECT count(*) FROM records WHERE fate = $1",
-                                                     {static_cast<std::int64_t>(fate)})
-                                                  .at(0)
-                                                  .at(0)));
+    Summary result;
+    result.schema = schema_version(db);
+    for (const auto fate : kOutcomeKinds) {
+        result.by_state.emplace_back(name_of(fate),
+                                     number_of(db.run("SELECT count(*) FROM records WHERE fate = $1",
+                                                      {static_cast<std::int64_t>(fate)})
+                                                   .at(0)
+                                                   .at(0)));
     }
     for (const bool alive : {true, false}) {
-        found.by_state.emplace_back(
-            alive ? kUnderWay : kInDoubt,
+        result.by_state.emplace_back(
+            alive ? kStateInProgress : kStateInDoubt,
             number_of(db.run(std::string("SELECT count(*) FROM records r WHERE r.fate IS NULL AND ") +
-                                 (alive ? "" : "NOT ") + alive_term("r", "$1"),
+                                 (alive ? "" : "NOT ") + alive_condition("r", "$1"),
                              {lease})
                           .at(0)
                           .at(0)));
@@ -170,15 +171,15 @@
                                   "FROM incarnations j WHERE "
                                   "j.node = i.node AND j.incarnation > i.incarnation) ORDER BY node",
                                   {lease})) {
-        found.processes.push_back({text_of(row.at(0)), number_of(row.at(1)), number_of(row.at(2)),
-                                   number_of(row.at(3)), number_of(row.at(4)), number_of(row.at(5)) != 0});
+        result.processes.push_back({text_of(row.at(0)), number_of(row.at(1)), number_of(row.at(2)),
+                                    number_of(row.at(3)), number_of(row.at(4)), number_of(row.at(5)) != 0});
     }
-    return found;
+    return result;
 }
 
-std::vector<std::string> find_contradictions(SqlDb& db) {
+std::vector<std::string> find_inconsistencies(SqlDb& db) {
     struct Check {
-        const char* what;
+        const char* description;
         const char* query;
     };
     constexpr std::array<Check, 3> kChecks{{
@@ -192,30 +193,30 @@
          "r.number = c.number WHERE c.state = 0 AND r.fate IS NOT NULL"},
         {"records with a fate that is none", "SELECT count(*) FROM records WHERE fate < 1 OR fate > 4"},
     }};
-    std::vector<std::string> found;
+    std::vector<std::string> inconsistencies;
     for (const auto& check : kChecks) {
         const auto count = number_of(db.run(check.query).at(0).at(0));
-        if (count != 0) found.push_back(std::to_string(count) + ' ' + check.what);
+        if (count != 0) inconsistencies.push_back(std::to_string(count) + ' ' + check.description);
     }
-    return found;
+    return inconsistencies;
 }
 
 namespace {
 
 // Calls `each` for every row of a table of the copy, in the order of its first three columns, `step` rows in
 // one transaction of the store.
-template <class Each>
-void copy_rows(SqlDb& db, SqlDb& copy, const std::string& columns, const std::string& table, std::size_t step,
-               Each each) {
+template <class RowFunction>
+void copy_rows(SqlDb& db, SqlDb& copy, const std::string& columns, const std::string& table,
+               std::size_t batch_size, RowFunction on_row) {
     const auto order = columns.substr(0, columns.find(',', columns.find(',', columns.find(',') + 1) + 1));
     std::vector<Value> after{std::string(), std::int64_t{-1}, std::int64_t{-1}};
     for (;;) {
         const auto rows = copy.run("SELECT " + columns + " FROM " + table + " WHERE (" + order +
                                        ") > ($1, $2, $3) ORDER BY " + order + " LIMIT $4",
-                                   {after[0], after[1], after[2], static_cast<std::int64_t>(step)});
+                                   {after[0], after[1], after[2], static_cast<std::int64_t>(batch_size)});
         if (rows.empty()) return;
         Transaction transaction(db);
-        for (const auto& row : rows) each(row);
+        for (const auto& row : rows) on_row(row);
         transaction.commit();
         after.assign(rows.back().begin(), rows.back().begin() + 3);
     }
@@ -223,8 +224,8 @@
 
 }  // namespace
 
-TakenBack take_back(SqlDb& db, SqlDb& copy, std::size_t step) {
-    TakenBack taken;
+RestoreResult restore_copy(SqlDb& db, SqlDb& copy, std::size_t batch_size) {
+    RestoreResult result;
     for (const auto& row :
          copy.run("SELECT node, incarnation, birth, started, seen, ended FROM incarnations")) {
         db.run(
@@ -232,47 +233,47 @@
             "VALUES ($1, $2, $3, $4, $5, $6) ON CONFLICT DO NOTHING",
             row);
     }
-    const std::string named = " WHERE node = $1 AND incarnation = $2 AND number = $3";
+    const std::string id_condition = " WHERE node = $1 AND incarnation = $2 AND number = $3";
     copy_rows(
         db, copy,
         "node, incarnation, number, op_type, tenant, client, ikey, asked, not_after, parts, fate, ended, "
         "part_fates, note, answer",
-        "records", step, [&](const Row& row) {
-            const auto there = db.run("SELECT fate FROM records" + named, {row[0], row[1], row[2]});
-            if (there.empty()) {
+        "records", batch_size, [&](const Row& row) {
+            const auto existing = db.run("SELECT fate FROM records" + id_condition, {row[0], row[1], row[2]});
+            if (existing.empty()) {
                 db.run(
                     "INSERT INTO records(node, incarnation, number, op_type, tenant, client, ikey, asked, "
                     "not_after, parts, fate, ended, part_fates, note, answer) VALUES ($1, $2, $3, $4, $5, "
                     "$6, $7, $8, $9, $10, $11, $12, $13, $14, $15) ON CONFLICT DO NOTHING",
                     row);
-                ++taken.records;
-            } else if (std::holds_alternative<std::monostate>(there[0][0]) &&
+                ++result.records;
+            } else if (std::holds_alternative<std::monostate>(existing[0][0]) &&
                        !std::holds_alternative<std::monostate>(row[10])) {
                 db.run("UPDATE records SET fate = $4, ended = $5, part_fates = $6, note = $7, answer = $8" +
-                           named + " AND fate IS NULL",
+                           id_condition + " AND fate IS NULL",
                        {row[0], row[1], row[2], row[10], row[11], row[12], row[13], row[14]});
-                ++taken.outcomes;
+                ++result.outcomes;
             }
         });
     // A key goes with its record: as the copy has it where nobody holds it, closed where the record is
     // closed.
     copy_rows(
-        db, copy, "node, incarnation, number, tenant, ikey, fingerprint, asked, state", "claims", step,
+        db, copy, "node, incarnation, number, tenant, ikey, fingerprint, asked, state", "claims", batch_size,
         [&](const Row& row) {
-            const auto there =
+            const auto existing =
                 db.run("SELECT node, incarnation, number FROM claims WHERE tenant = $1 AND ikey = $2",
                        {row[3], row[4]});
-            if (there.empty()) {
+            if (existing.empty()) {
                 db.run(
                     "INSERT INTO claims(node, incarnation, number, tenant, ikey, fingerprint, asked, state) "
                     "VALUES ($1, $2, $3, $4, $5, $6, $7, $8) ON CONFLICT DO NOTHING",
                     row);
-                ++taken.keys;
-            } else if (std::equal(there[0].begin(), there[0].end(), row.begin())) {
+                ++result.keys;
+            } else if (std::equal(existing[0].begin(), existing[0].end(), row.begin())) {
                 db.run("UPDATE claims SET state = $3 WHERE tenant = $1 AND ikey = $2 AND state = 0",
                        {row[3], row[4], row[7]});
             } else {
-                ++taken.keys_held;
+                ++result.conflicting_keys;
             }
         });
     for (const auto& row :
@@ -280,10 +281,10 @@
         db.run(
             "INSERT INTO history(node, incarnation, number, at, who, why, was, became) "
             "SELECT $1, $2, $3, $4, $5, $6, $7, $8 WHERE NOT EXISTS (SELECT 1 FROM history" +
-                named + " AND at = $4)",
+                id_condition + " AND at = $4)",
             row);
     }
-    return taken;
+    return result;
 }
 
 }  // namespace pinedoor::store
--- a/src/store/crash_point.hpp
+++ b/src/store/crash_point.hpp
@@ -15,20 +15,20 @@
 class CrashPoints {
 public:
     CrashPoints() {
-        const char* told = std::getenv("PINEDOOR_CRASH_AT");
-        if (told == nullptr) return;
-        const std::string_view text(told);
+        const char* configured = std::getenv("PINEDOOR_CRASH_AT");
+        if (configured == nullptr) return;
+        const std::string_view text(configured);
         name_ = text.substr(0, text.find(':'));
         if (const auto colon = text.find(':'); colon != std::string_view::npos)
-            left_ = std::atoi(std::string(text.substr(colon + 1)).c_str());
+            remaining_ = std::atoi(std::string(text.substr(colon + 1)).c_str());
     }
     void pass(std::string_view name) {
-        if (name == name_ && --left_ <= 0) raise(SIGKILL);
+        if (name == name_ && --remaining_ <= 0) raise(SIGKILL);
     }
 
 private:
     std::string name_;
-    int left_ = 1;
+    int remaining_ = 1;
 };
 #else
 class CrashPoints {
--- a/src/store/decide.cpp
+++ b/src/store/decide.cpp
@@ -7,22 +7,22 @@
 namespace pinedoor::store {
 namespace {
 
-using Half = Ref::Half;
+using Kind = EntryRef::Kind;
 
-Time share_of(double share, Time now, Time not_after) {
-    return now + static_cast<Time>(share * static_cast<double>(std::max<Time>(0, not_after - now)));
+Time share_of(double share, Time now, Time deadline) {
+    return now + static_cast<Time>(share * static_cast<double>(std::max<Time>(0, deadline - now)));
 }
 
-bool holds(const std::vector<Ref>& sorted, const Ref& ref) {
+bool contains(const std::vector<EntryRef>& sorted, const EntryRef& ref) {
     return std::binary_search(sorted.begin(), sorted.end(), ref);
 }
 
 }  // namespace
 
-std::string_view name_of(Why why) {
+std::string_view name_of(RejectReason reason) {
     constexpr std::array<std::string_view, 5> kNames{"store away", "store slow", "no room", "key held",
                                                      "entry refused"};
-    return kNames.at(static_cast<std::size_t>(why));
+    return kNames.at(static_cast<std::size_t>(reason));
 }
 
 std::string_view name_of(Condition condition) {
@@ -32,454 +32,467 @@
 
 std::vector<Action> Recorder::start(Time now) {
     reopen_at_ = now;
-    return step(now);
+    return run_turn(now);
 }
 
-std::vector<Action> Recorder::take(Time now, const Event& event) {
+std::vector<Action> Recorder::handle(Time now, const Event& event) {
     now_ = std::max(now_, now);
-    std::visit([this](const auto& what) { on(what); }, event);
-    return step(now);
+    std::visit([this](const auto& each) { on(each); }, event);
+    return run_turn(now);
 }
 
-std::vector<Action> Recorder::step(Time now) {
+std::vector<Action> Recorder::run_turn(Time now) {
     now_ = std::max(now_, now);
-    if (condition_ == Condition::kUp && out_ && now_ >= out_->slow_at) {
-        go(Condition::kSlow);
-        spill_what_waits();
+    if (condition_ == Condition::kUp && outstanding_ && now_ >= outstanding_->slow_at) {
+        set_condition(Condition::kSlow);
+        spill_waiting();
     }
-    give_up_overdue();
-    begin_writes();
-    begin_spill();
-    set_wake();
+    expire_waits();
+    start_store_write();
+    start_spill_write();
+    schedule_wake();
     return std::exchange(actions_, {});
 }
 
-bool Recorder::can_happen(bool holds) {
-    assert(holds);
-    if (!holds) ++impossible_;
-    return holds;
+bool Recorder::expect(bool condition_met) {
+    assert(condition_met);
+    if (!condition_met) ++unexpected_events_;
+    return condition_met;
 }
 
 // --- What comes in ---
 
-void Recorder::on(const Wanted& wanted) {
-    const Ref ref{Half::kIntent, wanted.number};
-    if (!can_happen(!entries_.contains(ref))) return;
-    if (entries_.size() >= terms_.most_waiting) {
-        actions_.emplace_back(TurnAway{wanted.number, Why::kNoRoom, false, advice()});
-        actions_.emplace_back(Forget{ref, false});
+void Recorder::on(const IntentSubmitted& submitted) {
+    const EntryRef ref{Kind::kIntent, submitted.number};
+    if (!expect(!entries_.contains(ref))) return;
+    if (entries_.size() >= config_.most_waiting) {
+        actions_.emplace_back(
+            RejectMultiget{submitted.number, RejectReason::kNoCapacity, false, retry_advice()});
+        actions_.emplace_back(DiscardEntry{ref, false});
         return;
     }
-    Held held;
-    held.bytes = wanted.bytes;
-    held.store_only = wanted.keyed || !named_;
-    held.awaited = true;
-    held.give_up = share_of(terms_.intent_share, now_, wanted.not_after);
-    waits_.emplace(held.give_up, ref);
-    place(entries_.emplace(ref, held).first);
-}
-
-void Recorder::on(const Over& over) {
-    const Ref ref{Half::kOutcome, over.number};
-    if (!can_happen(!entries_.contains(ref))) return;
-    open_.erase(over.number);
-    Held held;
-    held.bytes = over.bytes;
-    const auto unreserved = terms_.spill_bytes - std::min(terms_.spill_bytes, spill_bytes_ + spill_pending_);
-    if (!direct() && over.bytes > over.bytes_without_answer && over.bytes > spill_room() &&
-        over.bytes_without_answer <= unreserved) {
-        held.bytes = over.bytes_without_answer;
-        actions_.emplace_back(DropAnswer{over.number});
+    Pending pending;
+    pending.bytes = submitted.bytes;
+    pending.store_only = submitted.keyed || !incarnation_known_;
+    pending.awaited = true;
+    pending.wait_deadline = share_of(config_.intent_share, now_, submitted.deadline);
+    wait_deadlines_.emplace(pending.wait_deadline, ref);
+    route(entries_.emplace(ref, pending).first);
+}
+
+void Recorder::on(const OutcomeSubmitted& submitted) {
+    const EntryRef ref{Kind::kOutcome, submitted.number};
+    if (!expect(!entries_.contains(ref))) return;
+    open_multigets_.erase(submitted.number);
+    Pending pending;
+    pending.bytes = submitted.bytes;
+    const auto unreserved =
+        config_.spill_bytes - std::min(config_.spill_bytes, spill_bytes_ + spill_pending_bytes_);
+    if (!writes_directly() && submitted.bytes > submitted.bytes_without_answer &&
+        submitted.bytes > spill_free_bytes() && submitted.bytes_without_answer <= unreserved) {
+        pending.bytes = submitted.bytes_without_answer;
+        actions_.emplace_back(DropAnswer{submitted.number});
     }
-    if (over.answered) {
-        held.awaited = true;
-        held.give_up = share_of(terms_.answer_share, now_, over.not_after);
-        waits_.emplace(held.give_up, ref);
+    if (submitted.answered) {
+        pending.awaited = true;
+        pending.wait_deadline = share_of(config_.answer_share, now_, submitted.deadline);
+        wait_deadlines_.emplace(pending.wait_deadline, ref);
     }
-    place(entries_.emplace(ref, held).first);
+    route(entries_.emplace(ref, pending).first);
 }
 
-void Recorder::on(const Opened&) {
-    if (!can_happen(opening_)) return;
+void Recorder::on(const StoreOpened&) {
+    if (!expect(opening_)) return;
     opening_ = false;
-    named_ = true;
-    go(Condition::kUp);
-    if (!spill_fails_) return;
+    incarnation_known_ = true;
+    set_condition(Condition::kUp);
+    if (!spill_failing_) return;
     // The spill cannot be written: what gathered for it goes to the store that is back.
-    for (const auto& ref : std::exchange(for_spill_, {})) {
-        const auto at = entries_.find(ref);
-        if (at == entries_.end() || at->second.spill != Spill::kQueued) continue;
-        at->second.spill = Spill::kNo;
-        spill_pending_ -= at->second.bytes;
-        if (at->second.place == Place::kNowhere) queue_for_store(at);
+    for (const auto& ref : std::exchange(spill_queue_, {})) {
+        const auto entry = entries_.find(ref);
+        if (entry == entries_.end() || entry->second.spill_state != SpillState::kQueued) continue;
+        entry->second.spill_state = SpillState::kNone;
+        spill_pending_bytes_ -= entry->second.bytes;
+        if (entry->second.store_state == StoreState::kNone) queue_for_store(entry);
     }
 }
 
-void Recorder::on(const OpenFailed&) {
-    if (!can_happen(opening_)) return;
+void Recorder::on(const StoreOpenFailed&) {
+    if (!expect(opening_)) return;
     opening_ = false;
-    go_down();
-    turn_store_only_away();
+    mark_down();
+    reject_store_only();
 }
 
-void Recorder::on(const Lost&) {
+void Recorder::on(const ConnectionLost&) {
     if (condition_ == Condition::kDown || condition_ == Condition::kOpening) return;
-    go_down();
+    mark_down();
 }
 
-void Recorder::on(const Stored& stored) {
-    const auto out = take_out(stored.batch);
-    if (!out) return;
-    failures_ = 0;
-    if (condition_ == Condition::kSlow) go(Condition::kUp);
-    if (out->kind == Out::Kind::kReplay) {
-        replay_singly_ -= std::min<std::size_t>(replay_singly_, 1);
+void Recorder::on(const WriteStored& stored) {
+    const auto outstanding = take_outstanding(stored.batch);
+    if (!outstanding) return;
+    consecutive_failures_ = 0;
+    if (condition_ == Condition::kSlow) set_condition(Condition::kUp);
+    if (outstanding->kind == OutstandingWrite::Kind::kReplay) {
+        single_replays_left_ -= std::min<std::size_t>(single_replays_left_, 1);
         return;
     }
-    if (out->kind == Out::Kind::kSettle) unsettled_.clear();
-    end_write(*out, stored);
+    if (outstanding->kind == OutstandingWrite::Kind::kReconcile) unreconciled_.clear();
+    finish_write(*outstanding, stored);
 }
 
-void Recorder::end_write(const Out& out, const Stored& stored) {
-    auto held = stored.held;
+void Recorder::finish_write(const OutstandingWrite& outstanding, const WriteStored& stored) {
+    auto held_elsewhere = stored.held_elsewhere;
     auto absent = stored.absent;
-    std::sort(held.begin(), held.end());
+    std::sort(held_elsewhere.begin(), held_elsewhere.end());
     std::sort(absent.begin(), absent.end());
-    for (auto each = out.refs.rbegin(); each != out.refs.rend(); ++each) {
-        const auto at = entries_.find(*each);
-        if (at == entries_.end()) continue;  // durable by way of the spill, or turned away
-        if (holds(absent, *each)) {
-            at->second.place = Place::kNowhere;
-            if (at->second.spill == Spill::kNo) queue_for_store(at, true);
+    for (auto each = outstanding.refs.rbegin(); each != outstanding.refs.rend(); ++each) {
+        const auto entry = entries_.find(*each);
+        if (entry == entries_.end()) continue;  // durable by way of the spill, or turned away
+        if (contains(absent, *each)) {
+            entry->second.store_state = StoreState::kNone;
+            if (entry->second.spill_state == SpillState::kNone) queue_for_store(entry, true);
         }
     }
-    for (const auto& ref : out.refs) {
-        const auto at = entries_.find(ref);
-        if (at == entries_.end() || holds(absent, ref)) continue;
-        if (holds(held, ref)) {
-            at->second.place = Place::kNowhere;
-            at->second.touched = false;  // somebody else's: nothing of this one is in the store
-            if (at->second.awaited)
-                turn_away(ref.number, Why::kKeyHeld);
+    for (const auto& ref : outstanding.refs) {
+        const auto entry = entries_.find(ref);
+        if (entry == entries_.end() || contains(absent, ref)) continue;
+        if (contains(held_elsewhere, ref)) {
+            entry->second.store_state = StoreState::kNone;
+            entry->second.write_attempted = false;  // somebody else's: nothing of this one is in the store
+            if (entry->second.awaited)
+                reject(ref.number, RejectReason::kKeyHeld);
             else
-                drop(at);
+                discard(entry);
         } else {
-            durable(ref);
+            on_durable(ref);
         }
     }
 }
 
-void Recorder::on(const Refused& refused) {
-    const auto out = take_out(refused.batch);
-    if (!out) return;
-    const bool alone = out->refs.size() == 1;
-    if (refused.entries_at_fault && out->kind == Out::Kind::kReplay) {
-        if (condition_ == Condition::kSlow) go(Condition::kUp);
-        if (replay_singly_ > 0) {
-            --replay_singly_;
-            actions_.emplace_back(Skip{});
+void Recorder::on(const WriteRejected& rejected) {
+    const auto outstanding = take_outstanding(rejected.batch);
+    if (!outstanding) return;
+    const bool alone = outstanding->refs.size() == 1;
+    if (rejected.entries_rejected && outstanding->kind == OutstandingWrite::Kind::kReplay) {
+        if (condition_ == Condition::kSlow) set_condition(Condition::kUp);
+        if (single_replays_left_ > 0) {
+            --single_replays_left_;
+            actions_.emplace_back(SetAsideSpilled{});
         } else {
-            replay_singly_ = terms_.most_batch;
+            single_replays_left_ = config_.most_batch;
         }
         return;
     }
-    for (auto each = out->refs.rbegin(); each != out->refs.rend() && out->kind == Out::Kind::kWrite; ++each) {
-        const auto at = entries_.find(*each);
-        if (at == entries_.end()) continue;
-        at->second.place = Place::kNowhere;
-        const bool wanted = each->half == Half::kOutcome || at->second.awaited;
-        if (at->second.spill != Spill::kNo) continue;
-        if (!wanted) {
-            drop(at);
-        } else if (refused.entries_at_fault && alone) {
-            at->second.touched = false;
-            if (each->half == Half::kIntent) {
-                turn_away(each->number, Why::kEntryRefused);
+    for (auto each = outstanding->refs.rbegin();
+         each != outstanding->refs.rend() && outstanding->kind == OutstandingWrite::Kind::kWrite; ++each) {
+        const auto entry = entries_.find(*each);
+        if (entry == entries_.end()) continue;
+        entry->second.store_state = StoreState::kNone;
+        const bool needed = each->kind == Kind::kOutcome || entry->second.awaited;
+        if (entry->second.spill_state != SpillState::kNone) continue;
+        if (!needed) {
+            discard(entry);
+        } else if (rejected.entries_rejected && alone) {
+            entry->second.write_attempted = false;
+            if (each->kind == Kind::kIntent) {
+                reject(each->number, RejectReason::kEntryRejected);
             } else {
-                if (at->second.awaited) actions_.emplace_back(Release{each->number, false});
-                drop(at, true);
+                if (entry->second.awaited) actions_.emplace_back(ReleaseAnswer{each->number, false});
+                discard(entry, true);
             }
         } else {
-            queue_for_store(at, true);
+            queue_for_store(entry, true);
         }
     }
-    if (refused.entries_at_fault) {
-        if (condition_ == Condition::kSlow) go(Condition::kUp);
-        if (!alone) singly_ = out->refs.size();
+    if (rejected.entries_rejected) {
+        if (condition_ == Condition::kSlow) set_condition(Condition::kUp);
+        if (!alone) single_writes_left_ = outstanding->refs.size();
         return;
     }
-    ++failures_;  // it opens well and takes nothing: no second try at once
-    go_down();
-    turn_store_only_away();
-}
-
-void Recorder::on(const Unsure& unsure) {
-    const auto out = take_out(unsure.batch);
-    if (!out) return;
-    for (const auto& ref : out->refs) {
-        const auto at = entries_.find(ref);
-        if (at == entries_.end() || out->kind != Out::Kind::kWrite) continue;
-        if (ref.half == Half::kIntent && !at->second.awaited && at->second.spill == Spill::kNo) {
-            drop(at);  // its refusal is on the way, which stands whether this one comes in or not
+    ++consecutive_failures_;  // it opens well and takes nothing: no second try at once
+    mark_down();
+    reject_store_only();
+}
+
+void Recorder::on(const WriteUnknown& unknown) {
+    const auto outstanding = take_outstanding(unknown.batch);
+    if (!outstanding) return;
+    for (const auto& ref : outstanding->refs) {
+        const auto entry = entries_.find(ref);
+        if (entry == entries_.end() || outstanding->kind != OutstandingWrite::Kind::kWrite) continue;
+        if (ref.kind == Kind::kIntent && !entry->second.awaited &&
+            entry->second.spill_state == SpillState::kNone) {
+            discard(entry);  // its refusal is on the way, which stands whether this one comes in or not
             continue;
         }
-        at->second.place = Place::kUnsettled;
-        unsettled_.push_back(ref);
-        if (!at->second.store_only && at->second.spill == Spill::kNo) queue_for_spill(at);
+        entry->second.store_state = StoreState::kUnreconciled;
+        unreconciled_.push_back(ref);
+        if (!entry->second.store_only && entry->second.spill_state == SpillState::kNone)
+            queue_for_spill(entry);
     }
-    go_down();
+    mark_down();
 }
 
-void Recorder::on(const Spilled& spilled) {
-    if (!can_happen(spilling_ && spilling_->first == spilled.batch)) return;
-    const auto refs = std::move(spilling_->second);
-    spilling_.reset();
-    spill_fails_ = !spilled.good;
-    if (spill_fails_) spill_again_at_ = now_ + terms_.reopen_from;
+void Recorder::on(const SpillWritten& spilled) {
+    if (!expect(spill_write_ && spill_write_->first == spilled.batch)) return;
+    const auto refs = std::move(spill_write_->second);
+    spill_write_.reset();
+    spill_failing_ = !spilled.ok;
+    if (spill_failing_) spill_retry_at_ = now_ + config_.reopen_from;
     for (const auto& ref : refs) {
-        const auto at = entries_.find(ref);
-        if (at == entries_.end()) continue;
-        if (spilled.good) {
-            durable(ref);
+        const auto entry = entries_.find(ref);
+        if (entry == entries_.end()) continue;
+        if (spilled.ok) {
+            on_durable(ref);
             continue;
         }
-        at->second.spill = Spill::kNo;
-        spill_pending_ -= at->second.bytes;
-        if (at->second.place != Place::kNowhere) continue;
-        if (ref.half == Half::kIntent && !at->second.awaited)
-            drop(at);  // turned away meanwhile, with a refusal of its own
+        entry->second.spill_state = SpillState::kNone;
+        spill_pending_bytes_ -= entry->second.bytes;
+        if (entry->second.store_state != StoreState::kNone) continue;
+        if (ref.kind == Kind::kIntent && !entry->second.awaited)
+            discard(entry);  // turned away meanwhile, with a refusal of its own
         else
-            place(at);
+            route(entry);
     }
 }
 
-void Recorder::on(const SpillHolds& holds) {
-    spill_entries_ = holds.entries;
-    spill_bytes_ = holds.bytes;
+void Recorder::on(const SpillLevel& level) {
+    spill_entries_ = level.entries;
+    spill_bytes_ = level.bytes;
 }
 
 // --- Where an entry goes ---
 
 // Nearly caught up counts: what comes now waits for the last replay instead of keeping it going for ever.
-bool Recorder::direct() const {
-    return condition_ == Condition::kUp && unsettled_.empty() &&
-           spill_entries_ + for_spill_.size() + (spilling_ ? spilling_->second.size() : 0) <=
-               terms_.most_batch;
+bool Recorder::writes_directly() const {
+    return condition_ == Condition::kUp && unreconciled_.empty() &&
+           spill_entries_ + spill_queue_.size() + (spill_write_ ? spill_write_->second.size() : 0) <=
+               config_.most_batch;
 }
 
-std::size_t Recorder::spill_room() const {
-    const auto used = spill_bytes_ + spill_pending_ + open_.size() * terms_.outcome_room;
-    return terms_.spill_bytes - std::min(terms_.spill_bytes, used);
+std::size_t Recorder::spill_free_bytes() const {
+    const auto used = spill_bytes_ + spill_pending_bytes_ + open_multigets_.size() * config_.outcome_room;
+    return config_.spill_bytes - std::min(config_.spill_bytes, used);
 }
 
-void Recorder::place(At at) {
-    const auto [ref, held] = *at;
-    if (held.store_only || direct()) return queue_for_store(at);
-    const bool intent = ref.half == Half::kIntent;
-    const auto needed = held.bytes + (intent ? terms_.outcome_room : 0);
-    const bool fits =
-        intent ? needed <= spill_room() : spill_bytes_ + spill_pending_ + needed <= terms_.spill_bytes;
-    if (fits && spill_usable()) return queue_for_spill(at);
+void Recorder::route(EntryIter entry) {
+    const auto [ref, pending] = *entry;
+    if (pending.store_only || writes_directly()) return queue_for_store(entry);
+    const bool is_intent = ref.kind == Kind::kIntent;
+    const auto needed = pending.bytes + (is_intent ? config_.outcome_room : 0);
+    const bool fits = is_intent ? needed <= spill_free_bytes()
+                                : spill_bytes_ + spill_pending_bytes_ + needed <= config_.spill_bytes;
+    if (fits && spill_usable()) return queue_for_spill(entry);
     // With the spill full or failing the store alone is left, if it takes anything.
-    if (condition_ == Condition::kUp || !intent) return queue_for_store(at);
-    turn_away(ref.number, fits ? Why::kStoreAway : Why::kNoRoom);
+    if (condition_ == Condition::kUp || !is_intent) return queue_for_store(entry);
+    reject(ref.number, fits ? RejectReason::kStoreDown : RejectReason::kNoCapacity);
 }
 
-void Recorder::queue_for_store(At at, bool first) {
-    if (for_store_.empty()) gathering_since_ = now_;
-    at->second.place = Place::kQueued;
-    if (first)
-        for_store_.push_front(at->first);
+void Recorder::queue_for_store(EntryIter entry, bool front) {
+    if (store_queue_.empty()) batch_started_at_ = now_;
+    entry->second.store_state = StoreState::kQueued;
+    if (front)
+        store_queue_.push_front(entry->first);
     else
-        for_store_.push_back(at->first);
+        store_queue_.push_back(entry->first);
 }
 
-void Recorder::queue_for_spill(At at) {
-    at->second.spill = Spill::kQueued;
-    spill_pending_ += at->second.bytes;
-    for_spill_.push_back(at->first);
+void Recorder::queue_for_spill(EntryIter entry) {
+    entry->second.spill_state = SpillState::kQueued;
+    spill_pending_bytes_ += entry->second.bytes;
+    spill_queue_.push_back(entry->first);
 }
 
 // The store does not answer in time: what is plain and waits for it goes to the spill as well.
-void Recorder::spill_what_waits() {
+void Recorder::spill_waiting() {
     if (!spill_usable()) return;
-    std::vector<Ref> refs(for_store_.begin(), for_store_.end());
-    if (out_) refs.insert(refs.end(), out_->refs.begin(), out_->refs.end());
+    std::vector<EntryRef> refs(store_queue_.begin(), store_queue_.end());
+    if (outstanding_) refs.insert(refs.end(), outstanding_->refs.begin(), outstanding_->refs.end());
     for (const auto& ref : refs) {
-        const auto at = entries_.find(ref);
-        if (at == entries_.end() || at->second.store_only || at->second.spill != Spill::kNo) continue;
-        if (ref.half == Half::kIntent && !at->second.awaited) continue;
-        if (spill_bytes_ + spill_pending_ + at->second.bytes > terms_.spill_bytes) continue;
-        if (at->second.place == Place::kQueued) at->second.place = Place::kNowhere;
-        queue_for_spill(at);
+        const auto entry = entries_.find(ref);
+        if (entry == entries_.end() || entry->second.store_only ||
+            entry->second.spill_state != SpillState::kNone)
+            continue;
+        if (ref.kind == Kind::kIntent && !entry->second.awaited) continue;
+        if (spill_bytes_ + spill_pending_bytes_ + entry->second.bytes > config_.spill_bytes) continue;
+        if (entry->second.store_state == StoreState::kQueued) entry->second.store_state = StoreState::kNone;
+        queue_for_spill(entry);
     }
 }
 
 // --- What becomes of those who wait ---
 
-void Recorder::durable(Ref ref) {
-    const auto at = entries_.find(ref);
-    const bool awaited = at->second.awaited;
-    if (awaited && ref.half == Half::kIntent) {
-        open_.insert(ref.number);
+void Recorder::on_durable(EntryRef ref) {
+    const auto entry = entries_.find(ref);
+    const bool awaited = entry->second.awaited;
+    if (awaited && ref.kind == Kind::kIntent) {
+        open_multigets_.insert(ref.number);
         actions_.emplace_back(Proceed{ref.number});
     } else if (awaited) {
-        actions_.emplace_back(Release{ref.number, true});
+        actions_.emplace_back(ReleaseAnswer{ref.number, true});
     }
-    drop(at);
+    discard(entry);
 }
 
-void Recorder::drop(At at, bool lost) {
-    const auto& [ref, held] = *at;
-    waits_.erase({held.give_up, ref});
-    if (held.spill != Spill::kNo) spill_pending_ -= held.bytes;
-    actions_.emplace_back(Forget{ref, lost});
-    entries_.erase(at);
+void Recorder::discard(EntryIter entry, bool lost) {
+    const auto& [ref, pending] = *entry;
+    wait_deadlines_.erase({pending.wait_deadline, ref});
+    if (pending.spill_state != SpillState::kNone) spill_pending_bytes_ -= pending.bytes;
+    actions_.emplace_back(DiscardEntry{ref, lost});
+    entries_.erase(entry);
 }
 
-void Recorder::turn_away(Number number, Why why) {
-    const auto at = entries_.find({Half::kIntent, number});
-    auto& held = at->second;
-    actions_.emplace_back(TurnAway{number, why, held.touched, advice()});
-    waits_.erase({held.give_up, at->first});
-    held.awaited = false;
-    const bool on_its_way = held.place == Place::kInWrite || held.spill == Spill::kInWrite;
-    if (!on_its_way) drop(at);
+void Recorder::reject(RecordNumber number, RejectReason reason) {
+    const auto entry = entries_.find({Kind::kIntent, number});
+    auto& pending = entry->second;
+    actions_.emplace_back(RejectMultiget{number, reason, pending.write_attempted, retry_advice()});
+    wait_deadlines_.erase({pending.wait_deadline, entry->first});
+    pending.awaited = false;
+    const bool write_in_progress =
+        pending.store_state == StoreState::kInWrite || pending.spill_state == SpillState::kInWrite;
+    if (!write_in_progress) discard(entry);
 }
 
 // When the store is tried next, or a slow one may have caught up.
-Time Recorder::advice() const {
-    return std::max(terms_.reopen_from,
-                    condition_ == Condition::kDown ? reopen_at_ - now_ : terms_.slow_after);
+Time Recorder::retry_advice() const {
+    return std::max(config_.reopen_from,
+                    condition_ == Condition::kDown ? reopen_at_ - now_ : config_.slow_after);
 }
 
-void Recorder::turn_store_only_away() {
-    std::vector<Ref> away;
-    for (const auto& [ref, held] : entries_) {
-        if (held.store_only && held.awaited) away.push_back(ref);
+void Recorder::reject_store_only() {
+    std::vector<EntryRef> rejected;
+    for (const auto& [ref, pending] : entries_) {
+        if (pending.store_only && pending.awaited) rejected.push_back(ref);
     }
-    for (const auto& ref : away) turn_away(ref.number, Why::kStoreAway);
+    for (const auto& ref : rejected) reject(ref.number, RejectReason::kStoreDown);
 }
 
-void Recorder::give_up_overdue() {
-    while (!waits_.empty() && waits_.begin()->first <= now_) {
-        const auto ref = waits_.begin()->second;
-        if (ref.half == Half::kIntent) {
-            turn_away(ref.number, condition_ == Condition::kDown ? Why::kStoreAway : Why::kStoreSlow);
+void Recorder::expire_waits() {
+    while (!wait_deadlines_.empty() && wait_deadlines_.begin()->first <= now_) {
+        const auto ref = wait_deadlines_.begin()->second;
+        if (ref.kind == Kind::kIntent) {
+            reject(ref.number,
+                   condition_ == Condition::kDown ? RejectReason::kStoreDown : RejectReason::kStoreSlow);
             continue;
         }
-        waits_.erase(waits_.begin());
+        wait_deadlines_.erase(wait_deadlines_.begin());
         entries_.at(ref).awaited = false;
-        actions_.emplace_back(Release{ref.number, false});
+        actions_.emplace_back(ReleaseAnswer{ref.number, false});
     }
 }
 
 // --- The store's condition ---
 
-void Recorder::go(Condition condition) {
+void Recorder::set_condition(Condition condition) {
     if (condition_ == condition) return;
     condition_ = condition;
-    actions_.emplace_back(Now{condition});
+    actions_.emplace_back(ConditionChanged{condition});
 }
 
-void Recorder::go_down() {
-    const auto step = std::min(failures_ - 1, 20);
-    const auto wait = failures_ == 0 ? 0 : std::min(terms_.reopen_to, terms_.reopen_from << step);
-    ++failures_;
-    const double spread =
-        0.5 + 0.5 * (static_cast<double>(chance_()) / static_cast<double>(std::mt19937::max()));
-    reopen_at_ = now_ + static_cast<Time>(spread * static_cast<double>(wait));
-    go(Condition::kDown);
-    spill_what_waits();
+void Recorder::mark_down() {
+    const auto exponent = std::min(consecutive_failures_ - 1, 20);
+    const auto delay =
+        consecutive_failures_ == 0 ? 0 : std::min(config_.reopen_to, config_.reopen_from << exponent);
+    ++consecutive_failures_;
+    const double jitter =
+        0.5 + 0.5 * (static_cast<double>(rng_()) / static_cast<double>(std::mt19937::max()));
+    reopen_at_ = now_ + static_cast<Time>(jitter * static_cast<double>(delay));
+    set_condition(Condition::kDown);
+    spill_waiting();
 }
 
-std::optional<Recorder::Out> Recorder::take_out(Batch batch) {
-    if (!can_happen(out_ && out_->batch == batch)) return std::nullopt;
-    return std::exchange(out_, std::nullopt);
+std::optional<Recorder::OutstandingWrite> Recorder::take_outstanding(BatchId batch) {
+    if (!expect(outstanding_ && outstanding_->batch == batch)) return std::nullopt;
+    return std::exchange(outstanding_, std::nullopt);
 }
 
 // --- Writes ---
 
-Batch Recorder::begin(Out::Kind kind, std::vector<Ref> refs) {
-    out_ = Out{++last_batch_, std::move(refs), now_ + terms_.slow_after, kind};
+BatchId Recorder::start_store_work(OutstandingWrite::Kind kind, std::vector<EntryRef> refs) {
+    outstanding_ = OutstandingWrite{++last_batch_, std::move(refs), now_ + config_.slow_after, kind};
     return last_batch_;
 }
 
-void Recorder::begin_writes() {
-    if ((condition_ == Condition::kDown || condition_ == Condition::kOpening) && !opening_ && !out_ &&
+void Recorder::start_store_write() {
+    if ((condition_ == Condition::kDown || condition_ == Condition::kOpening) && !opening_ && !outstanding_ &&
         now_ >= reopen_at_) {
         opening_ = true;
-        actions_.emplace_back(Open{});
+        actions_.emplace_back(OpenStore{});
     }
-    if (condition_ != Condition::kUp || out_) return;
-    std::erase_if(unsettled_, [this](const Ref& ref) { return !entries_.contains(ref); });
-    if (!unsettled_.empty()) {
-        actions_.emplace_back(Settle{begin(Out::Kind::kSettle, unsettled_), unsettled_});
+    if (condition_ != Condition::kUp || outstanding_) return;
+    std::erase_if(unreconciled_, [this](const EntryRef& ref) { return !entries_.contains(ref); });
+    if (!unreconciled_.empty()) {
+        actions_.emplace_back(ReconcileBatch{
+            start_store_work(OutstandingWrite::Kind::kReconcile, unreconciled_), unreconciled_});
     } else if (spill_entries_ > 0) {
         // First of all: an outcome in the spill may be that of a key which is asked for now.
-        actions_.emplace_back(
-            Replay{begin(Out::Kind::kReplay, {}), replay_singly_ > 0 ? 1 : terms_.most_batch});
-    } else if (auto refs = gather_for_store(); !refs.empty()) {
+        actions_.emplace_back(ReplaySpill{start_store_work(OutstandingWrite::Kind::kReplay, {}),
+                                          single_replays_left_ > 0 ? 1 : config_.most_batch});
+    } else if (auto refs = next_store_batch(); !refs.empty()) {
         for (const auto& ref : refs) {
-            auto& held = entries_.at(ref);
-            held.place = Place::kInWrite;
-            held.touched = true;
+            auto& pending = entries_.at(ref);
+            pending.store_state = StoreState::kInWrite;
+            pending.write_attempted = true;
         }
-        actions_.emplace_back(Write{begin(Out::Kind::kWrite, refs), refs});
+        actions_.emplace_back(WriteBatch{start_store_work(OutstandingWrite::Kind::kWrite, refs), refs});
     }
 }
 
-std::vector<Ref> Recorder::gather_for_store() {
-    while (!for_store_.empty()) {  // what was turned away or went to the spill leaves its place in the queue
-        const auto at = entries_.find(for_store_.front());
-        if (at != entries_.end() && at->second.place == Place::kQueued) break;
-        for_store_.pop_front();
+std::vector<EntryRef> Recorder::next_store_batch() {
+    while (
+        !store_queue_.empty()) {  // what was turned away or went to the spill leaves its place in the queue
+        const auto entry = entries_.find(store_queue_.front());
+        if (entry != entries_.end() && entry->second.store_state == StoreState::kQueued) break;
+        store_queue_.pop_front();
     }
-    const bool enough = for_store_.size() >= terms_.most_batch || singly_ > 0;
-    if (!enough && now_ < gathering_since_ + terms_.gather) return {};
-    std::vector<Ref> refs;
-    const auto most = singly_ > 0 ? 1 : terms_.most_batch;
-    singly_ -= std::min<std::size_t>(singly_, 1);
-    while (refs.size() < most && !for_store_.empty()) {
-        const auto ref = for_store_.front();
-        for_store_.pop_front();
-        const auto at = entries_.find(ref);
-        if (at == entries_.end() || at->second.place != Place::kQueued) continue;
-        at->second.place = Place::kInWrite;  // so that a second mention in the queue is passed over
+    const bool ready = store_queue_.size() >= config_.most_batch || single_writes_left_ > 0;
+    if (!ready && now_ < batch_started_at_ + config_.gather) return {};
+    std::vector<EntryRef> refs;
+    const auto max_entries = single_writes_left_ > 0 ? 1 : config_.most_batch;
+    single_writes_left_ -= std::min<std::size_t>(single_writes_left_, 1);
+    while (refs.size() < max_entries && !store_queue_.empty()) {
+        const auto ref = store_queue_.front();
+        store_queue_.pop_front();
+        const auto entry = entries_.find(ref);
+        if (entry == entries_.end() || entry->second.store_state != StoreState::kQueued) continue;
+        entry->second.store_state =
+            StoreState::kInWrite;  // so that a second mention in the queue is passed over
         refs.push_back(ref);
     }
-    gathering_since_ = now_;
+    batch_started_at_ = now_;
     return refs;
 }
 
-void Recorder::begin_spill() {
-    if (spilling_ || for_spill_.empty() || !spill_usable()) return;
-    std::vector<Ref> refs;
-    while (refs.size() < terms_.most_batch && !for_spill_.empty()) {
-        const auto at = entries_.find(for_spill_.front());
-        for_spill_.pop_front();
-        if (at == entries_.end() || at->second.spill != Spill::kQueued) continue;
-        at->second.spill = Spill::kInWrite;
-        at->second.touched = true;
-        refs.push_back(at->first);
+void Recorder::start_spill_write() {
+    if (spill_write_ || spill_queue_.empty() || !spill_usable()) return;
+    std::vector<EntryRef> refs;
+    while (refs.size() < config_.most_batch && !spill_queue_.empty()) {
+        const auto entry = entries_.find(spill_queue_.front());
+        spill_queue_.pop_front();
+        if (entry == entries_.end() || entry->second.spill_state != SpillState::kQueued) continue;
+        entry->second.spill_state = SpillState::kInWrite;
+        entry->second.write_attempted = true;
+        refs.push_back(entry->first);
     }
     if (refs.empty()) return;
-    spilling_ = {++last_batch_, refs};
-    actions_.emplace_back(SpillOut{last_batch_, std::move(refs)});
-}
-
-void Recorder::set_wake() {
-    Time at = INT64_MAX;
-    if ((condition_ == Condition::kDown || condition_ == Condition::kOpening) && !opening_ && !out_)
-        at = std::min(at, reopen_at_);
-    if (condition_ == Condition::kUp && out_) at = std::min(at, out_->slow_at);
-    if (condition_ == Condition::kUp && !out_ && !for_store_.empty())
-        at = std::min(at, gathering_since_ + terms_.gather);
-    if (spill_fails_ && !for_spill_.empty()) at = std::min(at, spill_again_at_);
-    if (!waits_.empty()) at = std::min(at, waits_.begin()->first);
-    if (at == INT64_MAX || at == woken_at_) return;
-    woken_at_ = at;
-    actions_.emplace_back(Wake{at});
+    spill_write_ = {++last_batch_, refs};
+    actions_.emplace_back(WriteSpill{last_batch_, std::move(refs)});
+}
+
+void Recorder::schedule_wake() {
+    Time wake_at = INT64_MAX;
+    if ((condition_ == Condition::kDown || condition_ == Condition::kOpening) && !opening_ && !outstanding_)
+        wake_at = std::min(wake_at, reopen_at_);
+    if (condition_ == Condition::kUp && outstanding_) wake_at = std::min(wake_at, outstanding_->slow_at);
+    if (condition_ == Condition::kUp && !outstanding_ && !store_queue_.empty())
+        wake_at = std::min(wake_at, batch_started_at_ + config_.gather);
+    if (spill_failing_ && !spill_queue_.empty()) wake_at = std::min(wake_at, spill_retry_at_);
+    if (!wait_deadlines_.empty()) wake_at = std::min(wake_at, wait_deadlines_.begin()->first);
+    if (wake_at == INT64_MAX || wake_at == scheduled_wake_) return;
+    scheduled_wake_ = wake_at;
+    actions_.emplace_back(WakeAt{wake_at});
 }
 
 }  // namespace pinedoor::store
--- a/src/store/decide.hpp
+++ b/src/store/decide.hpp
@@ -51,208 +51,219 @@
     std::size_t outcome_room = 1024;   // kept in the spill for each open multiget's outcome
 };
 
-using Number = std::uint64_t;  // a record's, within the incarnation
-struct Ref {
-    enum class Half : std::uint8_t { kIntent, kOutcome } half = Half::kIntent;
-    Number number = 0;
-    auto operator<=>(const Ref&) const = default;
+using RecordNumber = std::uint64_t;  // a record's, within the incarnation
+struct EntryRef {
+    enum class Kind : std::uint8_t { kIntent, kOutcome } kind = Kind::kIntent;
+    RecordNumber number = 0;
+    auto operator<=>(const EntryRef&) const = default;
 };
-using Batch = std::uint64_t;
+using BatchId = std::uint64_t;
 
 // What happens.
-struct Wanted {  // a multiget must not be sent before its intent is durable
-    Number number = 0;
+struct IntentSubmitted {  // a multiget must not be sent before its intent is durable
+    RecordNumber number = 0;
     bool keyed = false;
     std::size_t bytes = 0;
-    Time not_after = 0;
+    Time deadline = 0;
 };
-struct Over {  // its outcome is known; an answer is held by the carrier until Release
-    Number number = 0;
+struct OutcomeSubmitted {  // its outcome is known; an answer is held by the carrier until Release
+    RecordNumber number = 0;
     std::size_t bytes = 0;
     std::size_t bytes_without_answer = 0;
     bool answered = false;
-    Time not_after = 0;
+    Time deadline = 0;
 };
-struct Opened {};
-struct OpenFailed {};
-struct Lost {};  // the connection to the store has ended, with no write out
-struct Stored {  // a write or a settlement ended well; the refs whose key somebody else holds
-    Batch batch = 0;
-    std::vector<Ref> held;
-    std::vector<Ref> absent;  // after Settle: what the store does not have
+struct StoreOpened {};
+struct StoreOpenFailed {};
+struct ConnectionLost {};  // the connection to the store has ended, with no write out
+struct WriteStored {       // a write or a settlement ended well; the refs whose key somebody else holds
+    BatchId batch = 0;
+    std::vector<EntryRef> held_elsewhere;
+    std::vector<EntryRef> absent;  // after Settle: what the store does not have
 };
-struct Refused {  // surely nothing of it is in the store
-    Batch batch = 0;
-    bool entries_at_fault = false;  // the store is well and will not have them
+struct WriteRejected {  // surely nothing of it is in the store
+    BatchId batch = 0;
+    bool entries_rejected = false;  // the store is well and will not have them
 };
-struct Unsure {  // it may be in, or may come in yet
-    Batch batch = 0;
+struct WriteUnknown {  // it may be in, or may come in yet
+    BatchId batch = 0;
 };
-struct Spilled {
-    Batch batch = 0;
-    bool good = true;
+struct SpillWritten {
+    BatchId batch = 0;
+    bool ok = true;
 };
-struct SpillHolds {  // after each change: what is there and not yet in the store
+struct SpillLevel {  // after each change: what is there and not yet in the store
     std::size_t entries = 0;
     std::size_t bytes = 0;
 };
 struct Tick {};
-using Event =
-    std::variant<Wanted, Over, Opened, OpenFailed, Lost, Stored, Refused, Unsure, Spilled, SpillHolds, Tick>;
+using Event = std::variant<IntentSubmitted, OutcomeSubmitted, StoreOpened, StoreOpenFailed, ConnectionLost,
+                           WriteStored, WriteRejected, WriteUnknown, SpillWritten, SpillLevel, Tick>;
 
 // What is done about it.
-struct Open {};
-struct Write {  // to the store
-    Batch batch = 0;
-    std::vector<Ref> refs;
+struct OpenStore {};
+struct WriteBatch {  // to the store
+    BatchId batch = 0;
+    std::vector<EntryRef> refs;
 };
-struct Settle {  // ask the store for them by name
-    Batch batch = 0;
-    std::vector<Ref> refs;
+struct ReconcileBatch {  // ask the store for them by name
+    BatchId batch = 0;
+    std::vector<EntryRef> refs;
 };
-struct Replay {  // write the spill's next entries to the store; ends like a Write
-    Batch batch = 0;
-    std::size_t most = 0;
+struct ReplaySpill {  // write the spill's next entries to the store; ends like a Write
+    BatchId batch = 0;
+    std::size_t max_entries = 0;
 };
-struct Skip {};    // the store will not have the spill's next entry: it is set aside, kept for a person
-struct SpillOut {  // append to the spill and make it durable
-    Batch batch = 0;
-    std::vector<Ref> refs;
+struct SetAsideSpilled {
+};                   // the store will not have the spill's next entry: it is set aside, kept for a person
+struct WriteSpill {  // append to the spill and make it durable
+    BatchId batch = 0;
+    std::vector<EntryRef> refs;
 };
 struct Proceed {  // the intent is durable: the multiget may be sent
-    Number number = 0;
+    RecordNumber number = 0;
 };
-enum class Why : std::uint8_t { kStoreAway, kStoreSlow, kNoRoom, kKeyHeld, kEntryRefused };
-std::string_view name_of(Why why);
-struct TurnAway {  // before any send; told at once
-    Number number = 0;
-    Why why = Why::kStoreAway;
+enum class RejectReason : std::uint8_t { kStoreDown, kStoreSlow, kNoCapacity, kKeyHeld, kEntryRejected };
+std::string_view name_of(RejectReason reason);
+struct RejectMultiget {  // before any send; told at once
+    RecordNumber number = 0;
+    RejectReason reason = RejectReason::kStoreDown;
     bool may_be_stored = false;  // then a refusal is to be recorded as its outcome
-    Time wait = 0;               // when asking again is worth it; 0: not known
+    Time retry_after = 0;        // when asking again is worth it; 0: not known
 };
-struct Release {  // the answer may go out
-    Number number = 0;
+struct ReleaseAnswer {  // the answer may go out
+    RecordNumber number = 0;
     bool durable = false;
 };
 struct DropAnswer {  // the outcome must be kept without its answer: there is no room for it
-    Number number = 0;
+    RecordNumber number = 0;
 };
-struct Forget {  // the entry is durable, or given up: its bytes are needed no more
-    Ref ref;
+struct DiscardEntry {  // the entry is durable, or given up: its bytes are needed no more
+    EntryRef ref;
     bool lost = false;  // the store will not have it: it stands nowhere
 };
-struct Wake {
+struct WakeAt {
     Time at = 0;
 };
 enum class Condition : std::uint8_t { kOpening, kUp, kSlow, kDown };
 std::string_view name_of(Condition condition);
-struct Now {  // the condition has changed
+struct ConditionChanged {  // the condition has changed
     Condition condition = Condition::kOpening;
 };
-using Action = std::variant<Open, Write, Settle, Replay, Skip, SpillOut, Proceed, TurnAway, Release,
-                            DropAnswer, Forget, Wake, Now>;
+using Action =
+    std::variant<OpenStore, WriteBatch, ReconcileBatch, ReplaySpill, SetAsideSpilled, WriteSpill, Proceed,
+                 RejectMultiget, ReleaseAnswer, DropAnswer, DiscardEntry, WakeAt, ConditionChanged>;
 
 class Recorder {
 public:
     Recorder(std::uint64_t seed, WriteTerms terms)
-        : terms_(terms), chance_(static_cast<std::mt19937::result_type>(seed)) {}
+        : config_(terms), rng_(static_cast<std::mt19937::result_type>(seed)) {}
 
     // Before start(): this process knows its incarnation, so what it spills can be named. Otherwise the store
     // tells it, and until then every intent waits like one with a key.
-    void is_named() { named_ = true; }
+    void set_incarnation_known() { incarnation_known_ = true; }
     std::vector<Action> start(Time now);
-    std::vector<Action> take(Time now, const Event& event);
+    std::vector<Action> handle(Time now, const Event& event);
 
     Condition condition() const { return condition_; }
-    std::size_t in_memory() const { return entries_.size(); }
-    std::size_t open() const { return open_.size(); }
-    std::uint64_t impossible() const { return impossible_; }  // events that cannot happen, passed over
+    std::size_t pending_entries() const { return entries_.size(); }
+    std::size_t open_multigets() const { return open_multigets_.size(); }
+    std::uint64_t unexpected_events() const {
+        return unexpected_events_;
+    }  // events that cannot happen, passed over
 
 private:
-    enum class Place : std::uint8_t { kQueued, kInWrite, kUnsettled, kNowhere };  // on its way to the store
-    enum class Spill : std::uint8_t { kNo, kQueued, kInWrite };
-    struct Held {
+    enum class StoreState : std::uint8_t {
+        kQueued,
+        kInWrite,
+        kUnreconciled,
+        kNone
+    };  // on its way to the store
+    enum class SpillState : std::uint8_t { kNone, kQueued, kInWrite };
+    struct Pending {
         std::size_t bytes = 0;
         bool store_only =
             false;             // an intent with a key, or of a process without a name: the spill is no help
         bool awaited = false;  // somebody waits for it to become durable
-        bool touched = false;  // was part of a write to the store or the spill
-        Time give_up = 0;      // when what waits for it goes on without
-        Place place = Place::kNowhere;
-        Spill spill = Spill::kNo;
+        bool write_attempted = false;  // was part of a write to the store or the spill
+        Time wait_deadline = 0;        // when what waits for it goes on without
+        StoreState store_state = StoreState::kNone;
+        SpillState spill_state = SpillState::kNone;
     };
-    using At = std::map<Ref, Held>::iterator;
-    struct Out {  // a write
-        Batch batch = 0;
-        std::vector<Ref> refs;
+    using EntryIter = std::map<EntryRef, Pending>::iterator;
+    struct OutstandingWrite {  // a write
+        BatchId batch = 0;
+        std::vector<EntryRef> refs;
         Time slow_at = 0;
-        enum class Kind : std::uint8_t { kWrite, kSettle, kReplay } kind = Kind::kWrite;
+        enum class Kind : std::uint8_t { kWrite, kReconcile, kReplay } kind = Kind::kWrite;
     };
 
-    std::vector<Action> step(Time now);
-    void on(const Wanted& wanted);
-    void on(const Over& over);
-    void on(const Opened&);
-    void on(const OpenFailed&);
-    void on(const Lost&);
-    void on(const Stored& stored);
-    void on(const Refused& refused);
-    void on(const Unsure& unsure);
-    void on(const Spilled& spilled);
-    void on(const SpillHolds& holds);
+    std::vector<Action> run_turn(Time now);
+    void on(const IntentSubmitted& submitted);
+    void on(const OutcomeSubmitted& submitted);
+    void on(const StoreOpened&);
+    void on(const StoreOpenFailed&);
+    void on(const ConnectionLost&);
+    void on(const WriteStored& stored);
+    void on(const WriteRejected& rejected);
+    void on(const WriteUnknown& unknown);
+    void on(const SpillWritten& spilled);
+    void on(const SpillLevel& level);
     void on(const Tick&) {}
 
-    bool direct() const;  // plain entries go to the store
-    bool spill_usable() const { return !spill_fails_ || now_ >= spill_again_at_; }
-    std::size_t spill_room() const;
-    void place(At at);
-    void queue_for_store(At at, bool first = false);
-    void queue_for_spill(At at);
-    void durable(Ref ref);
-    void turn_away(Number number, Why why);
-    void turn_store_only_away();
-    Time advice() const;
-    void end_write(const Out& out, const Stored& stored);
-    void give_up_overdue();
-    void go_down();
-    void spill_what_waits();
-    void go(Condition condition);
-    void begin_writes();
-    void begin_spill();
-    void set_wake();
-    void drop(At at, bool lost = false);
-    std::optional<Out> take_out(Batch batch);
-    std::vector<Ref> gather_for_store();
-    Batch begin(Out::Kind kind, std::vector<Ref> refs);
-    bool can_happen(bool holds);
+    bool writes_directly() const;  // plain entries go to the store
+    bool spill_usable() const { return !spill_failing_ || now_ >= spill_retry_at_; }
+    std::size_t spill_free_bytes() const;
+    void route(EntryIter entry);
+    void queue_for_store(EntryIter entry, bool front = false);
+    void queue_for_spill(EntryIter entry);
+    void on_durable(EntryRef ref);
+    void reject(RecordNumber number, RejectReason reason);
+    void reject_store_only();
+    Time retry_advice() const;
+    void finish_write(const OutstandingWrite& outstanding, const WriteStored& stored);
+    void expire_waits();
+    void mark_down();
+    void spill_waiting();
+    void set_condition(Condition condition);
+    void start_store_write();
+    void start_spill_write();
+    void schedule_wake();
+    void discard(EntryIter entry, bool lost = false);
+    std::optional<OutstandingWrite> take_outstanding(BatchId batch);
+    std::vector<EntryRef> next_store_batch();
+    BatchId start_store_work(OutstandingWrite::Kind kind, std::vector<EntryRef> refs);
+    bool expect(bool condition_met);
 
-    const WriteTerms terms_;
-    std::mt19937 chance_;
+    const WriteTerms config_;
+    std::mt19937 rng_;
     Time now_ = 0;
     Condition condition_ = Condition::kOpening;
-    bool named_ = false;
+    bool incarnation_known_ = false;
     bool opening_ = false;  // an Open is out
     Time reopen_at_ = 0;
-    int failures_ = 0;             // of opening or writing, since the last write that ended well
-    std::map<Ref, Held> entries_;  // not durable yet
-    std::set<std::pair<Time, Ref>> waits_;
-    std::set<Number> open_;  // intents that are durable, without an outcome: each has room kept in the spill
-    std::deque<Ref> for_store_;
-    std::deque<Ref> for_spill_;
-    Time gathering_since_ = 0;
-    std::optional<Out> out_;
-    std::vector<Ref> unsettled_;
-    std::size_t singly_ = 0;  // so many entries more are written one by one, after a write with one at fault
-    std::size_t replay_singly_ = 0;  // likewise of the spill's
-    std::optional<std::pair<Batch, std::vector<Ref>>> spilling_;
-    bool spill_fails_ = false;
-    Time spill_again_at_ = 0;
+    int consecutive_failures_ = 0;         // of opening or writing, since the last write that ended well
+    std::map<EntryRef, Pending> entries_;  // not durable yet
+    std::set<std::pair<Time, EntryRef>> wait_deadlines_;
+    std::set<RecordNumber>
+        open_multigets_;  // intents that are durable, without an outcome: each has room kept in the spill
+    std::deque<EntryRef> store_queue_;
+    std::deque<EntryRef> spill_queue_;
+    Time batch_started_at_ = 0;
+    std::optional<OutstandingWrite> outstanding_;
+    std::vector<EntryRef> unreconciled_;
+    std::size_t single_writes_left_ =
+        0;  // so many entries more are written one by one, after a write with one at fault
+    std::size_t single_replays_left_ = 0;  // likewise of the spill's
+    std::optional<std::pair<BatchId, std::vector<EntryRef>>> spill_write_;
+    bool spill_failing_ = false;
+    Time spill_retry_at_ = 0;
     std::size_t spill_entries_ = 0;
     std::size_t spill_bytes_ = 0;
-    std::size_t spill_pending_ = 0;  // bytes queued for the spill or being written to it
-    Batch last_batch_ = 0;
-    Time woken_at_ = 0;
-    std::uint64_t impossible_ = 0;
+    std::size_t spill_pending_bytes_ = 0;  // bytes queued for the spill or being written to it
+    BatchId last_batch_ = 0;
+    Time scheduled_wake_ = 0;
+    std::uint64_t unexpected_events_ = 0;
     std::vector<Action> actions_;
 };
 
--- a/src/store/files.cpp
+++ b/src/store/files.cpp
@@ -26,17 +26,17 @@
         return true;
     }
     bool sync() override { return fdatasync(fd_.get()) == 0; }
-    bool cut(std::uint64_t size) override { return ftruncate(fd_.get(), static_cast<off_t>(size)) == 0; }
-    std::optional<std::string> read() override {
+    bool truncate(std::uint64_t size) override { return ftruncate(fd_.get(), static_cast<off_t>(size)) == 0; }
+    std::optional<std::string> read_all() override {
         const auto size = lseek(fd_.get(), 0, SEEK_END);
         if (size < 0) return std::nullopt;
         std::string bytes(static_cast<std::size_t>(size), '\0');
-        for (std::size_t got = 0; got < bytes.size();) {
-            const auto count =
-                pread(fd_.get(), bytes.data() + got, bytes.size() - got, static_cast<off_t>(got));
+        for (std::size_t bytes_read = 0; bytes_read < bytes.size();) {
+            const auto count = pread(fd_.get(), bytes.data() + bytes_read, bytes.size() - bytes_read,
+                                     static_cast<off_t>(bytes_read));
             if (count < 0 && errno == EINTR) continue;
             if (count <= 0) return std::nullopt;
-            got += static_cast<std::size_t>(count);
+            bytes_read += static_cast<std::size_t>(count);
         }
         return bytes;
     }
@@ -55,9 +55,9 @@
 std::optional<std::vector<std::string>> RealFiles::list(const std::string& folder) {
     std::error_code error;
     std::vector<std::string> names;
-    std::filesystem::directory_iterator at(folder, error);
-    for (; !error && at != std::filesystem::directory_iterator(); at.increment(error))
-        names.push_back(at->path().filename().string());
+    std::filesystem::directory_iterator iterator(folder, error);
+    for (; !error && iterator != std::filesystem::directory_iterator(); iterator.increment(error))
+        names.push_back(iterator->path().filename().string());
     if (error) return std::nullopt;
     std::sort(names.begin(), names.end());
     return names;
@@ -77,8 +77,8 @@
 bool replace_file(Files& files, const std::string& folder, const std::string& name, std::string_view text) {
     const auto path = folder + '/' + name;
     const auto file = files.open(path + ".new");
-    return file && file->cut(0) && file->append(text) && file->sync() && files.rename(path + ".new", path) &&
-           files.sync_folder(folder);
+    return file && file->truncate(0) && file->append(text) && file->sync() &&
+           files.rename(path + ".new", path) && files.sync_folder(folder);
 }
 
 }  // namespace pinedoor::store
--- a/src/store/files.hpp
+++ b/src/store/files.hpp
@@ -16,8 +16,8 @@
     virtual ~File() = default;
     virtual bool append(std::string_view bytes) = 0;  // false: none, some or all may be there
     virtual bool sync() = 0;
-    virtual bool cut(std::uint64_t size) = 0;
-    virtual std::optional<std::string> read() = 0;  // whole
+    virtual bool truncate(std::uint64_t size) = 0;
+    virtual std::optional<std::string> read_all() = 0;  // whole
 };
 
 class Files {
--- a/src/store/keeper.cpp
+++ b/src/store/keeper.cpp
@@ -18,13 +18,13 @@
 using service::Ending;
 using service::Level;
 
-constexpr service::Ticket kOwn = service::Ticket{1} << 63U;  // the exchange's tickets are far below
-constexpr std::size_t kMostSpillJobs = 8;
-constexpr Time kFinish = 5'000;
-constexpr Time kLeave = 1'000;
+constexpr service::Ticket kOwnTicketBit = service::Ticket{1} << 63U;  // the exchange's tickets are far below
+constexpr std::size_t kMaxSpillJobs = 8;
+constexpr Time kFinishTimeout = 5'000;
+constexpr Time kDeregisterTimeout = 1'000;
 constexpr Time kDay = 864'000'000;
 
-std::string new_birth() {
+std::string make_process_token() {
     std::random_device device;
     std::array<char, 17> hex{};
     std::snprintf(hex.data(), hex.size(), "%08x%08x", device(), device());
@@ -33,28 +33,31 @@
 
 }  // namespace
 
-Keeper::Keeper(net::Scheduler& scheduler, service::RequestHandler& inner, service::Log& log, StoreTerms terms,
-               Recorded recorded, std::uint64_t seed, std::unique_ptr<Backend> backend,
+Keeper::Keeper(net::Scheduler& scheduler, service::RequestHandler& inner, service::Log& log,
+               StoreTerms store_config, Recorded config, std::uint64_t seed, std::unique_ptr<Backend> backend,
                std::unique_ptr<Files> files)
-    : scheduler_(scheduler), inner_(inner), log_(log), terms_(std::move(terms)),
-      recorded_(std::move(recorded)), files_(std::move(files)), recorder_(seed, terms_.write),
-      birth_(new_birth()), spill_(std::make_shared<Spill>(*files_, terms_.folder, terms_.spill_file_bytes)),
-      backend_(std::move(backend)), spill_thread_(scheduler, kMostSpillJobs), waiter_(scheduler) {}
+    : scheduler_(scheduler), inner_(inner), log_(log), store_config_(std::move(store_config)),
+      config_(std::move(config)), files_(std::move(files)), recorder_(seed, store_config_.write),
+      process_token_(make_process_token()),
+      spill_(std::make_shared<Spill>(*files_, store_config_.folder, store_config_.spill_file_bytes)),
+      backend_(std::move(backend)), spill_thread_(scheduler, kMaxSpillJobs), waiter_(scheduler) {}
 
 // --- Start and end ---
 
 void Keeper::start() {
     std::error_code error;
-    std::filesystem::create_directories(terms_.folder, error);
-    if (error) throw Unusable("store.folder: cannot make '" + terms_.folder + "': " + error.message());
-    lock_ = net::Fd(open((terms_.folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
-    if (!lock_ || flock(lock_.get(), LOCK_EX | LOCK_NB) != 0) {
-        throw Unusable("store.folder: '" + terms_.folder +
-                       "' is in use by another process; each front node needs a folder of its own");
+    std::filesystem::create_directories(store_config_.folder, error);
+    if (error)
+        throw StoreFolderError("store.folder: cannot make '" + store_config_.folder +
+                               "': " + error.message());
+    lock_file_ = net::Fd(open((store_config_.folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
+    if (!lock_file_ || flock(lock_file_.get(), LOCK_EX | LOCK_NB) != 0) {
+        throw StoreFolderError("store.folder: '" + store_config_.folder +
+                               "' is in use by another process; each front node needs a folder of its own");
     }
-    take_incarnation();
+    load_incarnation();
     recover_spill();
-    backend_->on_lost([this] { happened(Lost{}); });
+    backend_->on_lost([this] { dispatch(ConnectionLost{}); });
     task_ = run();
     task_.start([this](std::exception_ptr failure) {
         if (failure) scheduler_.defer([failure] { std::rethrow_exception(failure); });
@@ -62,283 +65,297 @@
 }
 
 // From the folder, so that it rises whatever the clock does; a new folder asks the store.
-void Keeper::take_incarnation() {
-    const auto file = files_->open(terms_.folder + "/incarnation");
-    const auto text = file ? file->read() : std::nullopt;
-    if (!text) throw Unusable("store.folder: cannot read '" + terms_.folder + "/incarnation'");
+void Keeper::load_incarnation() {
+    const auto file = files_->open(store_config_.folder + "/incarnation");
+    const auto text = file ? file->read_all() : std::nullopt;
+    if (!text) throw StoreFolderError("store.folder: cannot read '" + store_config_.folder + "/incarnation'");
     if (text->empty()) return;
-    std::uint64_t last = 0;
-    const auto [end, error] = std::from_chars(text->data(), text->data() + text->size(), last);
-    if (error != std::errc{} || std::string_view(end) != std::string_view("\n") || last == 0) {
-        throw Unusable("store.folder: '" + terms_.folder +
-                       "/incarnation' holds no number; remove it, and the store will tell the next one");
+    std::uint64_t previous = 0;
+    const auto [end, error] = std::from_chars(text->data(), text->data() + text->size(), previous);
+    if (error != std::errc{} || std::string_view(end) != std::string_view("\n") || previous == 0) {
+        throw StoreFolderError(
+            "store.folder: '" + store_config_.folder +
+            "/incarnation' holds no number; remove it, and the store will tell the next one");
     }
-    incarnation_ = last + 1;
-    recorder_.is_named();
-    if (!replace_file(*files_, terms_.folder, "incarnation", std::to_string(incarnation_) + '\n'))
-        throw Unusable("store.folder: cannot write '" + terms_.folder + "/incarnation'");
+    incarnation_ = previous + 1;
+    recorder_.set_incarnation_known();
+    if (!replace_file(*files_, store_config_.folder, "incarnation", std::to_string(incarnation_) + '\n'))
+        throw StoreFolderError("store.folder: cannot write '" + store_config_.folder + "/incarnation'");
 }
 
 void Keeper::recover_spill() {
-    const auto found = spill_->recover();
-    if (!found.usable) throw Unusable("store.folder: the spill: " + found.why);
-    spill_holds_ = {spill_->entries(), spill_->bytes()};
-    if (spill_holds_.entries > 0 || found.torn_bytes > 0 || found.corrupt_places > 0) {
-        log_.event(found.corrupt_places > 0 ? Level::kError : Level::kInfo, "spill_recovered",
-                   "the spill holds " + std::to_string(spill_holds_.entries) + " entries of before",
-                   {{"entries", std::to_string(spill_holds_.entries)},
-                    {"torn_bytes", std::to_string(found.torn_bytes)},
-                    {"corrupt_places", std::to_string(found.corrupt_places)},
-                    {"corrupt_bytes", std::to_string(found.corrupt_bytes)}});
+    const auto recovered = spill_->recover();
+    if (!recovered.usable) throw StoreFolderError("store.folder: the spill: " + recovered.error);
+    spill_level_ = {spill_->entries(), spill_->bytes()};
+    if (spill_level_.entries > 0 || recovered.torn_bytes > 0 || recovered.corrupt_regions > 0) {
+        log_.event(recovered.corrupt_regions > 0 ? Level::kError : Level::kInfo, "spill_recovered",
+                   "the spill holds " + std::to_string(spill_level_.entries) + " entries of before",
+                   {{"entries", std::to_string(spill_level_.entries)},
+                    {"torn_bytes", std::to_string(recovered.torn_bytes)},
+                    {"corrupt_places", std::to_string(recovered.corrupt_regions)},
+                    {"corrupt_bytes", std::to_string(recovered.corrupt_bytes)}});
     }
 }
 
 net::Task Keeper::run() {
-    happened(spill_holds_);
+    dispatch(spill_level_);
     for (const auto& action : recorder_.start(scheduler_.now()))
-        std::visit([this](const auto& what) { carry_out(what); }, action);
-    while (!done_) {
+        std::visit([this](const auto& each) { execute(each); }, action);
+    while (!finished_) {
         const auto now = scheduler_.now();
         if (now >= wake_at_) {
             wake_at_ = net::kNever;
-            happened(Tick{});
+            dispatch(Tick{});
         }
-        if (now >= tend_at_) tend();
-        if (finishing_ && !leaving_ && ((entries_.empty() && kept_.empty()) || now >= finish_by_)) {
-            leaving_ = true;
+        if (now >= maintain_at_) maintain();
+        if (finishing_ && !deregistering_ &&
+            ((entries_.empty() && multigets_.empty()) || now >= finish_deadline_)) {
+            deregistering_ = true;
             if (!entries_.empty()) {
                 log_.event(Level::kWarning, "records_unsaved",
                            std::to_string(entries_.size()) + " entries are not durable at the end");
             }
-            finish_by_ = now + kLeave;
-            backend_->leave(kLeave, [this] {
-                done_ = true;
+            finish_deadline_ = now + kDeregisterTimeout;
+            backend_->deregister(kDeregisterTimeout, [this] {
+                finished_ = true;
                 waiter_.signal();
             });
         }
-        if (leaving_ && now >= finish_by_) done_ = true;
-        Time next = std::min(wake_at_, tend_at_);
-        if (finishing_) next = std::min(next, finish_by_);
-        if (!done_) co_await waiter_.wait(0, next);
+        if (deregistering_ && now >= finish_deadline_) finished_ = true;
+        Time wake_at = std::min(wake_at_, maintain_at_);
+        if (finishing_) wake_at = std::min(wake_at, finish_deadline_);
+        if (!finished_) co_await waiter_.wait(0, wake_at);
     }
 }
 
 void Keeper::finish() {
     if (finishing_) return;
     finishing_ = true;
-    finish_by_ = scheduler_.now() + kFinish;
+    finish_deadline_ = scheduler_.now() + kFinishTimeout;
     waiter_.signal();
 }
 
-void Keeper::tend() {
+void Keeper::maintain() {
     const auto now = scheduler_.now();
-    tend_at_ = now + std::min(terms_.keep.every, terms_.lease / 4);
-    if (tending_ || leaving_ || recorder_.condition() != Condition::kUp) return;
-    tending_ = true;
-    const Time before = terms_.keep.days > 0 ? now - terms_.keep.days * kDay : 0;
-    backend_->tend(before, terms_.keep.step, [this](std::size_t deleted) {
-        tending_ = false;
-        counted_.pruned += deleted;
+    maintain_at_ = now + std::min(store_config_.keep.every, store_config_.lease / 4);
+    if (maintaining_ || deregistering_ || recorder_.condition() != Condition::kUp) return;
+    maintaining_ = true;
+    const Time delete_before = store_config_.keep.days > 0 ? now - store_config_.keep.days * kDay : 0;
+    backend_->maintain(delete_before, store_config_.keep.step, [this](std::size_t deleted) {
+        maintaining_ = false;
+        counters_.pruned_records += deleted;
     });
 }
 
 // One after the other: what an action leads to is taken when its turn has come.
-void Keeper::happened(Event event) {
+void Keeper::dispatch(Event event) {
     events_.push_back(std::move(event));
-    if (happening_) return;
-    happening_ = true;
+    if (dispatching_) return;
+    dispatching_ = true;
     while (!events_.empty()) {
         const auto next = std::move(events_.front());
         events_.pop_front();
-        for (const auto& action : recorder_.take(scheduler_.now(), next))
-            std::visit([this](const auto& what) { carry_out(what); }, action);
+        for (const auto& action : recorder_.handle(scheduler_.now(), next))
+            std::visit([this](const auto& each) { execute(each); }, action);
     }
-    happening_ = false;
+    dispatching_ = false;
     if (finishing_) waiter_.signal();
 }
 
 // --- Clients ---
 
-service::TakenRequest Keeper::ask(service::MultigetAsked asked, std::function<void(Ending)> ended) {
-    const auto op_type = static_cast<std::size_t>(asked.op_type);
-    if (!recorded_.recorded[op_type] && asked.key.empty())
-        return inner_.ask(std::move(asked), std::move(ended));
-    if (const auto could = inner_.could_take(asked.name); could != Acceptance::kTaken) return {could, 0};
-    if (waiting_names_.contains(asked.name)) return {Acceptance::kNameInUse, 0};
+service::TakenRequest Keeper::ask(service::MultigetAsked request, std::function<void(Ending)> on_ended) {
+    const auto op_type = static_cast<std::size_t>(request.op_type);
+    if (!config_.recorded[op_type] && request.key.empty())
+        return inner_.ask(std::move(request), std::move(on_ended));
+    if (const auto acceptance = inner_.could_take(request.name); acceptance != Acceptance::kTaken)
+        return {acceptance, 0};
+    if (pending_names_.contains(request.name)) return {Acceptance::kNameInUse, 0};
     const auto number = ++last_number_;
-    auto& kept = kept_[number];
-    kept.retriable = recorded_.retriable[op_type];
-    kept.intent = {{recorded_.node, incarnation_, number},
-                   recorded_.op_types[op_type],
-                   recorded_.tenants.empty() ? "" : recorded_.tenants[static_cast<std::size_t>(asked.tenant)],
-                   asked.name,
-                   asked.key,
-                   asked.fingerprint,
-                   scheduler_.now(),
-                   asked.not_after,
-                   static_cast<std::uint32_t>(asked.parts.size())};
-    kept.asked = std::move(asked);
-    kept.asked.tells_parts = true;
-    kept.ended = std::move(ended);
-    waiting_names_.insert(kept.asked.name);
-    ++counted_.intents;
-    const auto entry = std::make_shared<const Entry>(kept.intent);
-    entries_[{Ref::Half::kIntent, number}] = entry;
+    auto& multiget = multigets_[number];
+    multiget.retriable = config_.retriable[op_type];
+    multiget.intent = {
+        {config_.node, incarnation_, number},
+        config_.op_types[op_type],
+        config_.tenants.empty() ? "" : config_.tenants[static_cast<std::size_t>(request.tenant)],
+        request.name,
+        request.key,
+        request.fingerprint,
+        scheduler_.now(),
+        request.not_after,
+        static_cast<std::uint32_t>(request.parts.size())};
+    multiget.request = std::move(request);
+    multiget.request.tells_parts = true;
+    multiget.on_ended = std::move(on_ended);
+    pending_names_.insert(multiget.request.name);
+    ++counters_.intents;
+    const auto entry = std::make_shared<const Entry>(multiget.intent);
+    entries_[{EntryRef::Kind::kIntent, number}] = entry;
     crash_points_.pass("asked");
-    happened(Wanted{number, !kept.intent.key.empty(), frame(encode(*entry)).size(), kept.intent.not_after});
-    return {Acceptance::kTaken, kOwn | number};
-}
-
-PartFates Keeper::leave(service::Ticket multiget) {
-    if ((multiget & kOwn) == 0) return inner_.leave(multiget);
-    const auto at = kept_.find(multiget & ~kOwn);
-    if (at == kept_.end()) return {};
-    auto& kept = at->second;
-    kept.ended = nullptr;
-    if (kept.inner == 0) return {};  // its intent or its outcome is on the way
-    const auto parts = inner_.leave(std::exchange(kept.inner, 0));
-    const auto gone = std::move(kept);
-    kept_.erase(at);
-    record(gone, fate_of_left(parts), parts, "client left", {}, false);
+    dispatch(IntentSubmitted{number, !multiget.intent.key.empty(), frame_payload(encode(*entry)).size(),
+                             multiget.intent.deadline});
+    return {Acceptance::kTaken, kOwnTicketBit | number};
+}
+
+PartFates Keeper::leave(service::Ticket ticket) {
+    if ((ticket & kOwnTicketBit) == 0) return inner_.leave(ticket);
+    const auto at = multigets_.find(ticket & ~kOwnTicketBit);
+    if (at == multigets_.end()) return {};
+    auto& multiget = at->second;
+    multiget.on_ended = nullptr;
+    if (multiget.inner_ticket == 0) return {};  // its intent or its outcome is on the way
+    const auto parts = inner_.leave(std::exchange(multiget.inner_ticket, 0));
+    const auto finished = std::move(multiget);
+    multigets_.erase(at);
+    record_outcome(finished, outcome_after_disconnect(parts), parts, "client left", {}, false);
     return parts;
 }
 
-void Keeper::carry_out(const Proceed& proceed) {
-    const auto at = kept_.find(proceed.number);
-    if (at == kept_.end()) return;
-    auto& kept = at->second;
-    waiting_names_.erase(kept.asked.name);
-    kept.proceeded = true;
+void Keeper::execute(const Proceed& proceed) {
+    const auto at = multigets_.find(proceed.number);
+    if (at == multigets_.end()) return;
+    auto& multiget = at->second;
+    pending_names_.erase(multiget.request.name);
+    multiget.proceeded = true;
     crash_points_.pass("intent_durable");
-    if (!kept.ended) {
-        const auto gone = std::move(kept);
-        kept_.erase(at);
-        return record(gone, Fate::kRefused, {}, "client left before any send", {}, false);
+    if (!multiget.on_ended) {
+        const auto finished = std::move(multiget);
+        multigets_.erase(at);
+        return record_outcome(finished, Fate::kRefused, {}, "client left before any send", {}, false);
     }
     const auto number = proceed.number;
-    const auto [taken, ticket] = inner_.ask(
-        std::move(kept.asked), [this, number](Ending ending) { ended(number, std::move(ending)); });
+    const auto [acceptance, ticket] = inner_.ask(std::move(multiget.request), [this, number](Ending ending) {
+        on_exchange_ended(number, std::move(ending));
+    });
     crash_points_.pass("handed_over");
-    if (taken == Acceptance::kTaken) {
-        if (const auto still = kept_.find(number); still != kept_.end() && still->second.proceeded)
-            still->second.inner = ticket;
+    if (acceptance == Acceptance::kTaken) {
+        if (const auto current = multigets_.find(number);
+            current != multigets_.end() && current->second.proceeded)
+            current->second.inner_ticket = ticket;
         return;
     }
-    Ending none;
-    none.kind = Ending::Kind::kPushedBack;
-    ended(number, std::move(none));
+    Ending pushed_back;
+    pushed_back.kind = Ending::Kind::kPushedBack;
+    on_exchange_ended(number, std::move(pushed_back));
 }
 
 // The exchange has ended it.
-void Keeper::ended(Number number, Ending ending) {
-    const auto at = kept_.find(number);
-    if (at == kept_.end()) return;
-    auto& kept = at->second;
-    kept.inner = 0;
+void Keeper::on_exchange_ended(RecordNumber number, Ending ending) {
+    const auto at = multigets_.find(number);
+    if (at == multigets_.end()) return;
+    auto& multiget = at->second;
+    multiget.inner_ticket = 0;
     crash_points_.pass("outcome_known");
     if (ending.kind == Ending::Kind::kAnswered) {
         auto body = service::answer_body(ending);
-        if (body.size() > terms_.largest_answer) {
-            ++counted_.answers_not_kept;
+        if (body.size() > store_config_.largest_answer) {
+            ++counters_.answers_not_kept;
             body.clear();
         }
         const auto parts = ending.parts;
-        const auto fate = ending.whole ? Fate::kAnswered : Fate::kAnsweredInPart;
-        kept.ending = std::move(ending);
-        return record(kept, fate, parts, {}, std::move(body), true);
+        const auto outcome_kind = ending.whole ? Fate::kAnswered : Fate::kAnsweredInPart;
+        multiget.ending = std::move(ending);
+        return record_outcome(multiget, outcome_kind, parts, {}, std::move(body), true);
     }
     // A refusal or a failure is never held back.
-    const auto gone = std::move(kept);
-    kept_.erase(at);
-    const auto fate = ending.kind == Ending::Kind::kPushedBack ? Fate::kRefused : Fate::kFailed;
+    const auto finished = std::move(multiget);
+    multigets_.erase(at);
+    const auto outcome_kind = ending.kind == Ending::Kind::kPushedBack ? Fate::kRefused : Fate::kFailed;
     const auto parts = ending.parts;
-    if (gone.ended) gone.ended(std::move(ending));
-    record(gone, fate, parts, {}, {}, false);
-}
-
-void Keeper::record(const Kept& kept, Fate fate, const PartFates& parts, std::string note, std::string answer,
-                    bool answered) {
-    const auto& intent = kept.intent;
-    Outcome outcome{
-        intent.id,        intent.tenant,      intent.key,      fate, frees_key(fate, parts, kept.retriable),
-        scheduler_.now(), print_parts(parts), std::move(note), {}};
-    const auto bare = frame(encode(outcome)).size();
+    if (finished.on_ended) finished.on_ended(std::move(ending));
+    record_outcome(finished, outcome_kind, parts, {}, {}, false);
+}
+
+void Keeper::record_outcome(const PendingMultiget& multiget, Fate outcome_kind, const PartFates& parts,
+                            std::string note, std::string answer, bool answered) {
+    const auto& intent = multiget.intent;
+    Outcome outcome{intent.id,
+                    intent.tenant,
+                    intent.key,
+                    outcome_kind,
+                    frees_key(outcome_kind, parts, multiget.retriable),
+                    scheduler_.now(),
+                    format_part_outcomes(parts),
+                    std::move(note),
+                    {}};
+    const auto without_answer = frame_payload(encode(outcome)).size();
     outcome.answer = std::move(answer);
-    const auto bytes = bare + outcome.answer.size();
-    entries_[{Ref::Half::kOutcome, intent.id.number}] = std::make_shared<const Entry>(std::move(outcome));
-    ++counted_.outcomes;
-    happened(Over{intent.id.number, bytes, bare, answered, intent.not_after});
-}
-
-void Keeper::carry_out(const DropAnswer& drop) {
-    auto& entry = entries_.at({Ref::Half::kOutcome, drop.number});
-    auto bare = std::get<Outcome>(*entry);
-    bare.answer.clear();
-    entry = std::make_shared<const Entry>(std::move(bare));
-    ++counted_.answers_not_kept;
-}
-
-void Keeper::carry_out(const Release& release) {
-    const auto at = kept_.find(release.number);
-    if (at == kept_.end()) return;
-    auto kept = std::move(at->second);
-    kept_.erase(at);
-    if (!release.durable) ++counted_.answers_before_record;
+    const auto bytes = without_answer + outcome.answer.size();
+    entries_[{EntryRef::Kind::kOutcome, intent.id.number}] =
+        std::make_shared<const Entry>(std::move(outcome));
+    ++counters_.outcomes;
+    dispatch(OutcomeSubmitted{intent.id.number, bytes, without_answer, answered, intent.deadline});
+}
+
+void Keeper::execute(const DropAnswer& drop) {
+    auto& entry = entries_.at({EntryRef::Kind::kOutcome, drop.number});
+    auto without_answer = std::get<Outcome>(*entry);
+    without_answer.answer.clear();
+    entry = std::make_shared<const Entry>(std::move(without_answer));
+    ++counters_.answers_not_kept;
+}
+
+void Keeper::execute(const ReleaseAnswer& release) {
+    const auto at = multigets_.find(release.number);
+    if (at == multigets_.end()) return;
+    auto multiget = std::move(at->second);
+    multigets_.erase(at);
+    if (!release.durable) ++counters_.answers_before_record;
     crash_points_.pass(release.durable ? "outcome_durable" : "answer_before_record");
-    if (kept.ended) kept.ended(std::move(kept.ending));
+    if (multiget.on_ended) multiget.on_ended(std::move(multiget.ending));
     crash_points_.pass("answered");
 }
 
-void Keeper::carry_out(const TurnAway& turn_away) {
-    const auto at = kept_.find(turn_away.number);
-    if (at == kept_.end()) return;
-    const auto kept = std::move(at->second);
-    kept_.erase(at);
-    waiting_names_.erase(kept.asked.name);
-    auto ending = told_of(kept, turn_away);
-    held_.erase(turn_away.number);
-    if (kept.ended) kept.ended(std::move(ending));
-    if (turn_away.may_be_stored && turn_away.why != Why::kKeyHeld)
-        record(kept, Fate::kRefused, {}, std::string(name_of(turn_away.why)), {}, false);
+void Keeper::execute(const RejectMultiget& rejection) {
+    const auto at = multigets_.find(rejection.number);
+    if (at == multigets_.end()) return;
+    const auto multiget = std::move(at->second);
+    multigets_.erase(at);
+    pending_names_.erase(multiget.request.name);
+    auto ending = rejection_ending(multiget, rejection);
+    held_claims_.erase(rejection.number);
+    if (multiget.on_ended) multiget.on_ended(std::move(ending));
+    if (rejection.may_be_stored && rejection.reason != RejectReason::kKeyHeld)
+        record_outcome(multiget, Fate::kRefused, {}, std::string(name_of(rejection.reason)), {}, false);
 }
 
-Ending Keeper::told_of(const Kept& kept, const TurnAway& turn_away) {
+Ending Keeper::rejection_ending(const PendingMultiget& multiget, const RejectMultiget& rejection) {
     Ending ending;
     ending.kind = Ending::Kind::kPushedBack;
-    ending.wait = std::min(turn_away.wait, recorded_.longest_wait);
-    const auto claim = held_.find(turn_away.number);
-    if (turn_away.why != Why::kKeyHeld || claim == held_.end()) {
-        ++counted_.turned_away;
+    ending.wait = std::min(rejection.retry_after, config_.max_retry_after);
+    const auto claim = held_claims_.find(rejection.number);
+    if (rejection.reason != RejectReason::kKeyHeld || claim == held_claims_.end()) {
+        ++counters_.rejected_multigets;
         return ending;
     }
     const auto& holder = claim->second.holder;
-    switch (judge(holder, kept.intent.fingerprint)) {
-        case AskedAgain::kAnswer:
-            ++counted_.answered_again;
+    switch (judge_repeat(holder, multiget.intent.fingerprint)) {
+        case RepeatVerdict::kAnswer:
+            ++counters_.recorded_answers;
             ending.kind = Ending::Kind::kRecorded;
             ending.told = holder.answer;
             break;
-        case AskedAgain::kAnswerNotKept:
-            ++counted_.answered_again;
+        case RepeatVerdict::kAnswerNotKept:
+            ++counters_.recorded_answers;
             ending.kind = Ending::Kind::kFailed;
             ending.told = "answered before; the answer was not kept, and it is not run again";
             break;
-        case AskedAgain::kUnderWay:
-            ++counted_.conflicts;
+        case RepeatVerdict::kInProgress:
+            ++counters_.conflicts;
             ending.kind = Ending::Kind::kUnderWay;
             ending.told = "a request of this Idempotency-Key is under way";
             break;
-        case AskedAgain::kOtherBody:
-            ++counted_.conflicts;
+        case RepeatVerdict::kDifferentBody:
+            ++counters_.conflicts;
             ending.kind = Ending::Kind::kOtherBody;
             ending.told = "this Idempotency-Key was used for another request";
             break;
-        case AskedAgain::kInDoubt:
-            ++counted_.doubts_told;
+        case RepeatVerdict::kInDoubt:
+            ++counters_.in_doubt_answers;
             ending.kind = Ending::Kind::kFailed;
             ending.told = "in doubt: the first request may have run, and is not run again";
             break;
-        case AskedAgain::kFailed:
+        case RepeatVerdict::kFailed:
             ending.kind = Ending::Kind::kFailed;
             ending.told = "the first request failed, and is not run again";
             break;
@@ -348,193 +365,204 @@
 
 // --- The store ---
 
-void Keeper::carry_out(const Open&) {
-    backend_->open({recorded_.node, incarnation_, birth_, !used_},
-                   [this](Backend::Enrolled enrolled) { opened(enrolled); });
+void Keeper::execute(const OpenStore&) {
+    backend_->open({config_.node, incarnation_, process_token_, !incarnation_used_},
+                   [this](Backend::Enrolled result) { on_store_opened(result); });
 }
 
-void Keeper::opened(const Backend::Enrolled& enrolled) {
-    if (!enrolled.good) {
-        if (enrolled.why != why_) {
-            log_.event(enrolled.schema ? Level::kError : Level::kWarning, "store_open_failed",
-                       "the store cannot be opened: " + enrolled.why);
+void Keeper::on_store_opened(const Backend::Enrolled& result) {
+    if (!result.good) {
+        if (result.why != last_error_) {
+            log_.event(result.schema_error ? Level::kError : Level::kWarning, "store_open_failed",
+                       "the store cannot be opened: " + result.why);
         }
-        why_ = enrolled.why;
-        return happened(OpenFailed{});
+        last_error_ = result.why;
+        return dispatch(StoreOpenFailed{});
     }
-    if (enrolled.incarnation != incarnation_ && used_) {
+    if (result.incarnation != incarnation_ && incarnation_used_) {
         // Entries went to the spill under the number that turns out to be another process's: the next try
         // says so.
-        why_ = "the incarnation is another process's";
-        return happened(OpenFailed{});
+        last_error_ = "the incarnation is another process's";
+        return dispatch(StoreOpenFailed{});
     }
-    why_.clear();
-    ++counted_.opened;
-    tend_at_ = 0;
+    last_error_.clear();
+    ++counters_.store_opens;
+    maintain_at_ = 0;
     waiter_.signal();
-    if (enrolled.incarnation == incarnation_) return happened(Opened{});
+    if (result.incarnation == incarnation_) return dispatch(StoreOpened{});
     // Not used before the folder has it: the next process must begin above it.
-    auto good = std::make_shared<bool>(false);
-    on_spill([this, good, text = std::to_string(enrolled.incarnation) + '\n'](
-                 Spill&) { *good = replace_file(*files_, terms_.folder, "incarnation", text); },
-             [this, good, incarnation = enrolled.incarnation] {
-                 if (!*good) {
-                     log_.event(Level::kError, "incarnation_unsaved",
-                                "cannot write '" + terms_.folder + "/incarnation'");
-                     return happened(OpenFailed{});
-                 }
-                 incarnation_ = incarnation;
-                 for (auto& [number, kept] : kept_) {  // those that wait for their name
-                     if (kept.proceeded) continue;
-                     kept.intent.id.incarnation = incarnation;
-                     entries_[{Ref::Half::kIntent, number}] = std::make_shared<const Entry>(kept.intent);
-                 }
-                 happened(Opened{});
-             });
-}
-
-Entries Keeper::entries_of(const Refs& refs) const {
+    auto ok = std::make_shared<bool>(false);
+    run_on_spill_thread(
+        [this, ok, text = std::to_string(result.incarnation) + '\n'](Spill&) {
+            *ok = replace_file(*files_, store_config_.folder, "incarnation", text);
+        },
+        [this, ok, incarnation = result.incarnation] {
+            if (!*ok) {
+                log_.event(Level::kError, "incarnation_unsaved",
+                           "cannot write '" + store_config_.folder + "/incarnation'");
+                return dispatch(StoreOpenFailed{});
+            }
+            incarnation_ = incarnation;
+            for (auto& [number, multiget] : multigets_) {  // those that wait for their name
+                if (multiget.proceeded) continue;
+                multiget.intent.id.incarnation = incarnation;
+                entries_[{EntryRef::Kind::kIntent, number}] = std::make_shared<const Entry>(multiget.intent);
+            }
+            dispatch(StoreOpened{});
+        });
+}
+
+Entries Keeper::entries_of(const EntryRefs& refs) const {
     Entries entries;
     for (const auto& ref : refs) entries.push_back(entries_.at(ref));
     return entries;
 }
 
-void Keeper::carry_out(const Write& write) {
-    ++counted_.writes;
-    used_ = true;
-    counted_.entries_written += write.refs.size();
+void Keeper::execute(const WriteBatch& write) {
+    ++counters_.writes;
+    incarnation_used_ = true;
+    counters_.entries_written += write.refs.size();
     crash_points_.pass("before_write");
-    backend_->write(entries_of(write.refs), [this, batch = write.batch, refs = write.refs](
-                                                Backend::Written end) { written(batch, refs, end); });
+    backend_->write(entries_of(write.refs),
+                    [this, batch = write.batch, refs = write.refs](Backend::Written result) {
+                        on_written(batch, refs, result);
+                    });
 }
 
-void Keeper::carry_out(const Settle& settle) {
-    ++counted_.settled;
-    backend_->settle(entries_of(settle.refs), [this, batch = settle.batch, refs = settle.refs](
-                                                  Backend::Written end) { written(batch, refs, end); });
+void Keeper::execute(const ReconcileBatch& reconcile) {
+    ++counters_.reconciled_writes;
+    backend_->reconcile(entries_of(reconcile.refs),
+                        [this, batch = reconcile.batch, refs = reconcile.refs](Backend::Written result) {
+                            on_written(batch, refs, result);
+                        });
 }
 
-void Keeper::written(Batch batch, const Refs& refs, const Backend::Written& written) {
-    if (written.end != Backend::End::kStored) return end_like(batch, written);
+void Keeper::on_written(BatchId batch, const EntryRefs& refs, const Backend::Written& result) {
+    if (result.end != Backend::End::kStored) return report_write_failure(batch, result);
     crash_points_.pass("after_write");
-    Stored stored{batch, {}, {}};
+    WriteStored stored{batch, {}, {}};
     for (std::size_t i = 0; i < refs.size(); ++i) {
-        if (written.claims[i].kind == Claim::Kind::kHeld) {
-            held_[refs[i].number] = written.claims[i];
-            stored.held.push_back(refs[i]);
-        } else if (!written.present.empty() && !written.present[i]) {
+        if (result.claims[i].kind == Claim::Kind::kHeld) {
+            held_claims_[refs[i].number] = result.claims[i];
+            stored.held_elsewhere.push_back(refs[i]);
+        } else if (!result.present.empty() && !result.present[i]) {
             stored.absent.push_back(refs[i]);
         }
     }
-    happened(std::move(stored));
+    dispatch(std::move(stored));
 }
 
-void Keeper::end_like(Batch batch, const Backend::Written& written) {
-    if (written.why != why_) {
-        log_.event(Level::kWarning, "store_write_failed", "a write to the store failed: " + written.why,
-                   {{"known", written.end == Backend::End::kUnsure ? "no" : "yes"}});
+void Keeper::report_write_failure(BatchId batch, const Backend::Written& result) {
+    if (result.error != last_error_) {
+        log_.event(Level::kWarning, "store_write_failed", "a write to the store failed: " + result.error,
+                   {{"known", result.end == Backend::End::kUnknown ? "no" : "yes"}});
     }
-    why_ = written.why;
-    switch (written.end) {
-        case Backend::End::kUnsure: ++counted_.unsure; return happened(Unsure{batch});
-        case Backend::End::kEntriesAtFault: ++counted_.refused; return happened(Refused{batch, true});
-        case Backend::End::kRefused: ++counted_.refused; return happened(Refused{batch, false});
+    last_error_ = result.error;
+    switch (result.end) {
+        case Backend::End::kUnknown: ++counters_.unknown_writes; return dispatch(WriteUnknown{batch});
+        case Backend::End::kEntriesRejected:
+            ++counters_.rejected_writes;
+            return dispatch(WriteRejected{batch, true});
+        case Backend::End::kRejected:
+            ++counters_.rejected_writes;
+            return dispatch(WriteRejected{batch, false});
         case Backend::End::kStored: break;
     }
-    happened(Stored{batch, {}, {}});
+    dispatch(WriteStored{batch, {}, {}});
 }
 
 // --- The spill ---
 
 // Its jobs never outnumber the queue: one append, one replay step, a skip and an incarnation.
 template <class Job>
-void Keeper::on_spill(Job job, std::function<void()> ended) {
-    auto holds = std::make_shared<SpillHolds>(spill_holds_);
-    const bool taken = spill_thread_.submit(
-        [job, holds, spill = spill_] {
+void Keeper::run_on_spill_thread(Job job, std::function<void()> on_done) {
+    auto level = std::make_shared<SpillLevel>(spill_level_);
+    const bool submitted = spill_thread_.submit(
+        [job, level, spill = spill_] {
             job(*spill);
-            *holds = {spill->entries(), spill->bytes()};
+            *level = {spill->entries(), spill->bytes()};
         },
-        [this, holds, ended] {
-            if (holds->entries != spill_holds_.entries || holds->bytes != spill_holds_.bytes) {
-                spill_holds_ = *holds;
-                happened(spill_holds_);
+        [this, level, on_done] {
+            if (level->entries != spill_level_.entries || level->bytes != spill_level_.bytes) {
+                spill_level_ = *level;
+                dispatch(spill_level_);
             }
-            ended();
+            on_done();
         });
-    if (!taken) scheduler_.defer(ended);  // `ended` finds what it was to bring not there: a failure
+    if (!submitted) scheduler_.defer(on_done);  // `ended` finds what it was to bring not there: a failure
 }
 
-void Keeper::carry_out(const SpillOut& spill) {
+void Keeper::execute(const WriteSpill& write) {
     std::vector<std::string> payloads;
-    for (const auto& ref : spill.refs) payloads.push_back(encode(*entries_.at(ref)));
-    used_ = true;
-    counted_.spilled += payloads.size();
-    auto good = std::make_shared<bool>(false);
-    on_spill([good, payloads = std::move(payloads)](Spill& to) { *good = to.append(payloads); },
-             [this, good, batch = spill.batch] {
-                 if (!*good) {
-                     ++counted_.spill_failures;
-                     log_.event(Level::kError, "spill_failed",
-                                "the spill cannot be written in " + terms_.folder);
-                 }
-                 happened(Spilled{batch, *good});
-             });
-}
-
-void Keeper::carry_out(const Replay& replay) {
+    for (const auto& ref : write.refs) payloads.push_back(encode(*entries_.at(ref)));
+    incarnation_used_ = true;
+    counters_.spilled_entries += payloads.size();
+    auto ok = std::make_shared<bool>(false);
+    run_on_spill_thread([ok, payloads = std::move(payloads)](Spill& to) { *ok = to.append(payloads); },
+                        [this, ok, batch = write.batch] {
+                            if (!*ok) {
+                                ++counters_.spill_failures;
+                                log_.event(Level::kError, "spill_failed",
+                                           "the spill cannot be written in " + store_config_.folder);
+                            }
+                            dispatch(SpillWritten{batch, *ok});
+                        });
+}
+
+void Keeper::execute(const ReplaySpill& replay) {
     auto entries = std::make_shared<Entries>();
-    on_spill(
-        [entries, most = replay.most](Spill& spill) {
-            for (auto& entry : spill.next(most))
+    run_on_spill_thread(
+        [entries, max_entries = replay.max_entries](Spill& spill) {
+            for (auto& entry : spill.next(max_entries))
                 entries->push_back(std::make_shared<const Entry>(std::move(entry)));
         },
         [this, entries, batch = replay.batch] {
             if (entries->empty())
-                return end_like(batch, {Backend::End::kRefused, {}, {}, "the spill cannot be read"});
-            backend_->write(*entries, [this, batch, count = entries->size()](Backend::Written end) {
-                spill_replayed(batch, count, end);
+                return report_write_failure(batch,
+                                            {Backend::End::kRejected, {}, {}, "the spill cannot be read"});
+            backend_->write(*entries, [this, batch, count = entries->size()](Backend::Written result) {
+                on_spill_replayed(batch, count, result);
             });
         });
 }
 
-void Keeper::spill_replayed(Batch batch, std::size_t count, const Backend::Written& written) {
-    if (written.end != Backend::End::kStored) return end_like(batch, written);
-    counted_.replayed += count;
-    on_spill([count](Spill& spill) { spill.done(count); },
-             [this, batch] {
-                 happened(Stored{batch, {}, {}});
-             });
+void Keeper::on_spill_replayed(BatchId batch, std::size_t count, const Backend::Written& result) {
+    if (result.end != Backend::End::kStored) return report_write_failure(batch, result);
+    counters_.replayed_entries += count;
+    run_on_spill_thread([count](Spill& spill) { spill.done(count); },
+                        [this, batch] {
+                            dispatch(WriteStored{batch, {}, {}});
+                        });
 }
 
-void Keeper::carry_out(const Skip&) {
-    ++counted_.set_aside;
-    log_.event(
-        Level::kError, "entry_set_aside",
-        "the store refuses an entry of the spill; it is kept in " + terms_.folder + "/refused.journal");
-    on_spill([](Spill& spill) { spill.set_aside_first(); }, [] {});
+void Keeper::execute(const SetAsideSpilled&) {
+    ++counters_.set_aside_entries;
+    log_.event(Level::kError, "entry_set_aside",
+               "the store refuses an entry of the spill; it is kept in " + store_config_.folder +
+                   "/refused.journal");
+    run_on_spill_thread([](Spill& spill) { spill.set_aside_front(); }, [] {});
 }
 
 // --- The rest ---
 
-void Keeper::carry_out(const Forget& forget) {
-    if (forget.lost) {
-        ++counted_.lost;
+void Keeper::execute(const DiscardEntry& discard) {
+    if (discard.lost) {
+        ++counters_.lost_entries;
         log_.event(Level::kError, "entry_refused", "the store refuses an entry; it is recorded nowhere",
-                   {{"number", std::to_string(forget.ref.number)}});
+                   {{"number", std::to_string(discard.ref.number)}});
     }
-    entries_.erase(forget.ref);
+    entries_.erase(discard.ref);
 }
 
-void Keeper::carry_out(const Wake& wake) {
+void Keeper::execute(const WakeAt& wake) {
     wake_at_ = wake.at;
     waiter_.signal();
 }
 
-void Keeper::carry_out(const Now& now) {
-    log_.event(now.condition == Condition::kUp ? Level::kInfo : Level::kWarning, "store_condition",
-               "the store is " + std::string(name_of(now.condition)),
-               {{"spill", std::to_string(spill_holds_.entries)}});
+void Keeper::execute(const ConditionChanged& change) {
+    log_.event(change.condition == Condition::kUp ? Level::kInfo : Level::kWarning, "store_condition",
+               "the store is " + std::string(name_of(change.condition)),
+               {{"spill", std::to_string(spill_level_.entries)}});
 }
 
 std::string Keeper::print_gauges() const {
@@ -544,31 +572,31 @@
     };
     add("store_condition", static_cast<std::uint64_t>(recorder_.condition()));
     add("store_incarnation", incarnation_);
-    add("store_opened", counted_.opened);
-    add("store_writes", counted_.writes);
-    add("store_entries_written", counted_.entries_written);
-    add("store_writes_unsure", counted_.unsure);
-    add("store_writes_refused", counted_.refused);
-    add("store_settled", counted_.settled);
-    add("store_pruned", counted_.pruned);
-    add("records_begun", counted_.intents);
-    add("records_ended", counted_.outcomes);
-    add("records_open", recorder_.open());
+    add("store_opened", counters_.store_opens);
+    add("store_writes", counters_.writes);
+    add("store_entries_written", counters_.entries_written);
+    add("store_writes_unsure", counters_.unknown_writes);
+    add("store_writes_refused", counters_.rejected_writes);
+    add("store_settled", counters_.reconciled_writes);
+    add("store_pruned", counters_.pruned_records);
+    add("records_begun", counters_.intents);
+    add("records_ended", counters_.outcomes);
+    add("records_open", recorder_.open_multigets());
     add("records_in_memory", entries_.size());
-    add("records_turned_away", counted_.turned_away);
-    add("records_lost", counted_.lost);
-    add("answers_before_record", counted_.answers_before_record);
-    add("answers_not_kept", counted_.answers_not_kept);
-    add("keys_answered_again", counted_.answered_again);
-    add("keys_in_conflict", counted_.conflicts);
-    add("keys_in_doubt", counted_.doubts_told);
-    add("spill_entries", spill_holds_.entries);
-    add("spill_bytes", spill_holds_.bytes);
-    add("spill_appended", counted_.spilled);
-    add("spill_replayed", counted_.replayed);
-    add("spill_failures", counted_.spill_failures);
-    add("spill_set_aside", counted_.set_aside);
-    add("store_impossible", recorder_.impossible());
+    add("records_turned_away", counters_.rejected_multigets);
+    add("records_lost", counters_.lost_entries);
+    add("answers_before_record", counters_.answers_before_record);
+    add("answers_not_kept", counters_.answers_not_kept);
+    add("keys_answered_again", counters_.recorded_answers);
+    add("keys_in_conflict", counters_.conflicts);
+    add("keys_in_doubt", counters_.in_doubt_answers);
+    add("spill_entries", spill_level_.entries);
+    add("spill_bytes", spill_level_.bytes);
+    add("spill_appended", counters_.spilled_entries);
+    add("spill_replayed", counters_.replayed_entries);
+    add("spill_failures", counters_.spill_failures);
+    add("spill_set_aside", counters_.set_aside_entries);
+    add("store_impossible", recorder_.unexpected_events());
     return out;
 }
 
--- a/src/store/keeper.hpp
+++ b/src/store/keeper.hpp
@@ -30,7 +30,7 @@
 
 namespace pinedoor::store {
 
-struct Unusable : std::runtime_error {  // the folder or what is in it: the program must not start
+struct StoreFolderError : std::runtime_error {  // the folder or what is in it: the program must not start
     using std::runtime_error::runtime_error;
 };
 
@@ -41,108 +41,109 @@
     std::vector<std::string> tenants;
     std::vector<bool> recorded;   // by op type
     std::vector<bool> retriable;  // by op type
-    Time longest_wait = 0;        // the most that a client may be told to wait; 0: none is told
+    Time max_retry_after = 0;     // the most that a client may be told to wait; 0: none is told
 };
 
 class Keeper : public service::RequestHandler {
 public:
-    Keeper(net::Scheduler& scheduler, service::RequestHandler& inner, service::Log& log, StoreTerms terms,
-           Recorded recorded, std::uint64_t seed, std::unique_ptr<Backend> backend,
+    Keeper(net::Scheduler& scheduler, service::RequestHandler& inner, service::Log& log,
+           StoreTerms store_config, Recorded config, std::uint64_t seed, std::unique_ptr<Backend> backend,
            std::unique_ptr<Files> files);
 
     void start();  // recovers the spill and takes its incarnation; throws Unusable
     // Once no client is left: waits a moment for what is not durable, then leaves the store.
     void finish();
-    bool done() const { return done_; }
+    bool done() const { return finished_; }
 
-    service::TakenRequest ask(service::MultigetAsked asked,
-                              std::function<void(service::Ending)> ended) override;
-    PartFates leave(service::Ticket multiget) override;
+    service::TakenRequest ask(service::MultigetAsked request,
+                              std::function<void(service::Ending)> on_ended) override;
+    PartFates leave(service::Ticket ticket) override;
     service::Acceptance could_take(const std::string& name) const override { return inner_.could_take(name); }
 
     std::string print_gauges() const;
 
 private:
-    struct Kept {  // a recorded multiget, until its client has its ending
-        service::MultigetAsked asked;
-        std::function<void(service::Ending)> ended;  // empty: its client has left
-        service::Ticket inner = 0;
+    struct PendingMultiget {  // a recorded multiget, until its client has its ending
+        service::MultigetAsked request;
+        std::function<void(service::Ending)> on_ended;  // empty: its client has left
+        service::Ticket inner_ticket = 0;
         bool proceeded = false;
         Intent intent;
         bool retriable = false;
         service::Ending ending;
     };
-    using Refs = std::vector<Ref>;
+    using EntryRefs = std::vector<EntryRef>;
 
-    void take_incarnation();
+    void load_incarnation();
     void recover_spill();
     net::Task run();
-    void tend();
-    void happened(Event event);
-
-    void carry_out(const Open&);
-    void carry_out(const Write& write);
-    void carry_out(const Settle& settle);
-    void carry_out(const Replay& replay);
-    void carry_out(const Skip&);
-    void carry_out(const SpillOut& spill);
-    void carry_out(const Proceed& proceed);
-    void carry_out(const TurnAway& turn_away);
-    void carry_out(const Release& release);
-    void carry_out(const DropAnswer& drop);
-    void carry_out(const Forget& forget);
-    void carry_out(const Wake& wake);
-    void carry_out(const Now& now);
-
-    void opened(const Backend::Enrolled& enrolled);
-    void written(Batch batch, const Refs& refs, const Backend::Written& written);
-    void spill_replayed(Batch batch, std::size_t count, const Backend::Written& written);
-    void end_like(Batch batch, const Backend::Written& written);
+    void maintain();
+    void dispatch(Event event);
+
+    void execute(const OpenStore&);
+    void execute(const WriteBatch& write);
+    void execute(const ReconcileBatch& reconcile);
+    void execute(const ReplaySpill& replay);
+    void execute(const SetAsideSpilled&);
+    void execute(const WriteSpill& write);
+    void execute(const Proceed& proceed);
+    void execute(const RejectMultiget& rejection);
+    void execute(const ReleaseAnswer& release);
+    void execute(const DropAnswer& drop);
+    void execute(const DiscardEntry& discard);
+    void execute(const WakeAt& wake);
+    void execute(const ConditionChanged& change);
+
+    void on_store_opened(const Backend::Enrolled& result);
+    void on_written(BatchId batch, const EntryRefs& refs, const Backend::Written& result);
+    void on_spill_replayed(BatchId batch, std::size_t count, const Backend::Written& result);
+    void report_write_failure(BatchId batch, const Backend::Written& result);
     template <class Job>
-    void on_spill(Job job, std::function<void()> ended);
-    void ended(Number number, service::Ending ending);
-    void record(const Kept& kept, Fate fate, const PartFates& parts, std::string note, std::string answer,
-                bool answered);
-    service::Ending told_of(const Kept& kept, const TurnAway& turn_away);
-    Entries entries_of(const Refs& refs) const;
+    void run_on_spill_thread(Job job, std::function<void()> on_done);
+    void on_exchange_ended(RecordNumber number, service::Ending ending);
+    void record_outcome(const PendingMultiget& multiget, Fate outcome_kind, const PartFates& parts,
+                        std::string note, std::string answer, bool answered);
+    service::Ending rejection_ending(const PendingMultiget& multiget, const RejectMultiget& rejection);
+    Entries entries_of(const EntryRefs& refs) const;
 
     net::Scheduler& scheduler_;
     service::RequestHandler& inner_;
     service::Log& log_;
-    const StoreTerms terms_;
-    const Recorded recorded_;
+    const StoreTerms store_config_;
+    const Recorded config_;
     std::unique_ptr<Files> files_;
-    net::Fd lock_;
+    net::Fd lock_file_;
     Recorder recorder_;
     CrashPoints crash_points_;
 
-    std::string birth_;
+    std::string process_token_;
     std::uint64_t incarnation_ = 0;  // 0: the store has not told it yet
-    bool used_ = false;              // something is written under it
-    Number last_number_ = 0;
-    std::map<Number, Kept> kept_;
-    std::set<std::string> waiting_names_;  // of those that are not with the exchange yet
-    std::map<Ref, std::shared_ptr<const Entry>> entries_;
-    std::map<Number, Claim> held_;  // claims that somebody else has, until told
+    bool incarnation_used_ = false;  // something is written under it
+    RecordNumber last_number_ = 0;
+    std::map<RecordNumber, PendingMultiget> multigets_;
+    std::set<std::string> pending_names_;  // of those that are not with the exchange yet
+    std::map<EntryRef, std::shared_ptr<const Entry>> entries_;
+    std::map<RecordNumber, Claim> held_claims_;  // claims that somebody else has, until told
     std::deque<Event> events_;
-    bool happening_ = false;
+    bool dispatching_ = false;
 
     Time wake_at_ = net::kNever;
-    Time tend_at_ = 0;
-    bool tending_ = false;
+    Time maintain_at_ = 0;
+    bool maintaining_ = false;
     bool finishing_ = false;
-    Time finish_by_ = net::kNever;
-    bool leaving_ = false;
-    bool done_ = false;
-    std::string why_;  // the store's last trouble
-    SpillHolds spill_holds_;
-
-    struct Counted {
-        std::uint64_t intents = 0, outcomes = 0, writes = 0, entries_written = 0, settled = 0, spilled = 0,
-                      replayed = 0, unsure = 0, refused = 0, turned_away = 0, answers_before_record = 0,
-                      answered_again = 0, conflicts = 0, doubts_told = 0, answers_not_kept = 0, lost = 0,
-                      set_aside = 0, spill_failures = 0, pruned = 0, opened = 0;
-    } counted_;
+    Time finish_deadline_ = net::kNever;
+    bool deregistering_ = false;
+    bool finished_ = false;
+    std::string last_error_;  // the store's last trouble
+    SpillLevel spill_level_;
+
+    struct Counters {
+        std::uint64_t intents = 0, outcomes = 0, writes = 0, entries_written = 0, reconciled_writes = 0,
+                      spilled_entries = 0, replayed_entries = 0, unknown_writes = 0, rejected_writes = 0,
+                      rejected_multigets = 0, answers_before_record = 0, recorded_answers = 0, conflicts = 0,
+                      in_doubt_answers = 0, answers_not_kept = 0, lost_entries = 0, set_aside_entries = 0,
+                      spill_failures = 0, pruned_records = 0, store_opens = 0;
+    } counters_;
     std::shared_ptr<Spill> spill_;  // touched by its thread alone, but for recovery
     std::unique_ptr<Backend> backend_;
     net::Worker spill_thread_;
--- a/src/store/move_journal.cpp
+++ b/src/store/move_journal.cpp
@@ -5,37 +5,37 @@
 namespace pinedoor::store {
 namespace {
 
-constexpr const char* kOpen = "step NOT IN ('done', 'undone')";
-
-Value number(std::uint64_t value) { return static_cast<std::int64_t>(value); }
-Value text(std::string_view value) { return std::string(value); }
-
-JournalMove read(const Row& row) {
-    JournalMove made;
-    made.move.id = static_cast<placement::MoveId>(number_of(row.at(0)));
-    made.move.shard = static_cast<placement::ShardId>(number_of(row.at(1)));
-    made.move.from = static_cast<placement::BoxId>(number_of(row.at(2)));
-    made.move.to = static_cast<placement::BoxId>(number_of(row.at(3)));
-    made.move.epoch = static_cast<placement::Epoch>(number_of(row.at(4)));
+constexpr const char* kOpenCondition = "step NOT IN ('done', 'undone')";
+
+Value to_value(std::uint64_t value) { return static_cast<std::int64_t>(value); }
+Value to_value(std::string_view value) { return std::string(value); }
+
+JournalMove read_move(const Row& row) {
+    JournalMove result;
+    result.move.id = static_cast<placement::MoveId>(number_of(row.at(0)));
+    result.move.shard = static_cast<placement::ShardId>(number_of(row.at(1)));
+    result.move.from = static_cast<placement::BoxId>(number_of(row.at(2)));
+    result.move.to = static_cast<placement::BoxId>(number_of(row.at(3)));
+    result.move.epoch = static_cast<placement::Epoch>(number_of(row.at(4)));
     const auto step = placement::move_step_named(text_of(row.at(5)));
     const auto kind = placement::move_kind_named(text_of(row.at(6)));
     if (!step || !kind)
-        throw SqlError(SqlError::Kind::kSchema,
-                       "move " + std::to_string(made.move.id) + " has a step or kind that is not known here");
-    made.move.step = *step;
-    made.move.kind = *kind;
-    made.wave = static_cast<std::size_t>(number_of(row.at(7)));
-    made.from = text_of(row.at(8));
-    made.to = text_of(row.at(9));
-    made.map = static_cast<std::uint64_t>(number_of(row.at(10)));
-    made.wish = text_of(row.at(11));
-    made.since = number_of(row.at(12));
-    made.note = text_of(row.at(13));
-    made.move.cut = {std::strtoull(text_of(row.at(14)).c_str(), nullptr, 10),
-                     static_cast<placement::ShardId>(number_of(row.at(15))),
-                     static_cast<placement::ShardId>(number_of(row.at(16))),
-                     static_cast<placement::ShardId>(number_of(row.at(17)))};
-    return made;
+        throw SqlError(SqlError::Kind::kSchema, "move " + std::to_string(result.move.id) +
+                                                    " has a step or kind that is not known here");
+    result.move.step = *step;
+    result.move.kind = *kind;
+    result.wave = static_cast<std::size_t>(number_of(row.at(7)));
+    result.from = text_of(row.at(8));
+    result.to = text_of(row.at(9));
+    result.map = static_cast<std::uint64_t>(number_of(row.at(10)));
+    result.wish = text_of(row.at(11));
+    result.since = number_of(row.at(12));
+    result.note = text_of(row.at(13));
+    result.move.cut = {std::strtoull(text_of(row.at(14)).c_str(), nullptr, 10),
+                       static_cast<placement::ShardId>(number_of(row.at(15))),
+                       static_cast<placement::ShardId>(number_of(row.at(16))),
+                       static_cast<placement::ShardId>(number_of(row.at(17)))};
+    return result;
 }
 
 }  // namespace
@@ -57,20 +57,20 @@
     transaction.commit();
 }
 
-bool MoveJournal::take_lease(const std::string& who, std::int64_t lease) {
+bool MoveJournal::take_lease(const std::string& owner, std::int64_t duration) {
     Transaction transaction(db_);
     db_.run(
         "UPDATE shard_mover SET who = $1, until = pinedoor_now() + $2 WHERE one = 1 AND (who = $1 OR until < "
         "pinedoor_now())",
-        {who, lease});
+        {owner, duration});
     const auto rows = db_.run("SELECT who FROM shard_mover WHERE one = 1");
-    const bool mine = !rows.empty() && text_of(rows[0].at(0)) == who;
+    const bool acquired = !rows.empty() && text_of(rows[0].at(0)) == owner;
     transaction.commit();
-    return mine;
+    return acquired;
 }
 
-void MoveJournal::leave_lease(const std::string& who) {
-    db_.run("UPDATE shard_mover SET until = 0 WHERE one = 1 AND who = $1", {who});
+void MoveJournal::leave_lease(const std::string& owner) {
+    db_.run("UPDATE shard_mover SET until = 0 WHERE one = 1 AND who = $1", {owner});
 }
 
 std::string MoveJournal::holder() {
@@ -90,24 +90,25 @@
             "map, cut_at, other, lower, upper, wish, since, note) "
             "VALUES ($1, $2, $3, $4, $5, $6, $7, $8, $9, $10, $11, $12, $13, $14, $15, '', pinedoor_now(), "
             "'')",
-            {number(each.move.id), number(each.move.shard), number(each.move.from), number(each.move.to),
-             number(each.move.epoch), text(name_of(each.move.step)), text(name_of(each.move.kind)),
-             number(each.wave), each.from, each.to, number(each.map), std::to_string(each.move.cut.at),
-             number(each.move.cut.other), number(each.move.cut.lower), number(each.move.cut.upper)});
+            {to_value(each.move.id), to_value(each.move.shard), to_value(each.move.from),
+             to_value(each.move.to), to_value(each.move.epoch), to_value(name_of(each.move.step)),
+             to_value(name_of(each.move.kind)), to_value(each.wave), each.from, each.to, to_value(each.map),
+             std::to_string(each.move.cut.at), to_value(each.move.cut.other), to_value(each.move.cut.lower),
+             to_value(each.move.cut.upper)});
     }
     transaction.commit();
     return moves;
 }
 
-void MoveJournal::keep(const placement::Move& move, const std::string& who) {
+void MoveJournal::keep(const placement::Move& move, const std::string& owner) {
     Transaction transaction(db_);
     // The lease is written, not only read: two movers' transactions meet in this row.
-    db_.run("UPDATE shard_mover SET until = until WHERE one = 1 AND who = $1", {who});
+    db_.run("UPDATE shard_mover SET until = until WHERE one = 1 AND who = $1", {owner});
     const auto rows = db_.run("SELECT who FROM shard_mover WHERE one = 1");
-    if (rows.empty() || text_of(rows[0].at(0)) != who)
+    if (rows.empty() || text_of(rows[0].at(0)) != owner)
         throw LostLease("another mover carries the moves: " + (rows.empty() ? "" : text_of(rows[0].at(0))));
     db_.run("UPDATE shard_moves SET step = $2, epoch = $3, since = pinedoor_now() WHERE id = $1",
-            {number(move.id), text(name_of(move.step)), number(move.epoch)});
+            {to_value(move.id), to_value(name_of(move.step)), to_value(move.epoch)});
     transaction.commit();
 }
 
@@ -117,22 +118,22 @@
         "SELECT id, shard, from_box, to_box, epoch, step, kind, wave, from_name, to_name, map, wish, since, "
         "note, cut_at, other, lower, upper FROM shard_moves ";
     for (const auto& row :
-         db_.run(columns + (open_only ? "WHERE " + std::string(kOpen) : "") + " ORDER BY id"))
-        all.push_back(read(row));
+         db_.run(columns + (open_only ? "WHERE " + std::string(kOpenCondition) : "") + " ORDER BY id"))
+        all.push_back(read_move(row));
     return all;
 }
 
-bool MoveJournal::wish(placement::MoveId id, const std::string& what) {
+bool MoveJournal::wish(placement::MoveId id, const std::string& request) {
     Transaction transaction(db_);
-    const auto rows =
-        db_.run("SELECT id FROM shard_moves WHERE id = $1 AND " + std::string(kOpen), {number(id)});
-    if (!rows.empty()) db_.run("UPDATE shard_moves SET wish = $2 WHERE id = $1", {number(id), what});
+    const auto rows = db_.run("SELECT id FROM shard_moves WHERE id = $1 AND " + std::string(kOpenCondition),
+                              {to_value(id)});
+    if (!rows.empty()) db_.run("UPDATE shard_moves SET wish = $2 WHERE id = $1", {to_value(id), request});
     transaction.commit();
     return !rows.empty();
 }
 
 void MoveJournal::note(placement::MoveId id, const std::string& text) {
-    db_.run("UPDATE shard_moves SET note = $2 WHERE id = $1", {number(id), text});
+    db_.run("UPDATE shard_moves SET note = $2 WHERE id = $1", {to_value(id), text});
 }
 
 void MoveJournal::pause(bool paused) {
--- a/src/store/move_journal.hpp
+++ b/src/store/move_journal.hpp
@@ -35,15 +35,15 @@
     void init();  // makes the tables unless they are there
 
     // True: it is this one's for so long, and was free or its own.
-    bool take_lease(const std::string& who, std::int64_t lease);
-    void leave_lease(const std::string& who);
+    bool take_lease(const std::string& owner, std::int64_t duration);
+    void leave_lease(const std::string& owner);
     std::string holder();  // empty: nobody, or its time is over
 
     // In one transaction; the moves get their ids, each one more than any before.
     std::vector<JournalMove> add(std::vector<JournalMove> moves);
-    void keep(const placement::Move& move, const std::string& who);  // throws LostLease
-    std::vector<JournalMove> moves(bool open_only);                  // by id
-    bool wish(placement::MoveId id, const std::string& what);        // false: there is none that is open
+    void keep(const placement::Move& move, const std::string& owner);  // throws LostLease
+    std::vector<JournalMove> moves(bool open_only);                    // by id
+    bool wish(placement::MoveId id, const std::string& request);       // false: there is none that is open
     void note(placement::MoveId id, const std::string& text);
     void pause(bool paused);
     bool paused();
--- a/src/store/pg_backend.hpp
+++ b/src/store/pg_backend.hpp
@@ -19,61 +19,63 @@
 class PgBackend : public Backend {
 public:
     // Throws SqlError if libpq is missing, or the address is a name: a look-up would block the loop.
-    PgBackend(net::Scheduler& scheduler, PostgresTerms terms, Time lease);
+    PgBackend(net::Scheduler& scheduler, PostgresTerms config, Time lease);
     ~PgBackend() override;
 
     void open(Registration registration, std::function<void(Enrolled)> done) override;
     void write(Entries entries, std::function<void(Written)> done) override;
-    void settle(Entries entries, std::function<void(Written)> done) override;
-    void tend(Time delete_before, std::size_t most, std::function<void(std::size_t)> done) override;
-    void leave(Time within, std::function<void()> done) override;
-    void on_lost(std::function<void()> lost) override { lost_ = std::move(lost); }
+    void reconcile(Entries entries, std::function<void(Written)> done) override;
+    void maintain(Time delete_before, std::size_t max_deletes,
+                  std::function<void(std::size_t)> done) override;
+    void deregister(Time timeout, std::function<void()> done) override;
+    void on_lost(std::function<void()> callback) override { on_lost_ = std::move(callback); }
 
 private:
-    struct Answer {
-        enum class End { kGood, kError, kLost } end = End::kLost;
-        SqlError::Kind kind = SqlError::Kind::kStore;  // of an error
-        std::string why;
+    struct QueryResult {
+        enum class Status { kOk, kError, kLost } status = Status::kLost;
+        SqlError::Kind error_kind = SqlError::Kind::kUnavailable;  // of an error
+        std::string error;
         std::vector<std::vector<Row>> rows;  // of each statement
     };
     struct Request {
         std::vector<Statement> statements;
         bool transaction = false;
-        std::function<void(Answer)> done;  // from the connection's own coroutine; it may ask the next
+        std::function<void(QueryResult)> done;  // from the connection's own coroutine; it may ask the next
     };
-    struct Finish {
-        const Pq* pq = nullptr;
+    struct ConnectionCloser {
+        const LibPq* pq = nullptr;
         void operator()(PGconn* connection) const { pq->finish(connection); }
     };
 
     net::Task connect_and_serve();
     std::string send(const Request& request);  // what went wrong, or nothing
     // False: more must come. Takes what has come of the request's results.
-    bool take_results(Answer& answer);
-    void ask(std::vector<Statement> statements, bool transaction, std::function<void(Answer)> done);
-    void look(Registration registration, std::function<void(Enrolled)> done);
-    void enroll_now(Registration registration, std::function<void(Enrolled)> done);
-    void drop();
-    std::string why() const;
-    std::unique_ptr<net::Waiter> watch();
-    static Written written_from(const Answer& answer);
+    bool read_results(QueryResult& result);
+    void submit(std::vector<Statement> statements, bool transaction, std::function<void(QueryResult)> done);
+    void check_schema_and_enroll(Registration registration, std::function<void(Enrolled)> done);
+    void enroll(Registration registration, std::function<void(Enrolled)> done);
+    void close_connection();
+    std::string connection_error() const;
+    std::unique_ptr<net::Waiter> make_waiter();
+    static Written to_written(const QueryResult& result);
 
     net::Scheduler& scheduler_;
-    const PostgresTerms terms_;
+    const PostgresTerms config_;
     const Time lease_;
-    Pq pq_;
-    std::function<void()> lost_;
-    std::unique_ptr<PGconn, Finish> connection_;
+    LibPq pq_;
+    std::function<void()> on_lost_;
+    std::unique_ptr<PGconn, ConnectionCloser> connection_;
     std::map<std::string, std::string> prepared_;  // statement to its name on this connection
-    std::uint64_t last_name_ = 0;
-    std::vector<bool> awaited_;  // of what was sent: does its result count (else it is a preparation's)
-    std::size_t results_ = 0;
-    bool up_ = false;
+    std::uint64_t last_statement_number_ = 0;
+    std::vector<bool>
+        result_expected_;  // of what was sent: does its result count (else it is a preparation's)
+    std::size_t results_seen_ = 0;
+    bool connected_ = false;
     std::uint64_t generation_ = 0;  // of the connection: what an older one still tells is passed over
     std::deque<Request> requests_;
-    std::function<void(Enrolled)> connected_;
+    std::function<void(Enrolled)> on_opened_;
     Registration registration_;
-    std::unique_ptr<net::Waiter> socket_;
+    std::unique_ptr<net::Waiter> socket_waiter_;
     net::Task task_;  // last: goes first
 };
 
--- a/src/store/pq.cpp
+++ b/src/store/pq.cpp
@@ -16,16 +16,16 @@
 template <class Function>
 void load(void* library, Function& function, const char* name) {
     function = reinterpret_cast<Function>(dlsym(library, name));
-    if (function == nullptr) throw SqlError(Kind::kStore, std::string("libpq has no ") + name);
+    if (function == nullptr) throw SqlError(Kind::kUnavailable, std::string("libpq has no ") + name);
 }
 
 }  // namespace
 
 // It stays loaded to the end: OpenSSL keeps what libpq registered there once.
-Pq::Pq() : library_(dlopen("libpq.so.5", RTLD_NOW | RTLD_LOCAL | RTLD_NODELETE)) {
+LibPq::LibPq() : library_(dlopen("libpq.so.5", RTLD_NOW | RTLD_LOCAL | RTLD_NODELETE)) {
     if (library_ == nullptr) {
-        throw SqlError(Kind::kStore, std::string("libpq cannot be loaded (") + dlerror() +
-                                         "); install Debian's package libpq5");
+        throw SqlError(Kind::kUnavailable, std::string("libpq cannot be loaded (") + dlerror() +
+                                               "); install Debian's package libpq5");
     }
     load(library_, connect_start, "PQconnectStart");
     load(library_, connect_poll, "PQconnectPoll");
@@ -46,9 +46,9 @@
     load(library_, result_status, "PQresultStatus");
     load(library_, error_field, "PQresultErrorField");
     load(library_, error_message, "PQerrorMessage");
-    load(library_, rows, "PQntuples");
-    load(library_, columns, "PQnfields");
-    load(library_, type, "PQftype");
+    load(library_, row_count, "PQntuples");
+    load(library_, column_count, "PQnfields");
+    load(library_, column_type, "PQftype");
     load(library_, value, "PQgetvalue");
     load(library_, length, "PQgetlength");
     load(library_, is_null, "PQgetisnull");
@@ -58,32 +58,32 @@
     load(library_, free_memory, "PQfreemem");
 }
 
-Pq::~Pq() {
+LibPq::~LibPq() {
     if (library_ != nullptr) dlclose(library_);
 }
 
-std::string PqResult::state() const {
+std::string PqResult::sqlstate() const {
     const char* text = pq_.error_field(result_, PG_DIAG_SQLSTATE);
     return text == nullptr ? "" : text;
 }
 
-std::string PqResult::why() const {
+std::string PqResult::message() const {
     const char* text = pq_.error_field(result_, PG_DIAG_MESSAGE_PRIMARY);
     return text == nullptr ? "an error without words" : text;
 }
 
-std::vector<Row> PqResult::read() const {
+std::vector<Row> PqResult::read_rows() const {
     std::vector<Row> out;
-    for (int r = 0; r < pq_.rows(result_); ++r) {
+    for (int r = 0; r < pq_.row_count(result_); ++r) {
         Row row;
-        for (int c = 0; c < pq_.columns(result_); ++c) {
+        for (int c = 0; c < pq_.column_count(result_); ++c) {
             if (pq_.is_null(result_, r, c) != 0) {
                 row.emplace_back();
                 continue;
             }
             const std::string_view text(pq_.value(result_, r, c),
                                         static_cast<std::size_t>(pq_.length(result_, r, c)));
-            const auto type = pq_.type(result_, c);
+            const auto type = pq_.column_type(result_, c);
             std::int64_t number = 0;
             if ((type == kInt8 || type == kInt4 || type == kInt2) &&
                 std::from_chars(text.data(), text.data() + text.size(), number).ec == std::errc{}) {
@@ -97,51 +97,54 @@
     return out;
 }
 
-PqValues::PqValues(const std::vector<Value>& values) {
+PqParameters::PqParameters(const std::vector<Value>& values) {
     for (const auto& value : values) {
         texts_.push_back(text_of(value));
         types_.push_back(std::holds_alternative<std::int64_t>(value) ? kInt8 : kText);
     }
     for (std::size_t i = 0; i < values.size(); ++i) {
-        const bool none = std::holds_alternative<std::monostate>(values[i]);
-        pointers_.push_back(none ? nullptr : texts_[i].c_str());
+        const bool is_null = std::holds_alternative<std::monostate>(values[i]);
+        pointers_.push_back(is_null ? nullptr : texts_[i].c_str());
     }
 }
 
 // Classes 22 (data), 23 (integrity), 54 (limits) and 42 (the statement) are of the values or the program; all
 // else is of the server (PostgreSQL's documentation, appendix A).
-Kind kind_of_state(const std::string& state) {
-    for (const char* each : {"22", "23", "54"}) {
-        if (state.starts_with(each)) return Kind::kEntries;
+Kind sqlstate_kind(const std::string& sqlstate) {
+    for (const char* prefix : {"22", "23", "54"}) {
+        if (sqlstate.starts_with(prefix)) return Kind::kRejectedEntries;
     }
-    return Kind::kStore;
+    return Kind::kUnavailable;
 }
 
 PgDb::PgDb(const std::string& conninfo) : connection_(pq_.connect_db(conninfo.c_str())) {
     if (pq_.status(connection_) == CONNECTION_OK) return;
-    const std::string why = pq_.error_message(connection_);
+    const std::string message = pq_.error_message(connection_);
     pq_.finish(connection_);
-    throw SqlError(Kind::kStore, "cannot connect: " + why.substr(0, why.find_last_not_of('\n') + 1));
+    throw SqlError(Kind::kUnavailable,
+                   "cannot connect: " + message.substr(0, message.find_last_not_of('\n') + 1));
 }
 
 PgDb::~PgDb() { pq_.finish(connection_); }
 
 std::vector<Row> PgDb::run(const std::string& statement, const std::vector<Value>& values) {
-    const PqValues given(values);
-    const PqResult result(pq_, pq_.exec_params(connection_, statement.c_str(), given.count(), given.types(),
-                                               given.values(), given.lengths(), nullptr, 0));
+    const PqParameters parameters(values);
+    const PqResult result(
+        pq_, pq_.exec_params(connection_, statement.c_str(), parameters.count(), parameters.types(),
+                             parameters.values(), parameters.lengths(), nullptr, 0));
     const auto status = result.status();
     if (status == PGRES_TUPLES_OK || status == PGRES_COMMAND_OK || status == PGRES_EMPTY_QUERY)
-        return result.read();
-    if (pq_.status(connection_) != CONNECTION_OK) throw SqlError(Kind::kUnsure, "the connection was lost");
-    throw SqlError(kind_of_state(result.state()), result.why());
+        return result.read_rows();
+    if (pq_.status(connection_) != CONNECTION_OK)
+        throw SqlError(Kind::kCommitUnknown, "the connection was lost");
+    throw SqlError(sqlstate_kind(result.sqlstate()), result.message());
 }
 
 void PgDb::commit() {
     try {
         run("COMMIT");
     } catch (const SqlError& error) {
-        throw SqlError(Kind::kUnsure, error.what());
+        throw SqlError(Kind::kCommitUnknown, error.what());
     }
 }
 
--- a/src/store/pq.hpp
+++ b/src/store/pq.hpp
@@ -12,12 +12,12 @@
 
 namespace pinedoor::store {
 
-class Pq {
+class LibPq {
 public:
-    Pq();  // throws SqlError if libpq is not installed
-    ~Pq();
-    Pq(const Pq&) = delete;
-    Pq& operator=(const Pq&) = delete;
+    LibPq();  // throws SqlError if libpq is not installed
+    ~LibPq();
+    LibPq(const LibPq&) = delete;
+    LibPq& operator=(const LibPq&) = delete;
 
     decltype(&PQconnectStart) connect_start;
     decltype(&PQconnectPoll) connect_poll;
@@ -38,9 +38,9 @@
     decltype(&PQresultStatus) result_status;
     decltype(&PQresultErrorField) error_field;
     decltype(&PQerrorMessage) error_message;
-    decltype(&PQntuples) rows;
-    decltype(&PQnfields) columns;
-    decltype(&PQftype) type;
+    decltype(&PQntuples) row_count;
+    decltype(&PQnfields) column_count;
+    decltype(&PQftype) column_type;
     decltype(&PQgetvalue) value;
     decltype(&PQgetlength) length;
     decltype(&PQgetisnull) is_null;
@@ -55,25 +55,25 @@
 
 class PqResult {
 public:
-    PqResult(const Pq& pq, PGresult* result) : pq_(pq), result_(result) {}
+    PqResult(const LibPq& pq, PGresult* result) : pq_(pq), result_(result) {}
     ~PqResult() { pq_.clear(result_); }
     PqResult(const PqResult&) = delete;
     PqResult& operator=(const PqResult&) = delete;
 
     ExecStatusType status() const { return pq_.result_status(result_); }
-    std::string state() const;  // SQLSTATE of an error
-    std::string why() const;
-    std::vector<Row> read() const;
+    std::string sqlstate() const;  // SQLSTATE of an error
+    std::string message() const;
+    std::vector<Row> read_rows() const;
 
 private:
-    const Pq& pq_;
+    const LibPq& pq_;
     PGresult* result_;
 };
 
 // The values as libpq takes them: as text, with the types of what they are here.
-class PqValues {
+class PqParameters {
 public:
-    explicit PqValues(const std::vector<Value>& values);
+    explicit PqParameters(const std::vector<Value>& values);
     int count() const { return static_cast<int>(texts_.size()); }
     const Oid* types() const { return types_.data(); }
     const char* const* values() const { return pointers_.data(); }
@@ -85,7 +85,7 @@
     std::vector<const char*> pointers_;
 };
 
-SqlError::Kind kind_of_state(const std::string& sqlstate);
+SqlError::Kind sqlstate_kind(const std::string& sqlstate);
 
 // A database for the command line; each call waits for its end. Throws SqlError.
 class PgDb : public SqlDb {
@@ -100,7 +100,7 @@
     std::string kind() const override { return "postgres"; }
 
 private:
-    Pq pq_;
+    LibPq pq_;
     PGconn* connection_ = nullptr;
 };
 
--- a/src/store/record.hpp
+++ b/src/store/record.hpp
@@ -31,7 +31,7 @@
 
 enum class Fate : std::uint8_t { kAnswered = 1, kAnsweredInPart = 2, kRefused = 3, kFailed = 4 };
 std::string_view name_of(Fate fate);
-std::optional<Fate> fate_named(std::string_view name);
+std::optional<Fate> parse_outcome_kind(std::string_view name);
 
 // What is known of a part at its multiget's end. "May have run" is said whenever the opposite is not proven.
 enum class PartFate : char { kNeverSent = 'n', kMayHaveRun = 'm', kRan = 'r' };
@@ -40,12 +40,12 @@
     RecordId id;
     std::string op_type;
     std::string tenant;
-    std::string client;       // the client's own name of the multiget (X-Txn)
-    std::string key;          // Idempotency-Key; empty: none
-    std::string fingerprint;  // of what was asked, 32 hex digits of XXH3-128; with a key only
-    Time asked = 0;
-    Time not_after = 0;
-    std::uint32_t parts = 0;
+    std::string request_name;  // the client's own name of the multiget (X-Txn)
+    std::string key;           // Idempotency-Key; empty: none
+    std::string fingerprint;   // of what was asked, 32 hex digits of XXH3-128; with a key only
+    Time requested_at = 0;
+    Time deadline = 0;
+    std::uint32_t part_count = 0;
     bool operator==(const Intent&) const = default;
 };
 
@@ -75,13 +75,13 @@
 std::string encode(const Entry& entry);
 std::optional<Entry> decode(std::string_view bytes);  // none: they are no entry, whole and nothing else
 
-std::string fingerprint_of(std::string_view op_type, std::string_view asked);
+std::string fingerprint_of(std::string_view op_type, std::string_view body);
 
 using PartFates = std::vector<std::pair<int, PartFate>>;
-std::string print_parts(const PartFates& parts);
+std::string format_part_outcomes(const PartFates& parts);
 
 // Who holds a key, when it is not the one who asks.
-struct Holder {
+struct KeyHolder {
     RecordId id;
     std::string fingerprint;
     std::optional<Fate> fate;  // none: no outcome is recorded
@@ -92,8 +92,8 @@
 
 // What became of an entry's claim to its key. Entries without a key are always kMine.
 struct Claim {
-    enum class Kind { kMine, kHeld } kind = Kind::kMine;
-    Holder holder;  // kHeld
+    enum class Kind { kGranted, kHeld } kind = Kind::kGranted;
+    KeyHolder holder;  // kHeld
 };
 
 }  // namespace pinedoor::store
--- a/src/store/spill.cpp
+++ b/src/store/spill.cpp
@@ -11,189 +11,191 @@
 namespace pinedoor::store {
 namespace {
 
-constexpr std::string_view kHead("PDSPILL\1\0\0\0\0\0\0\0\0", 16);
-constexpr std::size_t kFrameHead = 12;
-constexpr std::size_t kLargestPayload = std::size_t{4} << 20U;
-constexpr std::string_view kPrefix = "spill-";
-constexpr std::string_view kSuffix = ".journal";
+constexpr std::string_view kFileHeader("PDSPILL\1\0\0\0\0\0\0\0\0", 16);
+constexpr std::size_t kFrameHeaderBytes = 12;
+constexpr std::size_t kMaxPayloadBytes = std::size_t{4} << 20U;
+constexpr std::string_view kFilePrefix = "spill-";
+constexpr std::string_view kFileSuffix = ".journal";
 
-void put(std::string& out, std::uint64_t number, std::size_t bytes) {
+void append_le(std::string& out, std::uint64_t number, std::size_t bytes) {
     for (std::size_t i = 0; i < bytes; ++i, number >>= 8U) out.push_back(static_cast<char>(number & 0xffU));
 }
 
-std::uint64_t get(std::string_view bytes) {
+std::uint64_t read_le(std::string_view bytes) {
     std::uint64_t number = 0;
     for (std::size_t i = bytes.size(); i-- > 0;) number = number << 8U | static_cast<unsigned char>(bytes[i]);
     return number;
 }
 
 std::uint64_t checksum(std::string_view length, std::string_view payload) {
-    return XXH3_64bits_withSeed(payload.data(), payload.size(), get(length));
+    return XXH3_64bits_withSeed(payload.data(), payload.size(), read_le(length));
 }
 
 // The whole entry that begins there, or nothing.
-std::string_view whole_entry(std::string_view bytes) {
-    if (bytes.size() < kFrameHead) return {};
-    const auto length = get(bytes.substr(0, 4));
-    if (length == 0 || length > kLargestPayload || length > bytes.size() - kFrameHead) return {};
-    const auto payload = bytes.substr(kFrameHead, length);
-    if (checksum(bytes.substr(0, 4), payload) != get(bytes.substr(4, 8))) return {};
+std::string_view parse_frame(std::string_view bytes) {
+    if (bytes.size() < kFrameHeaderBytes) return {};
+    const auto length = read_le(bytes.substr(0, 4));
+    if (length == 0 || length > kMaxPayloadBytes || length > bytes.size() - kFrameHeaderBytes) return {};
+    const auto payload = bytes.substr(kFrameHeaderBytes, length);
+    if (checksum(bytes.substr(0, 4), payload) != read_le(bytes.substr(4, 8))) return {};
     return payload;
 }
 
 }  // namespace
 
-std::string frame(std::string_view payload) {
+std::string frame_payload(std::string_view payload) {
     std::string out;
-    put(out, payload.size(), 4);
-    put(out, checksum(out, payload), 8);
+    append_le(out, payload.size(), 4);
+    append_le(out, checksum(out, payload), 8);
     out += payload;
     return out;
 }
 
-Spill::Scanned Spill::scan(std::string_view bytes) {
-    Scanned scanned;
-    std::size_t at = std::min(bytes.size(), kHead.size());
-    std::size_t bad_since = 0;
+Spill::ScanResult Spill::scan(std::string_view bytes) {
+    ScanResult result;
+    std::size_t offset = std::min(bytes.size(), kFileHeader.size());
+    std::size_t corrupt_start = 0;
     // A head that cannot be read is corrupt bytes like others.
-    if (!bytes.starts_with(kHead)) at = 0;
-    if (at != 0) scanned.good_end = at;
-    bool bad = at == 0 && !bytes.empty();
-    while (at < bytes.size()) {
-        const auto payload = whole_entry(bytes.substr(at));
+    if (!bytes.starts_with(kFileHeader)) offset = 0;
+    if (offset != 0) result.valid_end = offset;
+    bool in_corrupt_region = offset == 0 && !bytes.empty();
+    while (offset < bytes.size()) {
+        const auto payload = parse_frame(bytes.substr(offset));
         auto entry = payload.empty() ? std::nullopt : decode(payload);
         if (!entry) {
-            if (!bad) bad_since = at;
-            bad = true;
-            ++at;
+            if (!in_corrupt_region) corrupt_start = offset;
+            in_corrupt_region = true;
+            ++offset;
             continue;
         }
-        if (std::exchange(bad, false)) {
-            ++scanned.corrupt_places;
-            scanned.corrupt_bytes += at - bad_since;
+        if (std::exchange(in_corrupt_region, false)) {
+            ++result.corrupt_regions;
+            result.corrupt_bytes += offset - corrupt_start;
         }
-        at += kFrameHead + payload.size();
-        scanned.good_end = at;
-        scanned.entries.push_back(std::move(*entry));
+        offset += kFrameHeaderBytes + payload.size();
+        result.valid_end = offset;
+        result.entries.push_back(std::move(*entry));
     }
-    return scanned;
+    return result;
 }
 
-Spill::Found Spill::recover() {
-    Found found;
+Spill::RecoveryResult Spill::recover() {
+    RecoveryResult result;
     const auto names = files_.list(folder_);
     if (!names) return {false, 0, 0, 0, "cannot list '" + folder_ + "'"};
     for (const auto& name : *names) {
-        if (!name.starts_with(kPrefix) || !name.ends_with(kSuffix)) continue;
+        if (!name.starts_with(kFilePrefix) || !name.ends_with(kFileSuffix)) continue;
         std::uint64_t number = 0;
-        std::from_chars(name.data() + kPrefix.size(), name.data() + name.size() - kSuffix.size(), number);
-        last_number_ = std::max(last_number_, number);
+        std::from_chars(name.data() + kFilePrefix.size(), name.data() + name.size() - kFileSuffix.size(),
+                        number);
+        last_file_number_ = std::max(last_file_number_, number);
         const auto file = files_.open(path(name));
-        const auto bytes = file ? file->read() : std::nullopt;
+        const auto bytes = file ? file->read_all() : std::nullopt;
         if (!bytes) return {false, 0, 0, 0, "cannot read '" + path(name) + "'"};
         const auto scanned = scan(*bytes);
-        if (scanned.good_end < bytes->size()) {
-            found.torn_bytes += bytes->size() - scanned.good_end;
-            if (!file->cut(scanned.good_end) || !file->sync())
+        if (scanned.valid_end < bytes->size()) {
+            result.torn_bytes += bytes->size() - scanned.valid_end;
+            if (!file->truncate(scanned.valid_end) || !file->sync())
                 return {false, 0, 0, 0, "cannot cut '" + path(name) + "'"};
         }
-        found.corrupt_places += scanned.corrupt_places;
-        found.corrupt_bytes += scanned.corrupt_bytes;
-        segments_.push_back({name, scanned.entries.size(), scanned.good_end, scanned.corrupt_places > 0});
+        result.corrupt_regions += scanned.corrupt_regions;
+        result.corrupt_bytes += scanned.corrupt_bytes;
+        segments_.push_back({name, scanned.entries.size(), scanned.valid_end, scanned.corrupt_regions > 0});
         entries_ += scanned.entries.size();
-        bytes_ += scanned.good_end;
+        bytes_ += scanned.valid_end;
     }
-    finish_first();
-    return found;
+    remove_finished();
+    return result;
 }
 
-bool Spill::begin_segment() {
+bool Spill::start_segment() {
     std::array<char, 32> name{};
     std::snprintf(name.data(), name.size(), "spill-%08llu.journal",
-                  static_cast<unsigned long long>(++last_number_));
-    last_ = files_.open(path(name.data()));
-    if (!last_) return false;
+                  static_cast<unsigned long long>(++last_file_number_));
+    append_file_ = files_.open(path(name.data()));
+    if (!append_file_) return false;
     segments_.push_back({name.data(), 0, 0, false});
-    if (!last_->append(kHead) || !files_.sync_folder(folder_)) {
-        last_.reset();
+    if (!append_file_->append(kFileHeader) || !files_.sync_folder(folder_)) {
+        append_file_.reset();
         return false;
     }
-    segments_.back().bytes = kHead.size();
-    bytes_ += kHead.size();
+    segments_.back().bytes = kFileHeader.size();
+    bytes_ += kFileHeader.size();
     return true;
 }
 
 bool Spill::append(const std::vector<std::string>& payloads) {
-    if (last_ && segments_.back().bytes >= file_bytes_) last_.reset();
-    if (!last_ && !begin_segment()) return false;
+    if (append_file_ && segments_.back().bytes >= file_bytes_) append_file_.reset();
+    if (!append_file_ && !start_segment()) return false;
     std::string bytes;
-    for (const auto& payload : payloads) bytes += frame(payload);
+    for (const auto& payload : payloads) bytes += frame_payload(payload);
     auto& segment = segments_.back();
-    if (!last_->append(bytes) || !last_->sync()) {
+    if (!append_file_->append(bytes) || !append_file_->sync()) {
         // What of it is there after a crash is read back then, which is harmless; in this process it counts
         // as not written. An fsync that failed once says nothing when it succeeds later: the file is left.
-        last_->cut(segment.bytes);
-        last_.reset();
+        append_file_->truncate(segment.bytes);
+        append_file_.reset();
         return false;
     }
     segment.bytes += bytes.size();
     segment.entries += payloads.size();
     bytes_ += bytes.size();
     entries_ += payloads.size();
-    if (is_loaded_ && segments_.size() == 1) {
-        for (const auto& payload : payloads) loaded_.push_back(*decode(payload));
+    if (front_loaded_ && segments_.size() == 1) {
+        for (const auto& payload : payloads) front_entries_.push_back(*decode(payload));
     }
     return true;
 }
 
-void Spill::load_first() {
-    if (is_loaded_ || segments_.empty()) return;
-    const auto& first = segments_.front();
-    const auto file = files_.open(path(first.name));
-    const auto bytes = file ? file->read() : std::nullopt;
+void Spill::load_front() {
+    if (front_loaded_ || segments_.empty()) return;
+    const auto& front = segments_.front();
+    const auto file = files_.open(path(front.name));
+    const auto bytes = file ? file->read_all() : std::nullopt;
     if (!bytes) return;  // asked again next time
-    loaded_ = scan(std::string_view(*bytes).substr(0, first.bytes)).entries;
-    is_loaded_ = true;
+    front_entries_ = scan(std::string_view(*bytes).substr(0, front.bytes)).entries;
+    front_loaded_ = true;
 }
 
-std::vector<Entry> Spill::next(std::size_t most) {
-    load_first();
+std::vector<Entry> Spill::next(std::size_t max_entries) {
+    load_front();
     std::vector<Entry> entries;
-    for (std::size_t i = 0; i < std::min(most, loaded_.size()); ++i) entries.push_back(loaded_[i]);
+    for (std::size_t i = 0; i < std::min(max_entries, front_entries_.size()); ++i)
+        entries.push_back(front_entries_[i]);
     return entries;
 }
 
 void Spill::done(std::size_t count) {
-    count = std::min(count, loaded_.size());
-    loaded_.erase(loaded_.begin(), loaded_.begin() + static_cast<std::ptrdiff_t>(count));
+    count = std::min(count, front_entries_.size());
+    front_entries_.erase(front_entries_.begin(), front_entries_.begin() + static_cast<std::ptrdiff_t>(count));
     segments_.front().entries -= count;
     entries_ -= count;
-    finish_first();
+    remove_finished();
 }
 
 // Removes the oldest files while all of their entries are in the store.
-void Spill::finish_first() {
+void Spill::remove_finished() {
     while (!segments_.empty() && segments_.front().entries == 0) {
-        const auto first = std::move(segments_.front());
+        const auto finished = std::move(segments_.front());
         segments_.pop_front();
-        if (segments_.empty()) last_.reset();
-        if (first.corrupt)
-            files_.rename(path(first.name), path(first.name + ".corrupt"));
+        if (segments_.empty()) append_file_.reset();
+        if (finished.corrupt)
+            files_.rename(path(finished.name), path(finished.name + ".corrupt"));
         else
             files_.remove(
-                path(first.name));  // if that fails, its entries are written once more after a restart
-        bytes_ -= first.bytes;
-        loaded_.clear();
-        is_loaded_ = false;
+                path(finished.name));  // if that fails, its entries are written once more after a restart
+        bytes_ -= finished.bytes;
+        front_entries_.clear();
+        front_loaded_ = false;
     }
     if (segments_.empty()) bytes_ = 0;
 }
 
-bool Spill::set_aside_first() {
-    load_first();
-    if (loaded_.empty()) return false;
+bool Spill::set_aside_front() {
+    load_front();
+    if (front_entries_.empty()) return false;
     const auto file = files_.open(path("refused.journal"));
-    if (!file || !file->append(frame(encode(loaded_.front()))) || !file->sync()) return false;
+    if (!file || !file->append(frame_payload(encode(front_entries_.front()))) || !file->sync()) return false;
     done(1);
     return true;
 }
--- a/src/store/spill.hpp
+++ b/src/store/spill.hpp
@@ -27,23 +27,23 @@
 
 class Spill {
 public:
-    struct Found {  // at recovery
+    struct RecoveryResult {  // at recovery
         bool usable = true;
         std::size_t torn_bytes = 0;
-        std::size_t corrupt_places = 0;
+        std::size_t corrupt_regions = 0;
         std::size_t corrupt_bytes = 0;
-        std::string why;  // not usable
+        std::string error;  // not usable
     };
 
     Spill(Files& files, std::string folder, std::size_t file_bytes)
         : files_(files), folder_(std::move(folder)), file_bytes_(file_bytes) {}
 
-    Found recover();  // first of all, once
+    RecoveryResult recover();  // first of all, once
     // All of them are durable, or none counts: after a failure the next append begins a new file.
     bool append(const std::vector<std::string>& payloads);
-    std::vector<Entry> next(std::size_t most);  // the oldest, which stay until done()
-    void done(std::size_t count);               // those are in the store
-    bool set_aside_first();                     // into `refused.journal`, for a person; then it is done
+    std::vector<Entry> next(std::size_t max_entries);  // the oldest, which stay until done()
+    void done(std::size_t count);                      // those are in the store
+    bool set_aside_front();  // into `refused.journal`, for a person; then it is done
 
     std::size_t entries() const { return entries_; }
     std::size_t bytes() const { return bytes_; }
@@ -55,31 +55,31 @@
         std::size_t bytes = 0;    // on disk
         bool corrupt = false;
     };
-    struct Scanned {
+    struct ScanResult {
         std::deque<Entry> entries;
-        std::size_t good_end = 0;  // behind the last whole entry
-        std::size_t corrupt_places = 0;
+        std::size_t valid_end = 0;  // behind the last whole entry
+        std::size_t corrupt_regions = 0;
         std::size_t corrupt_bytes = 0;
     };
 
-    static Scanned scan(std::string_view bytes);
+    static ScanResult scan(std::string_view bytes);
     std::string path(const std::string& name) const { return folder_ + '/' + name; }
-    bool begin_segment();
-    void load_first();
-    void finish_first();
+    bool start_segment();
+    void load_front();
+    void remove_finished();
 
     Files& files_;
     const std::string folder_;
     const std::size_t file_bytes_;
-    std::deque<Segment> segments_;  // oldest first; only the last is appended to
-    std::unique_ptr<File> last_;    // open for appending; null: the next append begins a file
-    std::uint64_t last_number_ = 0;
-    std::deque<Entry> loaded_;  // of the oldest segment, not done yet
-    bool is_loaded_ = false;
+    std::deque<Segment> segments_;       // oldest first; only the last is appended to
+    std::unique_ptr<File> append_file_;  // open for appending; null: the next append begins a file
+    std::uint64_t last_file_number_ = 0;
+    std::deque<Entry> front_entries_;  // of the oldest segment, not done yet
+    bool front_loaded_ = false;
     std::size_t entries_ = 0;
     std::size_t bytes_ = 0;
 };
 
-std::string frame(std::string_view payload);  // an entry as it stands in a file
+std::string frame_payload(std::string_view payload);  // an entry as it stands in a file
 
 }  // namespace pinedoor::store
--- a/src/store/sql.hpp
+++ b/src/store/sql.hpp
@@ -19,12 +19,12 @@
 
 struct SqlError : std::runtime_error {
     enum class Kind {
-        kStore,    // the store cannot be reached, or cannot do it now
-        kEntries,  // the store is well and refuses these values
-        kUnsure,   // it failed while committing: what was written may be in
-        kSchema    // the schema is none, older or newer than this program's: a person must act
+        kUnavailable,      // the store cannot be reached, or cannot do it now
+        kRejectedEntries,  // the store is well and refuses these values
+        kCommitUnknown,    // it failed while committing: what was written may be in
+        kSchema            // the schema is none, older or newer than this program's: a person must act
     };
-    SqlError(Kind what, const std::string& why) : std::runtime_error(why), kind(what) {}
+    SqlError(Kind error_kind, const std::string& message) : std::runtime_error(message), kind(error_kind) {}
     Kind kind;
 };
 
@@ -46,18 +46,18 @@
 public:
     explicit Transaction(SqlDb& db) : db_(db) { db_.begin(); }
     ~Transaction() {
-        if (!over_) db_.roll_back();
+        if (!committed_) db_.roll_back();
     }
     Transaction(const Transaction&) = delete;
     Transaction& operator=(const Transaction&) = delete;
     void commit() {
-        over_ = true;
+        committed_ = true;
         db_.commit();
     }
 
 private:
     SqlDb& db_;
-    bool over_ = false;
+    bool committed_ = false;
 };
 
 // --- Schema ---
@@ -73,8 +73,8 @@
 struct Registration {
     std::string node;
     std::uint64_t incarnation = 0;  // 0: the next one that is free
-    std::string birth;              // tells this process from any other
-    bool may_change = true;         // nothing is recorded under this number yet
+    std::string process_token;      // tells this process from any other
+    bool may_reassign = true;       // nothing is recorded under this number yet
 };
 // Makes the incarnation known as alive. The number to use, which is another one if that one was taken by
 // somebody else; throws SqlError kStore if it may not change.
@@ -86,40 +86,42 @@
     std::vector<Value> values;
 };
 // The same in steps, for who cannot wait: look, pick the number from what was seen, write, and look again.
-std::vector<Statement> enroll_look(const Registration& registration);
-std::uint64_t enroll_pick(const Registration& registration, const std::vector<std::vector<Row>>& seen);
-std::vector<Statement> enroll_write(const Registration& registration);
-void enroll_check(const Registration& registration, const std::vector<Row>& seen);
-Statement alive(const Registration& registration);
-Statement ended(const Registration& registration);
-std::vector<Statement> pruning(Time before, std::size_t most);  // the last tells a row for each record gone
-
-Statement postgres_has_tables();  // one row: 1 or 0
-Statement see_schema();           // one row: the version
+std::vector<Statement> enroll_queries(const Registration& registration);
+std::uint64_t choose_incarnation(const Registration& registration,
+                                 const std::vector<std::vector<Row>>& results);
+std::vector<Statement> enroll_statements(const Registration& registration);
+void check_enrolled(const Registration& registration, const std::vector<Row>& results);
+Statement heartbeat_statement(const Registration& registration);
+Statement deregister_statement(const Registration& registration);
+std::vector<Statement> prune_statements(
+    Time before, std::size_t max_records);  // the last tells a row for each record gone
+
+Statement postgres_tables_query();  // one row: 1 or 0
+Statement schema_version_query();   // one row: the version
 
 // Those of an entry are to be run in order, in one transaction; its claim's end is what see_claim() then
 // says.
-std::vector<Statement> writing(const Entry& entry);
-Statement see_claim(const Intent& intent, Time lease);
-Claim claim_from(const Intent& intent, const std::vector<Row>& rows);
-Statement see_entry(const Entry& entry);  // one row with a number that is not 0 if the entry is there
-Claim claim_from(const Intent& intent, const std::vector<Row>& rows, const std::vector<Row>& states);
-Statement see_state(const Intent& intent);
+std::vector<Statement> write_statements(const Entry& entry);
+Statement claim_query(const Intent& intent, Time lease);
+Claim read_claim(const Intent& intent, const std::vector<Row>& rows);
+Statement entry_query(const Entry& entry);  // one row with a number that is not 0 if the entry is there
+Claim read_claim(const Intent& intent, const std::vector<Row>& rows, const std::vector<Row>& states);
+Statement claim_state_query(const Intent& intent);
 
 std::vector<Claim> write_entries(SqlDb& db, const std::vector<Entry>& entries,
                                  Time lease);  // one transaction
-struct Presence {
+struct EntryLookup {
     std::vector<bool> present;
     std::vector<Claim> claims;
 };
-Presence find_entries(SqlDb& db, const std::vector<Entry>& entries, Time lease);
+EntryLookup find_entries(SqlDb& db, const std::vector<Entry>& entries, Time lease);
 
 // Deletes up to so many records with an outcome that were asked before; how many it were. Those in doubt
 // stay.
-std::size_t prune(SqlDb& db, Time before, std::size_t most);
+std::size_t prune(SqlDb& db, Time before, std::size_t max_records);
 
 // True where the record's process is known to run: it has not ended, was seen within the lease ($N), and no
 // later one of its node has started.
-std::string alive_term(const std::string& record, const std::string& lease);
+std::string alive_condition(const std::string& table_alias, const std::string& lease);
 
 }  // namespace pinedoor::store
--- a/src/store/sqlite_backend.cpp
+++ b/src/store/sqlite_backend.cpp
@@ -5,9 +5,9 @@
 namespace pinedoor::store {
 namespace {
 
-constexpr std::size_t kMostQueued = 4;  // one write, one tending, one leave, and one to spare
+constexpr std::size_t kMaxQueuedJobs = 4;  // one write, one tending, one leave, and one to spare
 
-std::vector<Entry> copies(const Entries& entries) {
+std::vector<Entry> copy_entries(const Entries& entries) {
     std::vector<Entry> out;
     out.reserve(entries.size());
     for (const auto& entry : entries) out.push_back(*entry);
@@ -17,110 +17,111 @@
 }  // namespace
 
 SqliteBackend::SqliteBackend(net::Scheduler& scheduler, std::string path, Time lease, std::string vfs)
-    : scheduler_(scheduler), inside_(std::make_shared<Inside>()), worker_(scheduler, kMostQueued) {
-    inside_->path = std::move(path);
-    inside_->vfs = std::move(vfs);
-    inside_->lease = lease;
+    : scheduler_(scheduler), state_(std::make_shared<WriterState>()), worker_(scheduler, kMaxQueuedJobs) {
+    state_->path = std::move(path);
+    state_->vfs = std::move(vfs);
+    state_->lease = lease;
 }
 
 // A job that finds the queue full ends at once, by way of the loop like any other.
 template <class Result, class Job>
-void SqliteBackend::hand_over(Job job, std::function<void(Result)> done, Result if_full) {
-    auto result = std::make_shared<Result>(std::move(if_full));
-    const auto told = [result, done] { done(std::move(*result)); };
-    if (!worker_.submit([result, job, inside = inside_] { *result = job(*inside); }, told))
-        scheduler_.defer(told);
+void SqliteBackend::submit(Job job, std::function<void(Result)> done, Result result_if_full) {
+    auto result = std::make_shared<Result>(std::move(result_if_full));
+    const auto deliver = [result, done] { done(std::move(*result)); };
+    if (!worker_.submit([result, job, state = state_] { *result = job(*state); }, deliver))
+        scheduler_.defer(deliver);
 }
 
-SqliteBackend::Enrolled SqliteBackend::Inside::open(Registration asked) {
-    Enrolled enrolled;
+SqliteBackend::Enrolled SqliteBackend::WriterState::open(Registration new_registration) {
+    Enrolled result;
     db.reset();
-    registration = std::move(asked);
+    registration = std::move(new_registration);
     try {
         db = std::make_unique<SqliteDb>(path, vfs);
         if (schema_version(*db) == 0) migrate(*db);
         check_schema(*db);
         registration.incarnation = enroll(*db, registration);
-        enrolled.good = true;
-        enrolled.incarnation = registration.incarnation;
+        result.good = true;
+        result.incarnation = registration.incarnation;
     } catch (const SqlError& error) {
         db.reset();
-        enrolled.schema = error.kind == SqlError::Kind::kSchema;
-        enrolled.why = error.what();
+        result.schema_error = error.kind == SqlError::Kind::kSchema;
+        result.why = error.what();
     }
-    return enrolled;
+    return result;
 }
 
-template <class Doing>
-SqliteBackend::Written SqliteBackend::Inside::attempt(Doing doing) {
-    Written written;
-    if (!db) return {End::kRefused, {}, {}, "the store is not open"};
+template <class Operation>
+SqliteBackend::Written SqliteBackend::WriterState::run(Operation operation) {
+    Written result;
+    if (!db) return {End::kRejected, {}, {}, "the store is not open"};
     try {
-        doing(written);
-        written.end = End::kStored;
+        operation(result);
+        result.end = End::kStored;
     } catch (const SqlError& error) {
-        written = {error.kind == SqlError::Kind::kUnsure    ? End::kUnsure
-                   : error.kind == SqlError::Kind::kEntries ? End::kEntriesAtFault
-                                                            : End::kRefused,
-                   {},
-                   {},
-                   error.what()};
+        result = {error.kind == SqlError::Kind::kCommitUnknown     ? End::kUnknown
+                  : error.kind == SqlError::Kind::kRejectedEntries ? End::kEntriesRejected
+                                                                   : End::kRejected,
+                  {},
+                  {},
+                  error.what()};
         // After an error of the file the next one starts from what is on disk.
-        if (written.end != End::kEntriesAtFault) db.reset();
+        if (result.end != End::kEntriesRejected) db.reset();
     }
-    return written;
+    return result;
 }
 
 void SqliteBackend::open(Registration registration, std::function<void(Enrolled)> done) {
-    hand_over<Enrolled>(
-        [registration = std::move(registration)](Inside& inside) { return inside.open(registration); },
+    submit<Enrolled>(
+        [registration = std::move(registration)](WriterState& state) { return state.open(registration); },
         std::move(done), {false, false, 0, "the writer is busy"});
 }
 
 void SqliteBackend::write(Entries entries, std::function<void(Written)> done) {
-    hand_over<Written>(
-        [entries = std::move(entries)](Inside& inside) {
-            return inside.attempt([&](Written& written) {
-                written.claims = write_entries(*inside.db, copies(entries), inside.lease);
+    submit<Written>(
+        [entries = std::move(entries)](WriterState& state) {
+            return state.run([&](Written& result) {
+                result.claims = write_entries(*state.db, copy_entries(entries), state.lease);
             });
         },
-        std::move(done), {End::kRefused, {}, {}, "the writer is busy"});
+        std::move(done), {End::kRejected, {}, {}, "the writer is busy"});
 }
 
-void SqliteBackend::settle(Entries entries, std::function<void(Written)> done) {
-    hand_over<Written>(
-        [entries = std::move(entries)](Inside& inside) {
-            return inside.attempt([&](Written& written) {
-                auto found = find_entries(*inside.db, copies(entries), inside.lease);
-                written.present = std::move(found.present);
-                written.claims = std::move(found.claims);
+void SqliteBackend::reconcile(Entries entries, std::function<void(Written)> done) {
+    submit<Written>(
+        [entries = std::move(entries)](WriterState& state) {
+            return state.run([&](Written& result) {
+                auto found = find_entries(*state.db, copy_entries(entries), state.lease);
+                result.present = std::move(found.present);
+                result.claims = std::move(found.claims);
             });
         },
-        std::move(done), {End::kUnsure, {}, {}, "the writer is busy"});
+        std::move(done), {End::kUnknown, {}, {}, "the writer is busy"});
 }
 
-void SqliteBackend::tend(Time delete_before, std::size_t most, std::function<void(std::size_t)> done) {
-    hand_over<std::size_t>(
-        [delete_before, most](Inside& inside) {
+void SqliteBackend::maintain(Time delete_before, std::size_t max_deletes,
+                             std::function<void(std::size_t)> done) {
+    submit<std::size_t>(
+        [delete_before, max_deletes](WriterState& state) {
             std::size_t deleted = 0;
-            inside.attempt([&](Written&) {
-                const auto statement = alive(inside.registration);
-                inside.db->run(statement.text, statement.values);
-                if (delete_before > 0) deleted = prune(*inside.db, delete_before, most);
+            state.run([&](Written&) {
+                const auto statement = heartbeat_statement(state.registration);
+                state.db->run(statement.text, statement.values);
+                if (delete_before > 0) deleted = prune(*state.db, delete_before, max_deletes);
             });
             return deleted;
         },
         std::move(done), 0);
 }
 
-void SqliteBackend::leave(Time, std::function<void()> done) {
-    hand_over<bool>(
-        [](Inside& inside) {
-            inside.attempt([&](Written&) {
-                const auto statement = ended(inside.registration);
-                inside.db->run(statement.text, statement.values);
+void SqliteBackend::deregister(Time, std::function<void()> done) {
+    submit<bool>(
+        [](WriterState& state) {
+            state.run([&](Written&) {
+                const auto statement = deregister_statement(state.registration);
+                state.db->run(statement.text, statement.values);
             });
-            inside.db.reset();
+            state.db.reset();
             return true;
         },
         [done = std::move(done)](bool) { done(); }, false);
