--- a/src/store/sqlite_db.cpp
+++ b/src/store/sqlite_db.cpp
@@ -11,17 +11,17 @@
 namespace {
 
 using Kind = SqlError::Kind;
-constexpr std::size_t kMostPrepared = 64;
-constexpr int kBackupPages = 256;  // a step, between which others write
+constexpr std::size_t kMaxPreparedStatements = 64;
+constexpr int kBackupPagesPerStep = 256;  // a step, between which others write
 constexpr int kBackupPauseMs = 5;
 
 constexpr std::int64_t kTicksPerSecond = 10'000;
 constexpr std::int64_t kNanosPerTick = 100'000;
 
-std::int64_t ticks_of(clockid_t clock) {
-    timespec now{};
-    clock_gettime(clock, &now);
-    return std::int64_t{now.tv_sec} * kTicksPerSecond + now.tv_nsec / kNanosPerTick;
+std::int64_t read_clock_ticks(clockid_t clock) {
+    timespec time{};
+    clock_gettime(clock, &time);
+    return std::int64_t{time.tv_sec} * kTicksPerSecond + time.tv_nsec / kNanosPerTick;
 }
 
 // Another one after each start of the machine; empty if the system does not tell.
@@ -31,63 +31,64 @@
     return id;
 }
 
-void now(sqlite3_context* context, int, sqlite3_value**) {
+void sql_now(sqlite3_context* context, int, sqlite3_value**) {
     const auto booted_at = *static_cast<const std::int64_t*>(sqlite3_user_data(context));
-    sqlite3_result_int64(context, booted_at + ticks_of(CLOCK_BOOTTIME));
+    sqlite3_result_int64(context, booted_at + read_clock_ticks(CLOCK_BOOTTIME));
 }
 
-Kind kind_of(int code) {
+Kind error_kind(int code) {
     switch (code & 0xff) {
         case SQLITE_CONSTRAINT:
         case SQLITE_MISMATCH:
         case SQLITE_TOOBIG:
-        case SQLITE_RANGE: return Kind::kEntries;
-        default: return Kind::kStore;
+        case SQLITE_RANGE: return Kind::kRejectedEntries;
+        default: return Kind::kUnavailable;
     }
 }
 
 }  // namespace
 
 void SqliteDb::CloseDb::operator()(sqlite3* db) const { sqlite3_close_v2(db); }
-void SqliteDb::EndStatement::operator()(sqlite3_stmt* statement) const { sqlite3_finalize(statement); }
+void SqliteDb::FinalizeStatement::operator()(sqlite3_stmt* statement) const { sqlite3_finalize(statement); }
 
-SqliteDb::SqliteDb(const std::string& path, const std::string& vfs, int busy_ms) {
+SqliteDb::SqliteDb(const std::string& path, const std::string& vfs, int busy_timeout_ms) {
     sqlite3* db = nullptr;
     const int code =
         sqlite3_open_v2(path.c_str(), &db, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE | SQLITE_OPEN_NOMUTEX,
                         vfs.empty() ? nullptr : vfs.c_str());
     db_.reset(db);
-    if (code != SQLITE_OK) fail(code, "cannot open '" + path + "'");
+    if (code != SQLITE_OK) throw_error(code, "cannot open '" + path + "'");
     sqlite3_extended_result_codes(db, 1);
-    sqlite3_busy_timeout(db, busy_ms);
-    booted_at_ = ticks_of(CLOCK_REALTIME) - ticks_of(CLOCK_BOOTTIME);
-    sqlite3_create_function(db, "pinedoor_now", 0, SQLITE_UTF8, &booted_at_, now, nullptr, nullptr);
+    sqlite3_busy_timeout(db, busy_timeout_ms);
+    booted_at_ = read_clock_ticks(CLOCK_REALTIME) - read_clock_ticks(CLOCK_BOOTTIME);
+    sqlite3_create_function(db, "pinedoor_now", 0, SQLITE_UTF8, &booted_at_, sql_now, nullptr, nullptr);
     run("PRAGMA journal_mode = WAL");
     run("PRAGMA synchronous = FULL");
     const auto tables =
         run("SELECT count(*) FROM sqlite_master WHERE type = 'table' AND name = 'pinedoor_clock'");
-    if (number_of(tables.at(0).at(0)) != 0) read_clock();
+    if (number_of(tables.at(0).at(0)) != 0) load_shared_clock();
 }
 
 SqliteDb::~SqliteDb() = default;
 
-void SqliteDb::fail(int code, const std::string& doing) {
-    throw SqlError(kind_of(code), doing + ": " + (db_ ? sqlite3_errmsg(db_.get()) : sqlite3_errstr(code)));
+void SqliteDb::throw_error(int code, const std::string& action) {
+    throw SqlError(error_kind(code),
+                   action + ": " + (db_ ? sqlite3_errmsg(db_.get()) : sqlite3_errstr(code)));
 }
 
 SqliteDb::Prepared& SqliteDb::prepare(const std::string& text, std::size_t values) {
-    const auto at = prepared_.find(text);
-    if (at != prepared_.end()) return at->second;
-    if (prepared_.size() >= kMostPrepared)
+    const auto found = prepared_.find(text);
+    if (found != prepared_.end()) return found->second;
+    if (prepared_.size() >= kMaxPreparedStatements)
         prepared_.clear();  // statements are few; who makes them up keeps none
     sqlite3_stmt* raw = nullptr;
     const int code = sqlite3_prepare_v2(db_.get(), text.c_str(), -1, &raw, nullptr);
-    Prepared prepared{std::unique_ptr<sqlite3_stmt, EndStatement>(raw), {}};
-    if (code != SQLITE_OK) fail(code, "cannot prepare");
+    Prepared prepared{std::unique_ptr<sqlite3_stmt, FinalizeStatement>(raw), {}};
+    if (code != SQLITE_OK) throw_error(code, "cannot prepare");
     for (std::size_t i = 0; i < values; ++i) {
         std::string name = std::to_string(i + 1);
         name.insert(name.begin(), '$');
-        prepared.places.push_back(sqlite3_bind_parameter_index(raw, name.c_str()));
+        prepared.parameter_indexes.push_back(sqlite3_bind_parameter_index(raw, name.c_str()));
     }
     return prepared_.emplace(text, std::move(prepared)).first->second;
 }
@@ -97,7 +98,7 @@
         "bigint "
         "NOT NULL)");
     Transaction transaction(*this);
-    if (!read_clock()) {
+    if (!load_shared_clock()) {
         run("INSERT INTO pinedoor_clock(one, boot, booted_at) VALUES (1, $1, $2) ON CONFLICT (one) DO UPDATE "
             "SET "
             "boot = excluded.boot, booted_at = excluded.booted_at",
@@ -107,7 +108,7 @@
 }
 
 // False: nobody has written it since the machine started.
-bool SqliteDb::read_clock() {
+bool SqliteDb::load_shared_clock() {
     const auto rows = run("SELECT booted_at FROM pinedoor_clock WHERE one = 1 AND boot = $1", {boot_id()});
     if (rows.empty()) return false;
     booted_at_ = number_of(rows[0].at(0));
@@ -125,21 +126,21 @@
         }
     } const reset{statement};
     for (std::size_t i = 0; i < values.size(); ++i) {
-        const int at = prepared.places.at(i);
-        if (at == 0) continue;
+        const int parameter = prepared.parameter_indexes.at(i);
+        if (parameter == 0) continue;
         int code = SQLITE_OK;
         if (const auto* number = std::get_if<std::int64_t>(&values[i]))
-            code = sqlite3_bind_int64(statement, at, *number);
+            code = sqlite3_bind_int64(statement, parameter, *number);
         else if (const auto* bytes = std::get_if<std::string>(&values[i]))
-            code = sqlite3_bind_text(statement, at, bytes->data(), static_cast<int>(bytes->size()),
+            code = sqlite3_bind_text(statement, parameter, bytes->data(), static_cast<int>(bytes->size()),
                                      SQLITE_STATIC);
-        if (code != SQLITE_OK) fail(code, "cannot bind");
+        if (code != SQLITE_OK) throw_error(code, "cannot bind");
     }
     std::vector<Row> rows;
     for (;;) {
         const int code = sqlite3_step(statement);
         if (code == SQLITE_DONE) break;
-        if (code != SQLITE_ROW) fail(code, "cannot run");
+        if (code != SQLITE_ROW) throw_error(code, "cannot run");
         Row row;
         for (int i = 0; i < sqlite3_column_count(statement); ++i) {
             switch (sqlite3_column_type(statement, i)) {
@@ -165,7 +166,7 @@
     } catch (const SqlError& error) {
         roll_back();
         // A commit that could not be made durable may yet be found in the log by the next one who opens it.
-        throw SqlError(Kind::kUnsure, error.what());
+        throw SqlError(Kind::kCommitUnknown, error.what());
     }
 }
 
@@ -174,37 +175,39 @@
         sqlite3_exec(db_.get(), "ROLLBACK", nullptr, nullptr, nullptr);
 }
 
-void SqliteDb::back_up(const std::string& to) {
-    const auto part = to + ".part";
+void SqliteDb::back_up(const std::string& target_path) {
+    const auto partial_path = target_path + ".part";
     std::error_code ignored;
-    std::filesystem::remove(part, ignored);
+    std::filesystem::remove(partial_path, ignored);
     sqlite3* target = nullptr;
     const int opened =
-        sqlite3_open_v2(part.c_str(), &target, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr);
-    const std::unique_ptr<sqlite3, CloseDb> holder(target);
-    if (opened != SQLITE_OK) throw SqlError(Kind::kStore, "cannot open '" + part + "'");
+        sqlite3_open_v2(partial_path.c_str(), &target, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr);
+    const std::unique_ptr<sqlite3, CloseDb> target_owner(target);
+    if (opened != SQLITE_OK) throw SqlError(Kind::kUnavailable, "cannot open '" + partial_path + "'");
     auto* const backup = sqlite3_backup_init(target, "main", db_.get(), "main");
-    if (backup == nullptr) throw SqlError(Kind::kStore, std::string("backup: ") + sqlite3_errmsg(target));
+    if (backup == nullptr)
+        throw SqlError(Kind::kUnavailable, std::string("backup: ") + sqlite3_errmsg(target));
     int code = SQLITE_OK;
     while (code == SQLITE_OK || code == SQLITE_BUSY || code == SQLITE_LOCKED) {
-        code = sqlite3_backup_step(backup, kBackupPages);
+        code = sqlite3_backup_step(backup, kBackupPagesPerStep);
         if (code != SQLITE_DONE) sqlite3_sleep(kBackupPauseMs);
     }
     sqlite3_backup_finish(backup);
-    if (code != SQLITE_DONE) throw SqlError(Kind::kStore, std::string("backup: ") + sqlite3_errstr(code));
+    if (code != SQLITE_DONE)
+        throw SqlError(Kind::kUnavailable, std::string("backup: ") + sqlite3_errstr(code));
     // One file that stands alone, whatever the original's mode.
     if (sqlite3_exec(target, "PRAGMA journal_mode = DELETE", nullptr, nullptr, nullptr) != SQLITE_OK)
-        throw SqlError(Kind::kStore, std::string("backup: ") + sqlite3_errmsg(target));
-    if (std::rename(part.c_str(), to.c_str()) != 0)
-        throw SqlError(Kind::kStore, "cannot rename '" + part + "'");
+        throw SqlError(Kind::kUnavailable, std::string("backup: ") + sqlite3_errmsg(target));
+    if (std::rename(partial_path.c_str(), target_path.c_str()) != 0)
+        throw SqlError(Kind::kUnavailable, "cannot rename '" + partial_path + "'");
 }
 
 std::vector<std::string> SqliteDb::check_integrity() {
-    std::vector<std::string> amiss;
+    std::vector<std::string> problems;
     for (const auto& row : run("PRAGMA integrity_check")) {
-        if (text_of(row.at(0)) != "ok") amiss.push_back(text_of(row.at(0)));
+        if (text_of(row.at(0)) != "ok") problems.push_back(text_of(row.at(0)));
     }
-    return amiss;
+    return problems;
 }
 
 }  // namespace pinedoor::store
--- a/src/store/sqlite_db.hpp
+++ b/src/store/sqlite_db.hpp
@@ -19,7 +19,7 @@
 class SqliteDb : public SqlDb {
 public:
     // `vfs`: a name registered with SQLite; empty: the system's. Throws SqlError.
-    explicit SqliteDb(const std::string& path, const std::string& vfs = {}, int busy_ms = 2'000);
+    explicit SqliteDb(const std::string& path, const std::string& vfs = {}, int busy_timeout_ms = 2'000);
     ~SqliteDb() override;
 
     std::vector<Row> run(const std::string& statement, const std::vector<Value>& values = {}) override;
@@ -33,25 +33,25 @@
     void agree_on_clock() override;
 
     // In steps, while others write; whole or not there at all. Throws SqlError.
-    void back_up(const std::string& to);
+    void back_up(const std::string& target_path);
     std::vector<std::string> check_integrity();  // what is amiss
 
 private:
-    [[noreturn]] void fail(int code, const std::string& doing);
-    bool read_clock();
+    [[noreturn]] void throw_error(int code, const std::string& action);
+    bool load_shared_clock();
 
     struct CloseDb {
         void operator()(sqlite3* db) const;
     };
-    struct EndStatement {
+    struct FinalizeStatement {
         void operator()(sqlite3_stmt* statement) const;
     };
     std::int64_t booted_at_ =
         0;  // tenths of a millisecond since 1970, as agreed; else as this process saw it
     std::unique_ptr<sqlite3, CloseDb> db_;
     struct Prepared {
-        std::unique_ptr<sqlite3_stmt, EndStatement> statement;
-        std::vector<int> places;  // of $1, $2 and so on; 0: it has no use for that one
+        std::unique_ptr<sqlite3_stmt, FinalizeStatement> statement;
+        std::vector<int> parameter_indexes;  // of $1, $2 and so on; 0: it has no use for that one
     };
     Prepared& prepare(const std::string& text, std::size_t values);
     std::unordered_map<std::string, Prepared> prepared_;
--- a/src/tool/store_commands.cpp
+++ b/src/tool/store_commands.cpp
@@ -73,17 +73,17 @@
     const auto put = [&json](const char* name, const std::string& text) {
         json[name] = Json::parse(text_for_json(text));
     };
-    put("record", print_id(record.id));
+    put("record", format_id(record.id));
     put("state", record.state);
     put("op_type", record.op_type);
     put("tenant", record.tenant);
-    put("client", record.client);
+    put("client", record.request_name);
     put("key", record.key);
-    json["asked"] = print_time(record.asked);
-    json["not_after"] = print_time(record.not_after);
-    json["ended"] = print_time(record.ended);
-    json["parts"] = record.parts;
-    put("part_fates", record.part_fates);
+    json["asked"] = print_time(record.requested_at);
+    json["not_after"] = print_time(record.deadline);
+    json["ended"] = print_time(record.ended_at);
+    json["parts"] = record.part_count;
+    put("part_fates", record.part_outcomes);
     put("note", record.note);
     json["answer_bytes"] = record.answer.size();
     if (with_answer) put("answer", record.answer);
@@ -105,25 +105,25 @@
 }
 
 void print_row(const Record& record) {
-    std::printf("%-24s %-18s %-24s %-16s %-12s %s%s%s\n", print_time(record.asked).c_str(),
-                record.state.c_str(), print_id(record.id).c_str(), printable(record.op_type).c_str(),
-                printable(record.tenant).c_str(), printable(record.client).c_str(),
+    std::printf("%-24s %-18s %-24s %-16s %-12s %s%s%s\n", print_time(record.requested_at).c_str(),
+                record.state.c_str(), format_id(record.id).c_str(), printable(record.op_type).c_str(),
+                printable(record.tenant).c_str(), printable(record.request_name).c_str(),
                 record.note.empty() ? "" : "  ", printable(record.note).c_str());
 }
 
 // Calls `each` for every record that the filter takes, however many, page by page.
 void for_each(SqlDb& db, Filter filter, Time lease, const std::function<bool(const Record&)>& each) {
-    const auto most = filter.most;
+    const auto most = filter.max_records;
     for (std::size_t seen = 0; seen < most;) {
-        filter.most = std::min(kPage, most - seen);
-        const auto page = list(db, filter, lease);
+        filter.max_records = std::min(kPage, most - seen);
+        const auto page = list_records(db, filter, lease);
         for (const auto& record : page) {
             if (!each(record)) return;
         }
-        if (page.size() < filter.most) return;
+        if (page.size() < filter.max_records) return;
         seen += page.size();
-        filter.after_asked = page.back().asked;
-        filter.after = page.back().id;
+        filter.after_requested_at = page.back().requested_at;
+        filter.after_id = page.back().id;
     }
 }
 
@@ -175,17 +175,17 @@
         to->add_option("--state", state_,
                        "answered, answered-in-part, refused, failed, in-doubt or under-way");
         to->add_option("--tenant", tenant_, "Of this tenant only");
-        to->add_option("--client", filter_.client, "The client's own name of it (X-Txn)");
+        to->add_option("--client", filter_.request_name, "The client's own name of it (X-Txn)");
         to->add_option("--op-type", filter_.op_type, "Of this op type only");
         to->add_option("--key", filter_.key, "With this Idempotency-Key only");
         to->add_option("--since", since_, "Asked then or later: 2026-12-01T19:00:00Z, or 15m ago");
         to->add_option("--until", until_, "Asked before then");
-        to->add_option("--most", filter_.most, "So many at most")->capture_default_str();
+        to->add_option("--most", filter_.max_records, "So many at most")->capture_default_str();
     }
 
     Filter filter() {
         auto filter = filter_;
-        if (!state_.empty() && !store::is_state(state_)) {
+        if (!state_.empty() && !store::is_record_state(state_)) {
             throw Unusable(
                 "--state is '" + state_ +
                 "'; it must be answered, answered-in-part, refused, failed, in-doubt or under-way");
@@ -257,15 +257,15 @@
         const auto db = open();
         if (record_.empty()) return show_all(*db);
         const auto record = find(*db);
-        const auto history = history_of(*db, record.id);
+        const auto history = resolution_history(*db, record.id);
         auto json = to_json(record, true);
         json["history"] = Json::array();
         for (const auto& each : history) {
-            json["history"].push_back({{"at", print_time(each.at)},
-                                       {"who", each.who},
-                                       {"why", each.why},
-                                       {"was", each.was},
-                                       {"became", each.became}});
+            json["history"].push_back({{"at", print_time(each.resolved_at)},
+                                       {"who", each.resolved_by},
+                                       {"why", each.reason},
+                                       {"was", each.old_state},
+                                       {"became", each.new_state}});
         }
         if (json_) {
             std::cout << json.dump(-1, ' ', false, Json::error_handler_t::replace) << '\n';
@@ -277,8 +277,9 @@
                         printable(value.is_string() ? value.get<std::string>() : value.dump()).c_str());
         }
         for (const auto& each : history) {
-            std::printf("settled       %s by %s as %s: %s\n", print_time(each.at).c_str(),
-                        printable(each.who).c_str(), each.became.c_str(), printable(each.why).c_str());
+            std::printf("settled       %s by %s as %s: %s\n", print_time(each.resolved_at).c_str(),
+                        printable(each.resolved_by).c_str(), each.new_state.c_str(),
+                        printable(each.reason).c_str());
         }
         return kDone;
     }
@@ -290,9 +291,9 @@
         for (const auto& each : found.processes) {
             json["nodes"].push_back({{"node", each.node},
                                      {"incarnation", each.incarnation},
-                                     {"started", print_time(each.started)},
-                                     {"seen", print_time(each.seen)},
-                                     {"ended", print_time(each.ended)},
+                                     {"started", print_time(each.started_at)},
+                                     {"seen", print_time(each.last_seen)},
+                                     {"ended", print_time(each.ended_at)},
                                      {"alive", each.alive}});
         }
         if (json_) {
@@ -305,19 +306,19 @@
         for (const auto& each : found.processes) {
             std::printf("node %s, incarnation %lld, %s, last seen %s\n", printable(each.node).c_str(),
                         static_cast<long long>(each.incarnation),
-                        each.ended != 0 ? "ended"
-                        : each.alive    ? "alive"
-                                        : "gone",
-                        print_time(each.seen).c_str());
+                        each.ended_at != 0 ? "ended"
+                        : each.alive       ? "alive"
+                                           : "gone",
+                        print_time(each.last_seen).c_str());
         }
         return kDone;
     }
 
     Record find(SqlDb& db) {
         Filter one;
-        one.id = store::read_id(record_);
+        one.id = store::parse_id(record_);
         if (!one.id) throw Unusable("'" + record_ + "' names no record; write NODE/INCARNATION/NUMBER");
-        const auto found = store::list(db, one, terms().lease);
+        const auto found = store::list_records(db, one, terms().lease);
         if (found.empty()) throw Unusable("there is no record " + record_);
         return found[0];
     }
@@ -337,19 +338,19 @@
     }
 
     int resolve() {
-        const auto fate = store::fate_named(fate_);
-        const auto id = store::read_id(record_);
+        const auto fate = store::parse_outcome_kind(fate_);
+        const auto id = store::parse_id(record_);
         if (!fate) throw Unusable("'" + fate_ + "' is no fate; write answered, refused or failed");
         if (!id) throw Unusable("'" + record_ + "' names no record; write NODE/INCARNATION/NUMBER");
         const auto db = open();
         switch (store::resolve(*db, *id, *fate, who_, why_, terms().lease)) {
-            case store::Resolved::kDone:
+            case store::ResolveResult::kResolved:
                 std::printf("%s is %s\n", record_.c_str(), fate_.c_str());
                 return kDone;
-            case store::Resolved::kUnknown:
+            case store::ResolveResult::kNotFound:
                 std::fprintf(stderr, "pinedoor: there is no record %s\n", record_.c_str());
                 break;
-            case store::Resolved::kNotInDoubt:
+            case store::ResolveResult::kNotInDoubt:
                 std::fprintf(stderr, "pinedoor: %s is not in doubt: see `store show`\n", record_.c_str());
                 break;
         }
@@ -358,7 +359,7 @@
 
     int export_all() {
         auto chosen = filter();
-        if (chosen.most == Filter{}.most) chosen.most = SIZE_MAX;
+        if (chosen.max_records == Filter{}.max_records) chosen.max_records = SIZE_MAX;
         const auto db = open();
         const bool csv = format_ == "csv";
         if (csv)
@@ -370,9 +371,10 @@
                 return true;
             }
             std::string line;
-            for (const auto& field : {print_id(r.id), r.state, r.op_type, r.tenant, r.client, r.key,
-                                      print_time(r.asked), print_time(r.not_after), print_time(r.ended),
-                                      std::to_string(r.parts), r.part_fates, r.note, r.answer}) {
+            for (const auto& field :
+                 {format_id(r.id), r.state, r.op_type, r.tenant, r.request_name, r.key,
+                  print_time(r.requested_at), print_time(r.deadline), print_time(r.ended_at),
+                  std::to_string(r.part_count), r.part_outcomes, r.note, r.answer}) {
                 line += (line.empty() ? "" : ",") + csv_field(field);
             }
             std::cout << line << '\n';
@@ -418,11 +420,12 @@
             throw Unusable("'" + path_ + "' is damaged: " + amiss.front());
         if (add_) {
             const auto db = open();
-            const auto taken = store::take_back(*db, copy, step_);
+            const auto taken = store::restore_copy(*db, copy, step_);
             std::printf("%zu records, %zu outcomes, %zu keys added\n", taken.records, taken.outcomes,
                         taken.keys);
-            if (taken.keys_held > 0)
-                std::printf("%zu keys are held by other records by now, and were left\n", taken.keys_held);
+            if (taken.conflicting_keys > 0)
+                std::printf("%zu keys are held by other records by now, and were left\n",
+                            taken.conflicting_keys);
             return kDone;
         }
         if (terms().kind != store::Kind::kSqlite)
@@ -440,7 +443,7 @@
 
     int verify() {
         const auto db = open();
-        auto amiss = find_contradictions(*db);
+        auto amiss = find_inconsistencies(*db);
         if (auto* file = dynamic_cast<store::SqliteDb*>(db.get()))
             for (auto& each : file->check_integrity()) amiss.push_back("the file: " + each);
         if (json_) std::cout << Json{{"amiss", amiss}}.dump() << '\n';
@@ -457,13 +460,13 @@
         std::map<std::string, std::string> states;  // of what is still shown as open
         Filter chosen;
         chosen.since = read_time("0s");
-        chosen.most = SIZE_MAX;
+        chosen.max_records = SIZE_MAX;
         for (;;) {
             Time oldest_open = read_time("0s");
             std::map<std::string, std::string> next;
             for_each(
                 *db, chosen, terms().lease, [&](const Record& record) {
-                    const auto id = print_id(record.id);
+                    const auto id = format_id(record.id);
                     const auto before = states.find(id);
                     if (before == states.end() || before->second != record.state) {
                         if (json_)
@@ -473,7 +476,8 @@
                         else
                             print_row(record);
                     }
-                    if (record.state == store::kUnderWay) oldest_open = std::min(oldest_open, record.asked);
+                    if (record.state == store::kStateInProgress)
+                        oldest_open = std::min(oldest_open, record.requested_at);
                     next[id] = record.state;
                     return true;
                 });
--- a/tests/stand_ins/postgres.cpp
+++ b/tests/stand_ins/postgres.cpp
@@ -37,12 +37,12 @@
     out.push_back(static_cast<char>(value & 0xffU));
 }
 
-class In {  // a message's fields; what is missing ends the connection
+class MessageReader {  // a message's fields; what is missing ends the connection
 public:
-    explicit In(std::string_view bytes) : rest_(bytes) {}
+    explicit MessageReader(std::string_view bytes) : rest_(bytes) {}
     std::uint32_t number(std::size_t bytes) {
         std::uint32_t value = 0;
-        for (const char c : take(bytes)) value = value << 8U | static_cast<unsigned char>(c);
+        for (const char c : take_bytes(bytes)) value = value << 8U | static_cast<unsigned char>(c);
         return value;
     }
     std::string text() {
@@ -52,7 +52,7 @@
         rest_.remove_prefix(end + 1);
         return out;
     }
-    std::string_view take(std::size_t count) {
+    std::string_view take_bytes(std::size_t count) {
         if (count > rest_.size()) throw std::runtime_error("a message that is too short");
         const auto out = rest_.substr(0, count);
         rest_.remove_prefix(count);
@@ -104,7 +104,7 @@
     return out;
 }
 
-std::string attribute(std::string_view message, char name) {
+std::string scram_attribute(std::string_view message, char name) {
     while (!message.empty()) {
         const auto field = message.substr(0, message.find(','));
         if (field.size() >= 2 && field[0] == name && field[1] == '=') return std::string(field.substr(2));
@@ -113,7 +113,7 @@
     throw std::runtime_error(std::string("SCRAM without ") + name);
 }
 
-bool counts_down(std::atomic<int>& fault) {
+bool fault_due(std::atomic<int>& fault) {
     int left = fault.load();
     while (left > 0 && !fault.compare_exchange_weak(left, left - 1)) {
     }
@@ -175,11 +175,11 @@
         });
     }
     ~Session() {
-        cut();
+        disconnect();
         thread_.join();
     }
-    void cut() {
-        cut_ = true;
+    void disconnect() {
+        disconnected_ = true;
         const linger now{1, 0};
         setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
         shutdown(fd_.get(), SHUT_RDWR);
@@ -187,7 +187,7 @@
     std::atomic<bool> done = false;
 
 private:
-    struct Broken : std::runtime_error {
+    struct ConnectionBroken : std::runtime_error {
         using std::runtime_error::runtime_error;
     };
     struct Prepared {
@@ -197,31 +197,32 @@
 
     std::string read(std::size_t count) {
         std::string bytes(count, '\0');
-        for (std::size_t got = 0; got < count;) {
-            const auto more = tls_ ? SSL_read(tls_.get(), bytes.data() + got, static_cast<int>(count - got))
-                                   : recv(fd_.get(), bytes.data() + got, count - got, 0);
-            if (more <= 0) throw Broken("the other end has gone");
-            got += static_cast<std::size_t>(more);
+        for (std::size_t received = 0; received < count;) {
+            const auto count_read =
+                tls_ ? SSL_read(tls_.get(), bytes.data() + received, static_cast<int>(count - received))
+                     : recv(fd_.get(), bytes.data() + received, count - received, 0);
+            if (count_read <= 0) throw ConnectionBroken("the other end has gone");
+            received += static_cast<std::size_t>(count_read);
         }
         return bytes;
     }
     void flush() {
-        std::string_view rest = out_;
+        std::string_view rest = send_buffer_;
         while (!rest.empty()) {
-            const auto step = server_.slow_bytes ? 1 : rest.size();
+            const auto step = server_.send_byte_by_byte ? 1 : rest.size();
             const auto count = tls_ ? SSL_write(tls_.get(), rest.data(), static_cast<int>(step))
                                     : ::send(fd_.get(), rest.data(), step, MSG_NOSIGNAL);
-            if (count <= 0) throw Broken("the other end has gone");
+            if (count <= 0) throw ConnectionBroken("the other end has gone");
             rest.remove_prefix(static_cast<std::size_t>(count));
         }
-        out_.clear();
+        send_buffer_.clear();
     }
-    void say(char type, const std::string& body) {
-        out_.push_back(type);
-        put32(out_, static_cast<std::uint32_t>(body.size() + 4));
-        out_ += body;
+    void send_message(char type, const std::string& body) {
+        send_buffer_.push_back(type);
+        put32(send_buffer_, static_cast<std::uint32_t>(body.size() + 4));
+        send_buffer_ += body;
     }
-    void say_error(const std::string& state, const std::string& why) {
+    void send_error(const std::string& state, const std::string& why) {
         ++server_.errors;
         std::string body;
         for (const auto& [field, text] :
@@ -229,65 +230,65 @@
             body.push_back(field);
             body += text + '\0';
         }
-        say('E', body + '\0');
-        skipping_ = true;
-        if (state_ == 'T') state_ = 'E';
+        send_message('E', body + '\0');
+        skipping_until_sync_ = true;
+        if (transaction_status_ == 'T') transaction_status_ = 'E';
     }
-    void say_ready() {
-        say('Z', std::string(1, state_));
+    void send_ready_for_query() {
+        send_message('Z', std::string(1, transaction_status_));
         flush();
     }
 
-    bool start_up() {
+    bool handle_startup() {
         for (;;) {
             const auto head = read(4);
-            const auto size = In(head).number(4);
-            if (size < 8 || size > 10'000) throw Broken("no start");
+            const auto size = MessageReader(head).number(4);
+            if (size < 8 || size > 10'000) throw ConnectionBroken("no start");
             const auto body = read(size - 4);
-            In in(body);
-            const auto code = in.number(4);
+            MessageReader reader(body);
+            const auto code = reader.number(4);
             if (code == 80877103 || code == 80877104) {  // SSLRequest, GSSENCRequest
-                const bool yes = code == 80877103 && server_.tls_;
-                out_ = yes ? "S" : "N";
+                const bool use_tls = code == 80877103 && server_.tls_;
+                send_buffer_ = use_tls ? "S" : "N";
                 flush();
-                if (!yes) continue;
+                if (!use_tls) continue;
                 tls_.reset(SSL_new(server_.tls_->context.get()));
                 SSL_set_fd(tls_.get(), fd_.get());
-                if (SSL_accept(tls_.get()) != 1) throw Broken("no TLS");
+                if (SSL_accept(tls_.get()) != 1) throw ConnectionBroken("no TLS");
                 ++server_.tls_connections;
                 continue;
             }
-            if (server_.tls_ && !tls_) throw Broken("TLS is asked for here");
+            if (server_.tls_ && !tls_) throw ConnectionBroken("TLS is asked for here");
             if (code == 80877102) {  // CancelRequest
                 ++server_.cancels;
                 return false;
             }
-            if (code != 196608) throw Broken("no version 3.0");
+            if (code != 196608) throw ConnectionBroken("no version 3.0");
             return true;
         }
     }
-    std::string sasl_message() {
+    std::string read_sasl_message() {
         flush();
         const auto head = read(5);
-        if (head[0] != 'p') throw Broken("no password");
-        return read(In(std::string_view(head).substr(1)).number(4) - 4);
+        if (head[0] != 'p') throw ConnectionBroken("no password");
+        return read(MessageReader(std::string_view(head).substr(1)).number(4) - 4);
     }
     void authenticate() {
         std::string body;
         put32(body, 10);
-        say('R', body + std::string("SCRAM-SHA-256\0\0", 15));
-        const auto first = sasl_message();
-        In in(first);
-        if (in.text() != "SCRAM-SHA-256") throw Broken("another mechanism");
-        const std::string client_first(in.take(in.number(4)));
+        send_message('R', body + std::string("SCRAM-SHA-256\0\0", 15));
+        const auto first = read_sasl_message();
+        MessageReader reader(first);
+        if (reader.text() != "SCRAM-SHA-256") throw ConnectionBroken("another mechanism");
+        const std::string client_first(reader.take_bytes(reader.number(4)));
         const auto bare = client_first.substr(client_first.find(",,") + 2);
         const std::string salt = "a salt of sixteen";
-        const auto nonce = attribute(bare, 'r') + "pinedoor";
+        const auto nonce = scram_attribute(bare, 'r') + "pinedoor";
         const auto server_first = "r=" + nonce + ",s=" + base64(salt) + ",i=4096";
         body.clear();
         put32(body, 11);
-        say('R', body + server_first);
-        const auto last = sasl_message();
+        send_message('R', body + server_first);
+        const auto last = read_sasl_message();
         const auto without_proof = last.substr(0, last.rfind(",p="));
         std::string salted(32, '\0');
         PKCS5_PBKDF2_HMAC(server_.password_.data(), static_cast<int>(server_.password_.size()),
@@ -297,144 +298,146 @@
         const auto client_key = hmac(salted, "Client Key");
         auto proof = hmac(sha256(client_key), message);
         for (std::size_t i = 0; i < proof.size(); ++i) proof[i] = static_cast<char>(proof[i] ^ client_key[i]);
-        if (attribute(last, 'r') != nonce || unbase64(attribute(last, 'p')) != proof) {
+        if (scram_attribute(last, 'r') != nonce || unbase64(scram_attribute(last, 'p')) != proof) {
             ++server_.wrong_passwords;
-            say_error("28P01", "password authentication failed");
+            send_error("28P01", "password authentication failed");
             flush();
-            throw Broken("wrong password");
+            throw ConnectionBroken("wrong password");
         }
         body.clear();
         put32(body, 12);
-        say('R', body + "v=" + base64(hmac(hmac(salted, "Server Key"), message)));
+        send_message('R', body + "v=" + base64(hmac(hmac(salted, "Server Key"), message)));
         body.clear();
         put32(body, 0);
-        say('R', body);
+        send_message('R', body);
     }
 
     void run() {
-        if (!start_up()) return;
+        if (!handle_startup()) return;
         authenticate();
         for (const auto& [name, value] : {std::pair<std::string, std::string>{"server_version", "15.0"},
                                           {"client_encoding", "UTF8"},
                                           {"standard_conforming_strings", "on"}}) {
-            say('S', name + '\0' + value + '\0');
+            send_message('S', name + '\0' + value + '\0');
         }
         std::string key;
         put32(key, 4711);
         put32(key, 12345);
-        say('K', key);
-        say_ready();
+        send_message('K', key);
+        send_ready_for_query();
         db_ = std::make_unique<store::SqliteDb>(server_.file_);
         for (;;) {
-            if (!more_has_come()) flush();
+            if (!has_pending_input()) flush();
             const auto head = read(5);
-            const auto size = In(std::string_view(head).substr(1)).number(4);
-            if (size < 4 || size > (8U << 20U)) throw Broken("an impossible length");
+            const auto size = MessageReader(std::string_view(head).substr(1)).number(4);
+            if (size < 4 || size > (8U << 20U)) throw ConnectionBroken("an impossible length");
             const auto body = read(size - 4);
             if (head[0] == 'X') return;
             if (head[0] == 'S') {
-                skipping_ = false;
-                if (state_ == 'I' && open_) end_transaction("COMMIT");
-                say_ready();
-            } else if (!skipping_) {
-                take(head[0], In(body));
+                skipping_until_sync_ = false;
+                if (transaction_status_ == 'I' && in_transaction_) end_transaction("COMMIT");
+                send_ready_for_query();
+            } else if (!skipping_until_sync_) {
+                handle_message(head[0], MessageReader(body));
             }
         }
     }
-    bool more_has_come() const {
+    bool has_pending_input() const {
         if (tls_ && SSL_pending(tls_.get()) > 0) return true;
         pollfd ready{fd_.get(), POLLIN, 0};
         return poll(&ready, 1, 0) == 1;
     }
-    void take(char type, In in) {
+    void handle_message(char type, MessageReader reader) {
         try {
             switch (type) {
-                case 'P': parse(in); break;
-                case 'B': bind(in); break;
-                case 'D': describe(in); break;
+                case 'P': parse(reader); break;
+                case 'B': bind(reader); break;
+                case 'D': describe(reader); break;
                 case 'E': execute(); break;
-                case 'C': say('3', ""); break;
+                case 'C': send_message('3', ""); break;
                 case 'H': flush(); break;
-                case 'Q': simple(in.text()); break;
-                default: throw Broken("an unknown message");
+                case 'Q': simple_query(reader.text()); break;
+                default: throw ConnectionBroken("an unknown message");
             }
         } catch (const SqlError& error) {
-            say_error(error.kind == SqlError::Kind::kEntries ? "23000" : "XX000", error.what());
+            send_error(error.kind == SqlError::Kind::kRejectedEntries ? "23000" : "XX000", error.what());
             if (type == 'Q') {
-                skipping_ = false;
-                say_ready();
+                skipping_until_sync_ = false;
+                send_ready_for_query();
             }
         }
     }
-    void parse(In& in) {
-        const auto name = in.text();
-        Prepared prepared{in.text(), {}};
-        for (auto count = in.number(2); count > 0; --count) prepared.types.push_back(in.number(4));
+    void parse(MessageReader& reader) {
+        const auto name = reader.text();
+        Prepared prepared{reader.text(), {}};
+        for (auto count = reader.number(2); count > 0; --count) prepared.types.push_back(reader.number(4));
         prepared_[name] = prepared;
-        say('1', "");
-    }
-    void bind(In& in) {
-        in.text();
-        const auto name = in.text();
-        const auto at = prepared_.find(name);
-        if (at == prepared_.end()) throw SqlError(SqlError::Kind::kStore, "no such prepared statement");
-        for (auto formats = in.number(2); formats > 0; --formats) in.number(2);
-        values_.clear();
-        const auto count = in.number(2);
+        send_message('1', "");
+    }
+    void bind(MessageReader& reader) {
+        reader.text();
+        const auto name = reader.text();
+        const auto statement = prepared_.find(name);
+        if (statement == prepared_.end())
+            throw SqlError(SqlError::Kind::kUnavailable, "no such prepared statement");
+        for (auto formats = reader.number(2); formats > 0; --formats) reader.number(2);
+        portal_values_.clear();
+        const auto count = reader.number(2);
         for (std::uint32_t i = 0; i < count; ++i) {
-            const auto size = in.number(4);
+            const auto size = reader.number(4);
             if (size == 0xffffffffU) {
-                values_.emplace_back();
+                portal_values_.emplace_back();
                 continue;
             }
-            const std::string text(in.take(size));
+            const std::string text(reader.take_bytes(size));
             std::int64_t number = 0;
-            if (i < at->second.types.size() && at->second.types[i] == kInt8) {
+            if (i < statement->second.types.size() && statement->second.types[i] == kInt8) {
                 std::from_chars(text.data(), text.data() + text.size(), number);
-                values_.emplace_back(number);
+                portal_values_.emplace_back(number);
             } else {
-                values_.emplace_back(text);
+                portal_values_.emplace_back(text);
             }
         }
-        text_ = at->second.text;
-        rows_.reset();
-        say('2', "");
+        portal_sql_ = statement->second.text;
+        portal_rows_.reset();
+        send_message('2', "");
     }
     void run_portal() {
-        if (!rows_) rows_ = run_sql(text_, values_);
+        if (!portal_rows_) portal_rows_ = run_sql(portal_sql_, portal_values_);
     }
-    void describe(In& in) {
-        if (in.number(1) == 'S') throw SqlError(SqlError::Kind::kStore, "statements are not described here");
+    void describe(MessageReader& reader) {
+        if (reader.number(1) == 'S')
+            throw SqlError(SqlError::Kind::kUnavailable, "statements are not described here");
         run_portal();
-        say_columns();
+        send_row_description();
     }
-    void say_columns() {
-        if (rows_->empty()) return say('n', "");
+    void send_row_description() {
+        if (portal_rows_->empty()) return send_message('n', "");
         std::string body;
-        put16(body, static_cast<std::uint32_t>(rows_->front().size()));
-        for (std::size_t i = 0; i < rows_->front().size(); ++i) {
-            bool number = false, text = false;
-            for (const auto& row : *rows_) {
-                number |= std::holds_alternative<std::int64_t>(row[i]);
-                text |= std::holds_alternative<std::string>(row[i]);
+        put16(body, static_cast<std::uint32_t>(portal_rows_->front().size()));
+        for (std::size_t i = 0; i < portal_rows_->front().size(); ++i) {
+            bool has_number = false, has_text = false;
+            for (const auto& row : *portal_rows_) {
+                has_number |= std::holds_alternative<std::int64_t>(row[i]);
+                has_text |= std::holds_alternative<std::string>(row[i]);
             }
             body += "c" + std::to_string(i) + '\0';
             put32(body, 0);
             put16(body, 0);
-            put32(body, number && !text ? kInt8 : kText);
+            put32(body, has_number && !has_text ? kInt8 : kText);
             put16(body, 0xffff);
             put32(body, 0xffffffffU);
             put16(body, 0);
         }
-        say('T', body);
+        send_message('T', body);
     }
     void execute() {
-        if (counts_down(server_.die_in_the_middle)) throw Broken("told to die");
+        if (fault_due(server_.die_at_execute)) throw ConnectionBroken("told to die");
         run_portal();
-        say_rows();
+        send_rows();
     }
-    void say_rows() {
-        for (const auto& row : *rows_) {
+    void send_rows() {
+        for (const auto& row : *portal_rows_) {
             std::string body;
             put16(body, static_cast<std::uint32_t>(row.size()));
             for (const auto& value : row) {
@@ -446,29 +449,30 @@
                 put32(body, static_cast<std::uint32_t>(text.size()));
                 body += text;
             }
-            say('D', body);
+            send_message('D', body);
         }
-        say('C', "DONE " + std::to_string(rows_->size()) + '\0');
+        send_message('C', "DONE " + std::to_string(portal_rows_->size()) + '\0');
     }
-    void simple(const std::string& text) {
-        rows_ = run_sql(text, {});
-        if (!rows_->empty()) say_columns();
-        say_rows();
-        say_ready();
+    void simple_query(const std::string& text) {
+        portal_rows_ = run_sql(text, {});
+        if (!portal_rows_->empty()) send_row_description();
+        send_rows();
+        send_ready_for_query();
     }
 
     std::vector<Row> run_sql(const std::string& text, const std::vector<Value>& values) {
         if (text == "BEGIN") {
             db_->begin();
-            open_ = true;
-            state_ = 'T';
+            in_transaction_ = true;
+            transaction_status_ = 'T';
             return {};
         }
         if (text == "COMMIT" || text == "ROLLBACK") {
-            end_transaction(state_ == 'E' ? "ROLLBACK" : text);
+            end_transaction(transaction_status_ == 'E' ? "ROLLBACK" : text);
             return {};
         }
-        if (state_ == 'E') throw SqlError(SqlError::Kind::kStore, "the transaction is aborted");
+        if (transaction_status_ == 'E')
+            throw SqlError(SqlError::Kind::kUnavailable, "the transaction is aborted");
         if (text.starts_with("CREATE OR REPLACE FUNCTION")) return {};  // the SQLite side has its own
         if (text.find("to_regclass") != std::string::npos) {
             return db_->run(
@@ -476,41 +480,41 @@
         }
         return db_->run(text, values);
     }
-    void end_transaction(const std::string& how) {
-        const bool commit = how == "COMMIT";
-        if (commit && counts_down(server_.die_before_commit)) throw Broken("told to die");
-        if (commit && counts_down(server_.fail_commit)) {
+    void end_transaction(const std::string& command) {
+        const bool commit = command == "COMMIT";
+        if (commit && fault_due(server_.die_before_commit)) throw ConnectionBroken("told to die");
+        if (commit && fault_due(server_.fail_commit)) {
             db_->roll_back();
-            open_ = false;
-            state_ = 'I';
-            throw SqlError(SqlError::Kind::kStore, "told to fail");
+            in_transaction_ = false;
+            transaction_status_ = 'I';
+            throw SqlError(SqlError::Kind::kUnavailable, "told to fail");
         }
-        while (commit && server_.stall_commits && !cut_) usleep(1'000);
-        if (cut_) throw Broken("killed");
-        if (commit && open_)
+        while (commit && server_.stall_commits && !disconnected_) usleep(1'000);
+        if (disconnected_) throw ConnectionBroken("killed");
+        if (commit && in_transaction_)
             db_->commit();
         else
             db_->roll_back();
-        open_ = false;
-        state_ = 'I';
+        in_transaction_ = false;
+        transaction_status_ = 'I';
         if (!commit) return;
         ++server_.commits;
-        if (counts_down(server_.die_after_commit)) throw Broken("told to die");
+        if (fault_due(server_.die_after_commit)) throw ConnectionBroken("told to die");
     }
 
     PostgresStandIn& server_;
     net::Fd fd_;
     std::unique_ptr<SSL, decltype(&SSL_free)> tls_{nullptr, SSL_free};
-    std::atomic<bool> cut_ = false;
-    std::string out_;
+    std::atomic<bool> disconnected_ = false;
+    std::string send_buffer_;
     std::unique_ptr<store::SqliteDb> db_;
     std::map<std::string, Prepared> prepared_;
-    std::string text_;  // of the portal
-    std::vector<Value> values_;
-    std::optional<std::vector<Row>> rows_;
-    bool skipping_ = false;
-    bool open_ = false;
-    char state_ = 'I';
+    std::string portal_sql_;  // of the portal
+    std::vector<Value> portal_values_;
+    std::optional<std::vector<Row>> portal_rows_;
+    bool skipping_until_sync_ = false;
+    bool in_transaction_ = false;
+    char transaction_status_ = 'I';
     std::thread thread_;
 };
 
@@ -527,17 +531,17 @@
         std::abort();
     }
     port_ = ntohs(address.sin_port);
-    thread_ = std::thread([this] { accept_all(); });
+    thread_ = std::thread([this] { accept_connections(); });
 }
 
-void PostgresStandIn::speak_tls(const std::string& certificate_file) {
+void PostgresStandIn::require_tls(const std::string& certificate_file) {
     tls_ = std::make_unique<Tls>(certificate_file);
 }
 
 PostgresStandIn::~PostgresStandIn() {
     stopping_ = true;
     thread_.join();
-    kill();
+    kill_connections();
 }
 
 std::string PostgresStandIn::conninfo() const {
@@ -545,18 +549,18 @@
            " dbname=records user=pinedoor password=" + password_;
 }
 
-void PostgresStandIn::kill() {
+void PostgresStandIn::kill_connections() {
     const std::lock_guard lock(mutex_);
-    for (const auto& session : sessions_) session->cut();
+    for (const auto& session : sessions_) session->disconnect();
     sessions_.clear();
 }
 
-void PostgresStandIn::accept_all() {
+void PostgresStandIn::accept_connections() {
     while (!stopping_) {
         pollfd ready{listener_.get(), POLLIN, 0};
         if (poll(&ready, 1, 10) != 1) continue;
         net::Fd fd(accept4(listener_.get(), nullptr, nullptr, SOCK_CLOEXEC));
-        if (!fd || refuse) continue;  // closed at once
+        if (!fd || refuse_connections) continue;  // closed at once
         const int on = 1;
         setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
         ++connections;
--- a/tests/stand_ins/postgres.hpp
+++ b/tests/stand_ins/postgres.hpp
@@ -31,18 +31,18 @@
     std::string conninfo() const;  // with user and password
     // From now on connections must be TLS's, with a certificate of its own for the name records.test, which
     // is written to `certificate_file`.
-    void speak_tls(const std::string& certificate_file);
+    void require_tls(const std::string& certificate_file);
     std::uint16_t port() const { return port_; }
 
     // Faults. A number: at so many more times that it comes to that, counting down, 0: never.
-    std::atomic<int> die_before_commit = 0;   // the connection breaks, nothing is in
-    std::atomic<int> die_after_commit = 0;    // it is in, and no word of it comes
-    std::atomic<int> die_in_the_middle = 0;   // at the n-th Execute message from now
-    std::atomic<int> fail_commit = 0;         // an error of the server's, nothing is in
-    std::atomic<bool> stall_commits = false;  // they wait, and go in when this ends
-    std::atomic<bool> refuse = false;         // new connections are closed at once
-    std::atomic<bool> slow_bytes = false;     // what it says comes byte by byte
-    void kill();                              // all connections break; what is not committed is gone
+    std::atomic<int> die_before_commit = 0;        // the connection breaks, nothing is in
+    std::atomic<int> die_after_commit = 0;         // it is in, and no word of it comes
+    std::atomic<int> die_at_execute = 0;           // at the n-th Execute message from now
+    std::atomic<int> fail_commit = 0;              // an error of the server's, nothing is in
+    std::atomic<bool> stall_commits = false;       // they wait, and go in when this ends
+    std::atomic<bool> refuse_connections = false;  // new connections are closed at once
+    std::atomic<bool> send_byte_by_byte = false;   // what it says comes byte by byte
+    void kill_connections();                       // all connections break; what is not committed is gone
 
     std::atomic<int> connections = 0, tls_connections = 0, commits = 0, wrong_passwords = 0, cancels = 0,
                      errors = 0;
@@ -50,7 +50,7 @@
 private:
     struct Session;
 
-    void accept_all();
+    void accept_connections();
 
     struct Tls;
 
--- a/tests/store/crash_test.cpp
+++ b/tests/store/crash_test.cpp
@@ -17,7 +17,7 @@
 const std::string kSqlite = "[store]\nkind = \"sqlite\"\nfolder = \"@/store\"\nlease_ms = 200\n";
 
 // "answered", "refused" and so on, a word for each record, oldest first.
-std::string states(const Program& program) {
+std::string list_states(const Program& program) {
     std::istringstream lines(program.store("list --most 100000"));
     std::string out;
     for (std::string line; std::getline(lines, line);) {
@@ -32,12 +32,12 @@
 TEST_CASE("killed at each point between intent and answer: what is known after is what has happened") {
     struct Point {
         const char* name;
-        const char* states;  // after the restart
-        int runs;
-        const char* told;  // the client that asks again
+        const char* expected_states;  // after the restart
+        int expected_runs;
+        const char* repeat_answer;  // the client that asks again
     };
     const std::string answer = R"(200 {"whole":true,"results":[{"partition":1,"value":"of qa"}]})";
-    const std::string doubt = "500 in doubt: the first request may have run, and is not run again\n";
+    const std::string in_doubt = "500 in doubt: the first request may have run, and is not run again\n";
     for (const auto& point :
          {Point{"asked", "", 0, "runs"}, Point{"before_write", "", 0, "runs"},
           Point{"after_write", "in-doubt", 0, "doubt"}, Point{"intent_durable", "in-doubt", 0, "doubt"},
@@ -57,44 +57,45 @@
         CHECK(program.wait() == -SIGKILL);
         program.with_environment("PINEDOOR_CRASH_AT", "nowhere").start().client();
         CHECK(program.counter_at("store_condition", 1) == 1);
-        CHECK(states(program) == point.states);
-        CHECK(server.runs()["qa"] == point.runs);
+        CHECK(list_states(program) == point.expected_states);
+        CHECK(server.runs()["qa"] == point.expected_runs);
         client = program.client();
         client.say(post("once", "t2", asks({1}, "qa"), 4'000, keyed("k")));
-        CHECK(client.answer() == (std::string_view(point.told) == "doubt" ? doubt : answer));
-        CHECK(server.runs()["qa"] == (std::string_view(point.told) == "runs" ? 1 : point.runs));
+        CHECK(client.answer() == (std::string_view(point.repeat_answer) == "doubt" ? in_doubt : answer));
+        CHECK(server.runs()["qa"] ==
+              (std::string_view(point.repeat_answer) == "runs" ? 1 : point.expected_runs));
     }
 }
 
 // Many multigets and a kill at a random time, again and again; then each key is asked for until it has a
 // final answer.
-struct Storm {
+struct CrashRounds {
     Counting server;
     Listener discovery;
     Program program{{{"s-1", server.at()}}, discovery.at()};
-    std::mt19937 chance{20'261'201};
-    int next = 0;
+    std::mt19937 rng{20'261'201};
+    int next_request = 0;
     std::vector<std::string> texts;
-    std::map<std::string, std::string> told;  // the final answer that a client was given, by text
+    std::map<std::string, std::string> client_answers;  // the final answer that a client was given, by text
 
-    void round(bool with_keys, int most_us) {
+    void run_round(bool with_keys, int max_delay_us) {
         program.start().client();
         std::vector<std::pair<std::string, Peer>> clients;
         for (int i = 0; i < 6; ++i) {
-            const auto text = "q" + std::to_string(next++) + "aafus"[chance() % 5];
+            const auto text = "q" + std::to_string(next_request++) + "aafus"[rng() % 5];
             texts.push_back(text);
             clients.emplace_back(text, program.client());
             clients.back().second.say(
                 post("once", "t-" + text, asks({1}, text), 4'000, with_keys ? keyed(text) : std::string()));
         }
-        usleep(static_cast<useconds_t>(chance() % static_cast<unsigned>(most_us)));
+        usleep(static_cast<useconds_t>(rng() % static_cast<unsigned>(max_delay_us)));
         program.kill(SIGKILL);
         for (auto& [text, client] : clients) {
-            if (const auto answer = client.answer(); answer != "nothing") told[text] = answer;
+            if (const auto answer = client.answer(); answer != "nothing") client_answers[text] = answer;
         }
     }
     // What the store says of each client's name against what ran.
-    void compare() {
+    void check_against_server() {
         const auto ran = server.runs();
         std::istringstream lines(program.store("list --most 100000"));
         std::size_t seen = 0;
@@ -113,7 +114,7 @@
             ++seen;
         }
         CHECK(seen > texts.size() / 4);
-        for (const auto& [text, answer] : told) {
+        for (const auto& [text, answer] : client_answers) {
             if (answer.starts_with("200")) CHECK(ran.at(text) == 1);
         }
         CHECK(program.store("verify") == "nothing amiss\n");
@@ -121,14 +122,14 @@
 };
 
 TEST_CASE("killed at 100 random times: nothing runs twice, and every key has a final answer that is true") {
-    Storm storm;
-    storm.program.with_settings(kSqlite);
-    for (int round = 0; round < 100; ++round) storm.round(true, 12'000);
-    storm.program.start().client();
-    CHECK(storm.program.counter_at("store_condition", 1) == 1);
-    auto client = storm.program.client();
+    CrashRounds crash_rounds;
+    crash_rounds.program.with_settings(kSqlite);
+    for (int round = 0; round < 100; ++round) crash_rounds.run_round(true, 12'000);
+    crash_rounds.program.start().client();
+    CHECK(crash_rounds.program.counter_at("store_condition", 1) == 1);
+    auto client = crash_rounds.program.client();
     std::map<std::string, int> kinds;
-    for (const auto& text : storm.texts) {
+    for (const auto& text : crash_rounds.texts) {
         if (text.back() == 'u' || text.back() == 's') continue;  // never run, and never answered
         // A pushback is asked again later: so many of these texts fail at the one server that the module sets
         // it aside, for up to the longest Retry-After.
@@ -139,7 +140,7 @@
             client.say(post("once", "again-" + text, asks({1}, text), 4'000, keyed(text)));
             answer = client.answer();
         }
-        const auto ran = storm.server.runs();
+        const auto ran = crash_rounds.server.runs();
         const int runs = ran.contains(text) ? ran.at(text) : 0;
         CAPTURE(text);
         CAPTURE(answer);
@@ -149,15 +150,16 @@
         const bool failed = answer.starts_with("500");
         CHECK((whole || failed));
         if (whole) CHECK(runs == 1);
-        if (storm.told.contains(text) && storm.told[text].starts_with("200"))
-            CHECK(answer == storm.told[text]);
+        if (crash_rounds.client_answers.contains(text) &&
+            crash_rounds.client_answers[text].starts_with("200"))
+            CHECK(answer == crash_rounds.client_answers[text]);
         ++kinds[answer.substr(0, 12)];
     }
     CHECK(kinds["200 {\"whole\""] > 0);
     CHECK(kinds["500 in doubt"] > 0);
-    storm.compare();
-    storm.program.kill(SIGTERM);
-    CHECK(storm.program.wait() == 0);
+    crash_rounds.check_against_server();
+    crash_rounds.program.kill(SIGTERM);
+    CHECK(crash_rounds.program.wait() == 0);
 }
 
 TEST_CASE(
@@ -165,32 +167,32 @@
     const auto file = scratch() + "/pinedoor-storm-" + std::to_string(getpid()) + ".db";
     {
         PostgresStandIn postgres(file);
-        Storm storm;
-        storm.program.with_settings(
+        CrashRounds crash_rounds;
+        crash_rounds.program.with_settings(
             "[store]\nkind = \"postgres\"\nfolder = \"@/store\"\nlease_ms = 200\n"
             "[store.postgres]\nconninfo = \"" +
             postgres.conninfo() +
             "\"\nstatement_timeout_ms = 100\n[store.write]\nreopen_from_ms = 1\n"
             "reopen_to_ms = 20\nslow_after_ms = 2\n");
-        storm.program.start().client();
-        CHECK(storm.program.store("init") == "schema 2\n");
-        CHECK(storm.program.counter_at("store_condition", 1) == 1);
-        storm.program.kill(SIGKILL);
+        crash_rounds.program.start().client();
+        CHECK(crash_rounds.program.store("init") == "schema 2\n");
+        CHECK(crash_rounds.program.counter_at("store_condition", 1) == 1);
+        crash_rounds.program.kill(SIGKILL);
         for (int round = 0; round < 60; ++round) {
-            postgres.refuse = round % 3 == 1;
-            if (round % 3 == 1) postgres.kill();
+            postgres.refuse_connections = round % 3 == 1;
+            if (round % 3 == 1) postgres.kill_connections();
             postgres.die_after_commit = round % 4 == 0 ? 2 : 0;
-            postgres.die_in_the_middle = round % 5 == 0 ? 7 : 0;
-            storm.round(false, 20'000);
+            postgres.die_at_execute = round % 5 == 0 ? 7 : 0;
+            crash_rounds.run_round(false, 20'000);
         }
-        postgres.refuse = false;
-        postgres.die_after_commit = postgres.die_in_the_middle = 0;
-        storm.program.start().client();
-        CHECK(storm.program.counter_at("store_condition", 1) == 1);
-        CHECK(storm.program.counter_at("spill_entries", 0) == 0);
-        storm.compare();
-        storm.program.kill(SIGTERM);
-        CHECK(storm.program.wait() == 0);
+        postgres.refuse_connections = false;
+        postgres.die_after_commit = postgres.die_at_execute = 0;
+        crash_rounds.program.start().client();
+        CHECK(crash_rounds.program.counter_at("store_condition", 1) == 1);
+        CHECK(crash_rounds.program.counter_at("spill_entries", 0) == 0);
+        crash_rounds.check_against_server();
+        crash_rounds.program.kill(SIGTERM);
+        CHECK(crash_rounds.program.wait() == 0);
     }
     for (const char* end : {"", "-wal", "-shm"}) std::filesystem::remove(file + end);
 }
--- a/tests/store/record_test.cpp
+++ b/tests/store/record_test.cpp
@@ -23,22 +23,23 @@
     Peer link;
 
     explicit Node(const std::string& settings) { program.with_settings(settings); }
-    Node& go() {
+    Node& start() {
         client = program.start().client();
         return *this;
     }
-    void say(const std::string& op_type, const std::string& name, const std::string& more = "",
-             int ms = 4'000, const std::string& text = "q") {
-        client.say(post(op_type, name, asks({1}, text), ms, more));
+    void send(const std::string& op_type, const std::string& name, const std::string& extra = "",
+              int ms = 4'000, const std::string& text = "q") {
+        client.say(post(op_type, name, asks({1}, text), ms, extra));
     }
     // Asks, and takes the call at the server on a new connection there.
-    std::string ask(const std::string& op_type, const std::string& name, const std::string& more = "") {
-        say(op_type, name, more);
+    std::string send_and_accept(const std::string& op_type, const std::string& name,
+                                const std::string& extra = "") {
+        send(op_type, name, extra);
         link = server.accept();
         return link.frame();
     }
     // "answered n0/1/1", a line each.
-    std::string listed(const std::string& words = "") {
+    std::string list_states(const std::string& words = "") {
         std::istringstream lines(program.store("list " + words));
         std::string out;
         for (std::string line; std::getline(lines, line);) {
@@ -51,33 +52,33 @@
     }
 };
 
-const std::string kX = R"(200 {"whole":true,"results":[{"partition":1,"value":"x"}]})";
+const std::string kAnswerX = R"(200 {"whole":true,"results":[{"partition":1,"value":"x"}]})";
 
 TEST_CASE(
     "what must not run twice is recorded; a key gives its answer again, and only for the same request") {
     Node node(kSqlite);
-    node.go();
-    CHECK(node.ask("once", "t1", keyed("k \\\"1\\\"")) == "St1.1 1 1\nq");
+    node.start();
+    CHECK(node.send_and_accept("once", "t1", keyed("k \\\"1\\\"")) == "St1.1 1 1\nq");
     node.link.reply("t1.1", "done", "x");
-    CHECK(node.client.answer() == kX);
-    node.say("once", "t2", keyed("k \\\"1\\\""));
-    CHECK(node.client.answer() == kX);
-    node.say("once", "t3", keyed("k \\\"1\\\""), 4'000, "another");
+    CHECK(node.client.answer() == kAnswerX);
+    node.send("once", "t2", keyed("k \\\"1\\\""));
+    CHECK(node.client.answer() == kAnswerX);
+    node.send("once", "t3", keyed("k \\\"1\\\""), 4'000, "another");
     CHECK(node.client.answer() == "422 this Idempotency-Key was used for another request\n");
-    node.say("again", "t4");
+    node.send("again", "t4");
     CHECK(node.link.frame() == "St4.1 1 1\nq");
     node.link.reply("t4.1", "done", "x");
-    CHECK(node.client.answer() == kX);
-    node.say("again", "t5", keyed("k2"));
+    CHECK(node.client.answer() == kAnswerX);
+    node.send("again", "t5", keyed("k2"));
     CHECK(node.link.frame() == "St5.1 1 1\nq");
     node.link.reply("t5.1", "full");
     CHECK(pinedoor::test::is_pushback(node.client.answer(), 0.625, 1.25));
-    node.say("again", "t6", keyed("k2"));
+    node.send("again", "t6", keyed("k2"));
     CHECK(node.link.frame() == "St6.1 1 1\nq");  // refused before, so it runs afresh
     node.link.reply("t6.1", "done", "x");
-    CHECK(node.client.answer() == kX);
-    CHECK(node.listed() == "answered n0/1/1\nrefused n0/1/4\nanswered n0/1/5\n");
-    CHECK(node.listed("--state refused") == "refused n0/1/4\n");
+    CHECK(node.client.answer() == kAnswerX);
+    CHECK(node.list_states() == "answered n0/1/1\nrefused n0/1/4\nanswered n0/1/5\n");
+    CHECK(node.list_states("--state refused") == "refused n0/1/4\n");
     CHECK(node.program.counter("keys_answered_again") == 1);
     for (const char* bad :
          {"Idempotency-Key: k\r\n", "Idempotency-Key: \"\"\r\n", "Idempotency-Key: \"a\"b\"\r\n"}) {
@@ -95,17 +96,17 @@
     "a key under way is a conflict; after a kill it is in doubt, never run again, until a person settles "
     "it") {
     Node node(kSqlite);
-    node.go();
-    CHECK(node.ask("once", "t1", keyed("k")) == "St1.1 1 1\nq");
+    node.start();
+    CHECK(node.send_and_accept("once", "t1", keyed("k")) == "St1.1 1 1\nq");
     auto second = node.program.client();
     second.say(post("once", "t2", asks({1}), 4'000, keyed("k")));
     CHECK(second.answer() == "409 retry-after=0.0500 a request of this Idempotency-Key is under way\n");
-    CHECK(node.listed() == "under-way n0/1/1\n");
+    CHECK(node.list_states() == "under-way n0/1/1\n");
     node.program.kill(SIGKILL);
-    node.go();
-    node.say("once", "t3", keyed("k"));
+    node.start();
+    node.send("once", "t3", keyed("k"));
     CHECK(node.client.answer() == "500 in doubt: the first request may have run, and is not run again\n");
-    CHECK(node.listed("--state in-doubt") == "in-doubt n0/1/1\n");
+    CHECK(node.list_states("--state in-doubt") == "in-doubt n0/1/1\n");
     CHECK(node.program.store("resolve n0/1/9 refused --who ann --why x") ==
           "pinedoor: there is no record n0/1/9\nexit 3\n");
     CHECK(node.program.store("resolve n0/1/1 refused --who ann --why 'not in the books'") ==
@@ -113,25 +114,25 @@
     CHECK(node.program.store("resolve n0/1/1 failed --who bob --why x") ==
           "pinedoor: n0/1/1 is not in doubt: see `store show`\nexit 3\n");
     CHECK(node.program.store("show n0/1/1").find("by ann as refused: not in the books") != std::string::npos);
-    CHECK(node.ask("once", "t4", keyed("k")) == "St4.1 1 1\nq");
+    CHECK(node.send_and_accept("once", "t4", keyed("k")) == "St4.1 1 1\nq");
     node.link.reply("t4.1", "done", "x");
-    CHECK(node.client.answer() == kX);
+    CHECK(node.client.answer() == kAnswerX);
 }
 
 TEST_CASE("what has failed is never run again, and what the client left is told from what it had") {
     Node node(kSqlite);
-    node.go();
-    node.ask("once", "t1", keyed("k"));
+    node.start();
+    node.send_and_accept("once", "t1", keyed("k"));
     node.link.reply("t1.1", "failed");
     CHECK(node.client.answer() == "500");
-    node.say("once", "t2", keyed("k"));
+    node.send("once", "t2", keyed("k"));
     CHECK(node.client.answer() == "500 the first request failed, and is not run again\n");
-    node.say("once", "t3");
+    node.send("once", "t3");
     CHECK(node.link.frame() == "St3.1 1 1\nq");
     node.client = Peer{};
     CHECK(node.program.counter_at("records_ended", 2) == 2);
     CHECK(node.program.counter_at("records_in_memory", 0) == 0);
-    CHECK(node.listed() == "failed n0/1/1\nfailed n0/1/3\n");
+    CHECK(node.list_states() == "failed n0/1/1\nfailed n0/1/3\n");
     CHECK(node.program.store("show n0/1/3").find("part_fates    1m\n") != std::string::npos);
     CHECK(node.program.store("show n0/1/3").find("note          client left\n") != std::string::npos);
 }
@@ -139,7 +140,7 @@
 TEST_CASE("hostile words stay words: SQL, quotes and what is no UTF-8 in every field, and keys too long") {
     Node node(kSqlite);
     node.program.with("acme, inc", "x'); DROP TABLE records; --");
-    node.go();
+    node.start();
     const std::string key = "'); DELETE FROM claims; --";
     auto request = post("once", "t'OR'1", asks({1}, "\\u0000'; --"), 4'000, keyed(key));
     request.replace(request.find("acme, inc"), 9, "x'); DROP TABLE records; --");
@@ -147,7 +148,7 @@
     node.link = node.server.accept();
     CHECK(node.link.frame().starts_with("St'OR'1.1 1 "));
     node.link.reply("t'OR'1.1", "done", "x");
-    CHECK(node.client.answer() == kX);
+    CHECK(node.client.answer() == kAnswerX);
     const auto shown = node.program.store("list --json");
     CHECK(shown.find(R"("key":"'); DELETE FROM claims; --")") != std::string::npos);
     for (const auto& bad : {std::string(64 * 1024, 'k'), std::string(256, 'k'), std::string("\xff\xfe")}) {
@@ -155,32 +156,32 @@
         peer.say(post("once", "t2", asks({1}), 4'000, keyed(bad)));
         CHECK(peer.answer().starts_with("4"));
     }
-    CHECK(node.listed() == "answered n0/1/1\n");
+    CHECK(node.list_states() == "answered n0/1/1\n");
     CHECK(node.program.counter("invariants_broken") == 0);
 }
 
 TEST_CASE(
     "a clock set back changes nothing: incarnations rise, and a copied folder's name is not used twice") {
     Node node(kSqlite);
-    node.go();
-    node.ask("once", "t1");
+    node.start();
+    node.send_and_accept("once", "t1");
     node.program.kill(SIGKILL);
-    node.go();
+    node.start();
     CHECK(node.program.counter_at("store_incarnation", 2) == 2);
-    CHECK(node.listed() == "in-doubt n0/1/1\n");
+    CHECK(node.list_states() == "in-doubt n0/1/1\n");
     node.program.kill(SIGKILL);
     std::ofstream(node.program.folder() + "/store/incarnation") << "1\n";  // an old copy of the folder
-    node.go();
+    node.start();
     CHECK(node.program.counter_at("store_incarnation", 3) == 3);
     node.program.kill(SIGKILL);
     std::filesystem::remove(node.program.folder() + "/store/incarnation");  // a new machine
-    node.go();
+    node.start();
     CHECK(node.program.counter_at("store_incarnation", 4) == 4);
 }
 
 TEST_CASE("the folder is one node's alone, and faults of the settings name file, line and key") {
     Node node(kSqlite);
-    node.go();
+    node.start();
     Program second({}, node.discovery.at());
     second.with_settings("[store]\nkind = \"sqlite\"\nfolder = \"" + node.program.folder() + "/store\"\n")
         .start();
@@ -196,136 +197,137 @@
 
 // --- PostgreSQL ---
 
-struct Shared {
+struct PostgresStore {
     std::string file = scratch() + "/pinedoor-pg-" + std::to_string(getpid()) + ".db";
     PostgresStandIn postgres{file};
-    ~Shared() {
+    ~PostgresStore() {
         for (const char* end : {"", "-wal", "-shm"}) std::filesystem::remove(file + end);
     }
-    std::string settings(const std::string& more = "") const {
+    std::string settings(const std::string& extra = "") const {
         return "[store]\nkind = \"postgres\"\nfolder = \"@/store\"\nlease_ms = "
                "400\n[store.postgres]\nconninfo = \"" +
                postgres.conninfo() + "\"\nstatement_timeout_ms = 300\n[store.write]\nreopen_from_ms = 10\n" +
-               more;
+               extra;
     }
     // Needs a node that was started: its settings name the store.
     std::string init(Node& node) const { return node.program.store("init"); }
 };
 
 TEST_CASE("PostgreSQL: the same over the wire, with a database that is made and migrated by hand only") {
-    Shared shared;
-    Node node(shared.settings());
-    node.go();
-    node.say("once", "t0", keyed("k"), 1'000);
+    PostgresStore store;
+    Node node(store.settings());
+    node.start();
+    node.send("once", "t0", keyed("k"), 1'000);
     CHECK(node.client.answer().starts_with("503 "));
     CHECK(node.program.counter_at("store_condition", 3) == 3);
     CHECK(node.program.log().find("the store is empty; run `pinedoor store init`") != std::string::npos);
-    CHECK(shared.init(node) == "schema 2\n");
+    CHECK(store.init(node) == "schema 2\n");
     CHECK(node.program.counter_at("store_condition", 1) == 1);
-    CHECK(node.ask("once", "t1", keyed("k")) == "St1.1 1 1\nq");
+    CHECK(node.send_and_accept("once", "t1", keyed("k")) == "St1.1 1 1\nq");
     node.link.reply("t1.1", "done", "x");
-    CHECK(node.client.answer() == kX);
-    node.say("once", "t2", keyed("k"));
-    CHECK(node.client.answer() == kX);
-    CHECK(node.listed().starts_with("answered n0/1/"));
+    CHECK(node.client.answer() == kAnswerX);
+    node.send("once", "t2", keyed("k"));
+    CHECK(node.client.answer() == kAnswerX);
+    CHECK(node.list_states().starts_with("answered n0/1/"));
     CHECK(node.program.store("verify") == "nothing amiss\n");
-    CHECK(shared.postgres.wrong_passwords == 0);
+    CHECK(store.postgres.wrong_passwords == 0);
     node.program.kill(SIGTERM);
     CHECK(node.program.wait() == 0);
     CHECK(node.program.store("show").find("incarnation 1, ended") != std::string::npos);
-    pinedoor::store::SqliteDb(shared.file).run("UPDATE pinedoor_meta SET schema_version = 9");
-    node.go();
-    node.say("once", "t3", keyed("k3"), 1'000);
+    pinedoor::store::SqliteDb(store.file).run("UPDATE pinedoor_meta SET schema_version = 9");
+    node.start();
+    node.send("once", "t3", keyed("k3"), 1'000);
     CHECK(node.client.answer().starts_with("503 "));
     CHECK(node.program.log().find("newer than this program's") != std::string::npos);
     CHECK(node.program.store("list").ends_with("run a newer pinedoor\nexit 1\n"));
 }
 
 TEST_CASE("PostgreSQL: a commit whose word is lost, one that never came, and a server that dies in a batch") {
-    Shared shared;
-    Node node(shared.settings());
-    node.go();
-    shared.init(node);
+    PostgresStore store;
+    Node node(store.settings());
+    node.start();
+    store.init(node);
     CHECK(node.program.counter_at("store_condition", 1) == 1);
-    SUBCASE("committed, no word") { shared.postgres.die_after_commit = 1; }
-    SUBCASE("not committed") { shared.postgres.die_before_commit = 1; }
-    SUBCASE("refused by the server") { shared.postgres.fail_commit = 1; }
-    SUBCASE("in the middle") { shared.postgres.die_in_the_middle = 2; }
-    SUBCASE("slow bytes") { shared.postgres.slow_bytes = true; }
-    const bool refused = shared.postgres.fail_commit == 1;
-    node.say("once", "t1", keyed("k"));
+    SUBCASE("committed, no word") { store.postgres.die_after_commit = 1; }
+    SUBCASE("not committed") { store.postgres.die_before_commit = 1; }
+    SUBCASE("refused by the server") { store.postgres.fail_commit = 1; }
+    SUBCASE("in the middle") { store.postgres.die_at_execute = 2; }
+    SUBCASE("slow bytes") { store.postgres.send_byte_by_byte = true; }
+    const bool refused = store.postgres.fail_commit == 1;
+    node.send("once", "t1", keyed("k"));
     if (refused) {
         CHECK(node.client.answer().starts_with("503 "));  // the store said no: the key cannot be judged
         CHECK(node.program.counter_at("store_condition", 1) == 1);
-        node.say("once", "t1", keyed("k"));
+        node.send("once", "t1", keyed("k"));
     }
     node.link = node.server.accept();
     CHECK(node.link.frame() == "St1.1 1 1\nq");
     node.link.reply("t1.1", "done", "x");
-    CHECK(node.client.answer() == kX);
-    node.say("once", "t2", keyed("k"));
-    CHECK(node.client.answer() == kX);
-    CHECK(node.listed("--state answered").starts_with("answered n0/1/"));
-    CHECK(node.listed("--state in-doubt").empty());
+    CHECK(node.client.answer() == kAnswerX);
+    node.send("once", "t2", keyed("k"));
+    CHECK(node.client.answer() == kAnswerX);
+    CHECK(node.list_states("--state answered").starts_with("answered n0/1/"));
+    CHECK(node.list_states("--state in-doubt").empty());
     CHECK(node.program.store("verify") == "nothing amiss\n");
 }
 
 TEST_CASE("PostgreSQL: a store that stalls holds up no final answer; the record follows") {
-    Shared shared;
-    Node node(shared.settings());
-    node.go();
-    shared.init(node);
+    PostgresStore store;
+    Node node(store.settings());
+    node.start();
+    store.init(node);
     CHECK(node.program.counter_at("store_condition", 1) == 1);
-    CHECK(node.ask("once", "t1") == "St1.1 1 1\nq");
-    shared.postgres.stall_commits = true;
+    CHECK(node.send_and_accept("once", "t1") == "St1.1 1 1\nq");
+    store.postgres.stall_commits = true;
     const auto began = std::chrono::steady_clock::now();
     node.link.reply("t1.1", "done", "x");
-    CHECK(node.client.answer() == kX);  // its outcome went to the spill
-    node.say("once", "t2");
+    CHECK(node.client.answer() == kAnswerX);  // its outcome went to the spill
+    node.send("once", "t2");
     CHECK(node.link.frame() == "St2.1 1 1\nq");  // and so did the next one's intent
     node.link.reply("t2.1", "failed");
     CHECK(node.client.answer() == "500");
-    node.say("once", "t3", keyed("k"), 1'000);
+    node.send("once", "t3", keyed("k"), 1'000);
     CHECK(node.client.answer().starts_with("503 "));  // a key is not judged without the store
     CHECK(std::chrono::steady_clock::now() - began < std::chrono::seconds(4));
     CHECK(node.program.counter("spill_appended") > 0);
-    shared.postgres.stall_commits = false;
+    store.postgres.stall_commits = false;
     CHECK(node.program.counter_at("spill_entries", 0) == 0);
     CHECK(node.program.counter_at("records_in_memory", 0) == 0);
-    CHECK(node.listed("--state in-doubt").empty());
-    CHECK(node.listed("--state under-way").empty());
-    CHECK(node.listed("--state answered") == "answered n0/1/1\n");
-    CHECK(node.listed("--state failed") == "failed n0/1/2\n");
+    CHECK(node.list_states("--state in-doubt").empty());
+    CHECK(node.list_states("--state under-way").empty());
+    CHECK(node.list_states("--state answered") == "answered n0/1/1\n");
+    CHECK(node.list_states("--state failed") == "failed n0/1/2\n");
 }
 
 TEST_CASE("PostgreSQL: one key at two nodes is run by one, and in doubt once that one is killed") {
-    Shared shared;
-    Node first(shared.settings()), second(shared.settings());
+    PostgresStore store;
+    Node first(store.settings()), second(store.settings());
     second.program.with("\"name\":\"n0\"", "\"name\":\"n1\"");
-    first.go();
-    shared.init(first);
-    second.go();
+    first.start();
+    store.init(first);
+    second.start();
     for (auto* node : {&first, &second}) CHECK(node->program.counter_at("store_condition", 1) == 1);
-    CHECK(first.ask("once", "t1", keyed("k")) == "St1.1 1 1\nq");
-    second.say("once", "t2", keyed("k"));
+    CHECK(first.send_and_accept("once", "t1", keyed("k")) == "St1.1 1 1\nq");
+    second.send("once", "t2", keyed("k"));
     CHECK(second.client.answer() ==
           "409 retry-after=0.0500 a request of this Idempotency-Key is under way\n");
     SUBCASE("answered") {
         first.link.reply("t1.1", "done", "x");
-        CHECK(first.client.answer() == kX);
-        second.say("once", "t3", keyed("k"));
-        CHECK(second.client.answer() == kX);
+        CHECK(first.client.answer() == kAnswerX);
+        second.send("once", "t3", keyed("k"));
+        CHECK(second.client.answer() == kAnswerX);
     }
     SUBCASE("killed") {
         first.program.kill(SIGKILL);
-        std::string told = "409";
-        for (int tries = 0; tries < 800 && told.starts_with("409"); ++tries) {  // until its lease is over
+        std::string last_answer = "409";
+        for (int tries = 0; tries < 800 && last_answer.starts_with("409");
+             ++tries) {  // until its lease is over
             usleep(10'000);
-            second.say("once", "t" + std::to_string(tries + 10), keyed("k"));
-            told = second.client.answer();
+            second.send("once", "t" + std::to_string(tries + 10), keyed("k"));
+            last_answer = second.client.answer();
         }
-        CHECK(told == "500 in doubt: the first request may have run, and is not run again\n");
-        CHECK(second.listed("--state in-doubt") == "in-doubt n0/1/1\n");
+        CHECK(last_answer == "500 in doubt: the first request may have run, and is not run again\n");
+        CHECK(second.list_states("--state in-doubt") == "in-doubt n0/1/1\n");
     }
     CHECK(second.program.counter("sends") == 0);
 }
@@ -333,19 +335,19 @@
 TEST_CASE(
     "PostgreSQL: gone for longer than the spill holds, those that need an intent are refused before any "
     "send") {
-    Shared shared;
-    Node node(shared.settings("[store.spill]\nmost_mb = 1\noutcome_room = 65536\n"));
-    node.go();
-    shared.init(node);
+    PostgresStore store;
+    Node node(store.settings("[store.spill]\nmost_mb = 1\noutcome_room = 65536\n"));
+    node.start();
+    store.init(node);
     CHECK(node.program.counter_at("store_condition", 1) == 1);
-    shared.postgres.refuse = true;
-    shared.postgres.kill();
+    store.postgres.refuse_connections = true;
+    store.postgres.kill_connections();
     CHECK(node.program.counter_at("store_condition", 3) == 3);
     int answered = 0;
-    std::string told = "200";
-    for (; told.starts_with("200") && answered < 100; ++answered) {
+    std::string last_answer = "200";
+    for (; last_answer.starts_with("200") && answered < 100; ++answered) {
         const auto name = "t" + std::to_string(answered);
-        node.say("once", name);
+        node.send("once", name);
         if (answered == 0) node.link = node.server.accept();
         pollfd ready[2] = {{node.client.fd(), POLLIN, 0}, {node.link.fd(), POLLIN, 0}};
         poll(ready, 2, 8'000);
@@ -353,29 +355,29 @@
             node.link.frame();
             node.link.reply(name + ".1", "done", std::string(60'000, 'x'));
         }
-        told = node.client.answer();
+        last_answer = node.client.answer();
     }
-    CHECK(told.starts_with("503 retry-after=0."));
+    CHECK(last_answer.starts_with("503 retry-after=0."));
     CHECK(answered >= 14);  // 60 kB each, and 64 KiB are kept for the outcome of the next
     CHECK(answered <= 18);
-    node.say("again", "free");  // all others go on
+    node.send("again", "free");  // all others go on
     CHECK(node.link.frame() == "Sfree.1 1 1\nq");
     node.link.reply("free.1", "done", "x");
-    CHECK(node.client.answer() == kX);
-    shared.postgres.refuse = false;
+    CHECK(node.client.answer() == kAnswerX);
+    store.postgres.refuse_connections = false;
     CHECK(node.program.counter_at("spill_entries", 0) == 0);
     CHECK(node.program.counter_at("records_in_memory", 0) == 0);
-    CHECK(node.listed("--state in-doubt").empty());
+    CHECK(node.list_states("--state in-doubt").empty());
     CHECK(node.program.counter("records_lost") == 0);
 }
 
 TEST_CASE("PostgreSQL: a wrong password and a name to look up are said") {
-    Shared shared;
-    auto settings = shared.settings();
+    PostgresStore store;
+    auto settings = store.settings();
     SUBCASE("password") {
         settings.replace(settings.find("turnout"), 7, "guessed");
         Node node(settings);
-        node.go();
+        node.start();
         CHECK(node.program.counter_at("store_condition", 3) == 3);
         CHECK(node.program.log().find("password authentication failed") != std::string::npos);
     }
@@ -389,61 +391,61 @@
 }
 
 TEST_CASE("PostgreSQL over TLS: a server with the right certificate is used, another is not, none without") {
-    Shared shared;
-    const auto right = scratch() + "/pinedoor-right-" + std::to_string(getpid()) + ".pem";
-    const auto wrong = scratch() + "/pinedoor-wrong-" + std::to_string(getpid()) + ".pem";
-    PostgresStandIn(shared.file + "-other").speak_tls(wrong);
-    shared.postgres.speak_tls(right);
-    auto settings = shared.settings();
-    const auto state = [&settings](const std::string& more) {
+    PostgresStore store;
+    const auto trusted_certificate = scratch() + "/pinedoor-right-" + std::to_string(getpid()) + ".pem";
+    const auto other_certificate = scratch() + "/pinedoor-wrong-" + std::to_string(getpid()) + ".pem";
+    PostgresStandIn(store.file + "-other").require_tls(other_certificate);
+    store.postgres.require_tls(trusted_certificate);
+    auto settings = store.settings();
+    const auto add_conninfo = [&settings](const std::string& extra) {
         const auto at = settings.find("hostaddr");
-        settings.insert(at, more + " ");
+        settings.insert(at, extra + " ");
     };
     SUBCASE("right") {
-        state("host=records.test sslmode=verify-full sslrootcert=" + right);
+        add_conninfo("host=records.test sslmode=verify-full sslrootcert=" + trusted_certificate);
         Node node(settings);
-        node.go();
-        CHECK(shared.init(node) == "schema 2\n");
+        node.start();
+        CHECK(store.init(node) == "schema 2\n");
         CHECK(node.program.counter_at("store_condition", 1) == 1);
-        shared.postgres.slow_bytes = true;
-        CHECK(node.ask("once", "t1", keyed("k")) == "St1.1 1 1\nq");
+        store.postgres.send_byte_by_byte = true;
+        CHECK(node.send_and_accept("once", "t1", keyed("k")) == "St1.1 1 1\nq");
         node.link.reply("t1.1", "done", "x");
-        CHECK(node.client.answer() == kX);
-        shared.postgres.slow_bytes = false;
-        shared.postgres.kill();  // and over a new connection, what was recorded
-        node.say("once", "t2", keyed("k"));
+        CHECK(node.client.answer() == kAnswerX);
+        store.postgres.send_byte_by_byte = false;
+        store.postgres.kill_connections();  // and over a new connection, what was recorded
+        node.send("once", "t2", keyed("k"));
         const auto answer = node.client.answer();
-        CHECK((answer == kX || answer.starts_with("503 ")));
+        CHECK((answer == kAnswerX || answer.starts_with("503 ")));
         CHECK(node.program.counter_at("store_condition", 1) == 1);
-        node.say("once", "t3", keyed("k"));
-        CHECK(node.client.answer() == kX);
-        CHECK(shared.postgres.tls_connections >= 3);
+        node.send("once", "t3", keyed("k"));
+        CHECK(node.client.answer() == kAnswerX);
+        CHECK(store.postgres.tls_connections >= 3);
     }
     SUBCASE("another's certificate") {
-        state("host=records.test sslmode=verify-full sslrootcert=" + wrong);
+        add_conninfo("host=records.test sslmode=verify-full sslrootcert=" + other_certificate);
         Node node(settings);
-        node.go();
+        node.start();
         CHECK(node.program.counter_at("store_condition", 3) == 3);
         CHECK(node.program.log().find("certificate verify failed") != std::string::npos);
-        node.say("once", "t1", keyed("k"));
+        node.send("once", "t1", keyed("k"));
         CHECK(node.client.answer().starts_with("503 "));
     }
     SUBCASE("another name") {
-        state("host=records.elsewhere sslmode=verify-full sslrootcert=" + right);
+        add_conninfo("host=records.elsewhere sslmode=verify-full sslrootcert=" + trusted_certificate);
         Node node(settings);
-        node.go();
+        node.start();
         CHECK(node.program.counter_at("store_condition", 3) == 3);
         CHECK(node.program.log().find("does not match host name") != std::string::npos);
     }
     SUBCASE("without TLS") {
-        state("sslmode=disable");
+        add_conninfo("sslmode=disable");
         Node node(settings);
-        node.go();
+        node.start();
         CHECK(node.program.counter_at("store_condition", 3) == 3);
-        CHECK(shared.postgres.tls_connections == 0);
+        CHECK(store.postgres.tls_connections == 0);
     }
-    std::filesystem::remove(right);
-    std::filesystem::remove(wrong);
+    std::filesystem::remove(trusted_certificate);
+    std::filesystem::remove(other_certificate);
 }
 
 }  // namespace
--- a/tests/store/recorder_test.cpp
+++ b/tests/store/recorder_test.cpp
@@ -10,91 +10,104 @@
 namespace {
 
 using namespace pinedoor::store;
-using Half = Ref::Half;
+using Kind = EntryRef::Kind;
 
 // As an exception, so that it ends a property's case or an exploration alike.
-#define HOLDS(what) \
-    if (!(what)) throw std::logic_error("does not hold: " #what)
+#define REQUIRE_HOLDS(condition) \
+    if (!(condition)) throw std::logic_error("does not hold: " #condition)
 
-std::string print(const std::vector<Ref>& refs) {
+std::string print(const std::vector<EntryRef>& refs) {
     std::string out;
     for (const auto& ref : refs)
-        out += (ref.half == Half::kIntent ? " i" : " o") + std::to_string(ref.number);
+        out += (ref.kind == Kind::kIntent ? " i" : " o") + std::to_string(ref.number);
     return out;
 }
 
 struct Printer {
     std::ostringstream out;
-    void operator()(const Open&) { out << "open"; }
-    void operator()(const Write& w) { out << "write #" << w.batch << print(w.refs); }
-    void operator()(const Settle& s) { out << "settle #" << s.batch << print(s.refs); }
-    void operator()(const Replay& r) { out << "replay #" << r.batch << " up to " << r.most; }
-    void operator()(const Skip&) { out << "skip"; }
-    void operator()(const SpillOut& s) { out << "spill #" << s.batch << print(s.refs); }
+    void operator()(const OpenStore&) { out << "open"; }
+    void operator()(const WriteBatch& w) { out << "write #" << w.batch << print(w.refs); }
+    void operator()(const ReconcileBatch& s) { out << "settle #" << s.batch << print(s.refs); }
+    void operator()(const ReplaySpill& r) { out << "replay #" << r.batch << " up to " << r.max_entries; }
+    void operator()(const SetAsideSpilled&) { out << "skip"; }
+    void operator()(const WriteSpill& s) { out << "spill #" << s.batch << print(s.refs); }
     void operator()(const Proceed& p) { out << "proceed " << p.number; }
-    void operator()(const TurnAway& t) {
-        out << "turn away " << t.number << ": " << name_of(t.why)
-            << (t.may_be_stored ? ", may be stored" : "");
+    void operator()(const RejectMultiget& r) {
+        out << "turn away " << r.number << ": " << name_of(r.reason)
+            << (r.may_be_stored ? ", may be stored" : "");
     }
-    void operator()(const Release& r) {
+    void operator()(const ReleaseAnswer& r) {
         out << "release " << r.number << (r.durable ? "" : " before its record");
     }
     void operator()(const DropAnswer& d) { out << "drop answer " << d.number; }
-    void operator()(const Forget& f) { out << (f.lost ? "lose" : "forget") << print({f.ref}); }
-    void operator()(const Wake&) {}
-    void operator()(const Now& n) { out << "store " << name_of(n.condition); }
+    void operator()(const DiscardEntry& f) { out << (f.lost ? "lose" : "forget") << print({f.ref}); }
+    void operator()(const WakeAt&) {}
+    void operator()(const ConditionChanged& n) { out << "store " << name_of(n.condition); }
 };
 
 struct Script {
-    WriteTerms terms;
+    WriteTerms config;
     std::optional<Recorder> recorder;
     Time now = 0;
     std::ostringstream trace;
     bool quiet = false;
-    bool named = true;
+    bool incarnation_known = true;
 
     void show(const std::vector<Action>& actions) {
         for (const auto& action : actions) {
-            if (std::holds_alternative<Wake>(action) || std::holds_alternative<Forget>(action)) {
-                if (!std::holds_alternative<Forget>(action) || !std::get<Forget>(action).lost) continue;
+            if (std::holds_alternative<WakeAt>(action) || std::holds_alternative<DiscardEntry>(action)) {
+                if (!std::holds_alternative<DiscardEntry>(action) || !std::get<DiscardEntry>(action).lost)
+                    continue;
             }
             Printer printer;
             std::visit(printer, action);
             if (!quiet) trace << now << ' ' << printer.out.str() << '\n';
         }
     }
-    Script& begin() {
-        recorder.emplace(7, terms);
-        if (named) recorder->is_named();
+    Script& start() {
+        recorder.emplace(7, config);
+        if (incarnation_known) recorder->set_incarnation_known();
         show(recorder->start(now));
         return *this;
     }
-    Script& up() { return begin().take(Opened{}); }
-    Script& take(const Event& event) {
-        show(recorder->take(now, event));
+    Script& start_up() { return start().handle(StoreOpened{}); }
+    Script& handle(const Event& event) {
+        show(recorder->handle(now, event));
         return *this;
     }
-    Script& pass(Time time) {
+    Script& advance(Time time) {
         now += time;
-        return take(Tick{});
+        return handle(Tick{});
     }
-    Script& want(Number number, bool keyed = false, Time time_left = 20'000, std::size_t bytes = 100) {
-        return take(Wanted{number, keyed, bytes, now + time_left});
+    Script& submit_intent(RecordNumber number, bool keyed = false, Time time_left = 20'000,
+                          std::size_t bytes = 100) {
+        return handle(IntentSubmitted{number, keyed, bytes, now + time_left});
     }
-    Script& answered(Number number, Time time_left = 20'000, std::size_t bytes = 300) {
-        return take(Over{number, bytes, 100, true, now + time_left});
+    Script& submit_answer(RecordNumber number, Time time_left = 20'000, std::size_t bytes = 300) {
+        return handle(OutcomeSubmitted{number, bytes, 100, true, now + time_left});
     }
-    Script& ended(Number number) { return take(Over{number, 100, 100, false, now}); }
-    Script& stored(Batch batch, std::vector<Ref> held = {}, std::vector<Ref> absent = {}) {
-        return take(Stored{batch, std::move(held), std::move(absent)});
+    Script& submit_refusal(RecordNumber number) {
+        return handle(OutcomeSubmitted{number, 100, 100, false, now});
     }
-    std::string done() { return '\n' + trace.str(); }
+    Script& write_stored(BatchId batch, std::vector<EntryRef> held_elsewhere = {},
+                         std::vector<EntryRef> absent = {}) {
+        return handle(WriteStored{batch, std::move(held_elsewhere), std::move(absent)});
+    }
+    std::string trace_text() { return '\n' + trace.str(); }
 };
 
 TEST_CASE("an intent goes on when its write has ended; what comes meanwhile makes up the next write") {
     Script s;
-    s.up().want(1).want(2).want(3).stored(1).answered(1).ended(2).stored(2).stored(3);
-    CHECK(s.done() == R"(
+    s.start_up()
+        .submit_intent(1)
+        .submit_intent(2)
+        .submit_intent(3)
+        .write_stored(1)
+        .submit_answer(1)
+        .submit_refusal(2)
+        .write_stored(2)
+        .write_stored(3);
+    CHECK(s.trace_text() == R"(
 0 open
 0 store up
 0 write #1 i1
@@ -110,17 +123,22 @@
 TEST_CASE(
     "a write that is slow sends all that is plain to the spill, and the spill is read back when it ends") {
     Script s;
-    s.up()
-        .want(1)
-        .want(2)
-        .want(3, true)
-        .pass(499)
-        .pass(1)
-        .take(SpillHolds{2, 200})
-        .take(Spilled{2})
-        .answered(1);
-    s.take(SpillHolds{3, 500}).take(Spilled{3}).stored(1).take(SpillHolds{0, 0}).stored(4).stored(5);
-    CHECK(s.done() == R"(
+    s.start_up()
+        .submit_intent(1)
+        .submit_intent(2)
+        .submit_intent(3, true)
+        .advance(499)
+        .advance(1)
+        .handle(SpillLevel{2, 200})
+        .handle(SpillWritten{2})
+        .submit_answer(1);
+    s.handle(SpillLevel{3, 500})
+        .handle(SpillWritten{3})
+        .write_stored(1)
+        .handle(SpillLevel{0, 0})
+        .write_stored(4)
+        .write_stored(5);
+    CHECK(s.trace_text() == R"(
 0 open
 0 store up
 0 write #1 i1
@@ -139,8 +157,13 @@
 
 TEST_CASE("a store that stalls turns keyed ones away at their share of the time, and holds no refusal back") {
     Script s;
-    s.up().want(1, true, 4'000).want(2, true, 8'000).pass(2'000).ended(1).pass(2'000);
-    CHECK(s.done() == R"(
+    s.start_up()
+        .submit_intent(1, true, 4'000)
+        .submit_intent(2, true, 8'000)
+        .advance(2'000)
+        .submit_refusal(1)
+        .advance(2'000);
+    CHECK(s.trace_text() == R"(
 0 open
 0 store up
 0 write #1 i1
@@ -153,8 +176,14 @@
 
 TEST_CASE("an answer waits for its record for its share of the time, then goes out before it") {
     Script s;
-    s.up().want(1).stored(1).answered(1, 10'000).pass(2'499).pass(1).stored(2);
-    CHECK(s.done() == R"(
+    s.start_up()
+        .submit_intent(1)
+        .write_stored(1)
+        .submit_answer(1, 10'000)
+        .advance(2'499)
+        .advance(1)
+        .write_stored(2);
+    CHECK(s.trace_text() == R"(
 0 open
 0 store up
 0 write #1 i1
@@ -169,9 +198,10 @@
 
 TEST_CASE("a write whose end is not known is settled by asking, and only what is absent is written again") {
     Script s;
-    s.up().want(1).want(2, true).want(3, true).stored(1).take(Unsure{2});
-    s.take(Opened{}).stored(3, {}, {{Half::kIntent, 3}}).stored(4);
-    CHECK(s.done() == R"(
+    s.start_up().submit_intent(1).submit_intent(2, true).submit_intent(3, true).write_stored(1).handle(
+        WriteUnknown{2});
+    s.handle(StoreOpened{}).write_stored(3, {}, {{Kind::kIntent, 3}}).write_stored(4);
+    CHECK(s.trace_text() == R"(
 0 open
 0 store up
 0 write #1 i1
@@ -189,9 +219,15 @@
 
 TEST_CASE("a settlement that is lost too is asked again; who gave up meanwhile is not sent any more") {
     Script s;
-    s.up().want(1, true, 2'000).take(Unsure{1}).take(Opened{}).take(Unsure{2}).pass(1'000).take(Opened{});
-    s.ended(1).stored(3);
-    CHECK(s.done() == R"(
+    s.start_up()
+        .submit_intent(1, true, 2'000)
+        .handle(WriteUnknown{1})
+        .handle(StoreOpened{})
+        .handle(WriteUnknown{2})
+        .advance(1'000)
+        .handle(StoreOpened{});
+    s.submit_refusal(1).write_stored(3);
+    CHECK(s.trace_text() == R"(
 0 open
 0 store up
 0 write #1 i1
@@ -209,9 +245,15 @@
 
 TEST_CASE("a store that does not open turns keyed ones away at once, and is tried with growing pauses") {
     Script s;
-    s.begin().want(1, true).want(2).take(OpenFailed{}).take(SpillHolds{1, 100}).take(Spilled{1}).pass(0);
-    s.take(OpenFailed{}).want(3, true).pass(500).take(OpenFailed{});
-    CHECK(s.done() == R"(
+    s.start()
+        .submit_intent(1, true)
+        .submit_intent(2)
+        .handle(StoreOpenFailed{})
+        .handle(SpillLevel{1, 100})
+        .handle(SpillWritten{1})
+        .advance(0);
+    s.handle(StoreOpenFailed{}).submit_intent(3, true).advance(500).handle(StoreOpenFailed{});
+    CHECK(s.trace_text() == R"(
 0 open
 0 spill #1 i2
 0 store down
@@ -225,19 +267,24 @@
 
 TEST_CASE("a process without a name spills nothing: what needs an intent waits for the store that names it") {
     Script s;
-    s.named = false;
-    s.begin().want(1).want(2, false, 2'000).pass(1'000).take(Opened{}).stored(1);
+    s.incarnation_known = false;
+    s.start()
+        .submit_intent(1)
+        .submit_intent(2, false, 2'000)
+        .advance(1'000)
+        .handle(StoreOpened{})
+        .write_stored(1);
     Script t;
-    t.named = false;
-    t.begin().want(1).take(OpenFailed{}).want(2).take(OpenFailed{});
-    CHECK(s.done() == R"(
+    t.incarnation_known = false;
+    t.start().submit_intent(1).handle(StoreOpenFailed{}).submit_intent(2).handle(StoreOpenFailed{});
+    CHECK(s.trace_text() == R"(
 0 open
 1000 turn away 2: store slow
 1000 store up
 1000 write #1 i1
 1000 proceed 1
 )");
-    CHECK(t.done() == R"(
+    CHECK(t.trace_text() == R"(
 0 open
 0 store down
 0 turn away 1: store away
@@ -248,8 +295,13 @@
 
 TEST_CASE("a key that somebody else holds is not run; the multigets beside it are") {
     Script s;
-    s.up().want(1, true).want(2, true).want(3).stored(1, {{Half::kIntent, 1}}).stored(2);
-    CHECK(s.done() == R"(
+    s.start_up()
+        .submit_intent(1, true)
+        .submit_intent(2, true)
+        .submit_intent(3)
+        .write_stored(1, {{Kind::kIntent, 1}})
+        .write_stored(2);
+    CHECK(s.trace_text() == R"(
 0 open
 0 store up
 0 write #1 i1
@@ -263,16 +315,20 @@
 TEST_CASE(
     "with the spill full those that need an intent are turned away, and outcomes still have their room") {
     Script s;
-    s.terms.spill_bytes = 3'000;
-    s.begin()
-        .take(OpenFailed{})
-        .want(1)
-        .take(SpillHolds{1, 100})
-        .take(Spilled{1})
-        .want(2)
-        .take(SpillHolds{2, 200});
-    s.take(Spilled{2}).want(3).answered(1, 20'000, 5'000).take(SpillHolds{3, 300}).take(Spilled{3});
-    CHECK(s.done() == R"(
+    s.config.spill_bytes = 3'000;
+    s.start()
+        .handle(StoreOpenFailed{})
+        .submit_intent(1)
+        .handle(SpillLevel{1, 100})
+        .handle(SpillWritten{1})
+        .submit_intent(2)
+        .handle(SpillLevel{2, 200});
+    s.handle(SpillWritten{2})
+        .submit_intent(3)
+        .submit_answer(1, 20'000, 5'000)
+        .handle(SpillLevel{3, 300})
+        .handle(SpillWritten{3});
+    CHECK(s.trace_text() == R"(
 0 open
 0 store down
 0 open
@@ -289,17 +345,22 @@
 
 TEST_CASE("when the spill fails as well nothing more is begun; outcomes are kept until one of them is back") {
     Script s;
-    s.begin()
-        .take(OpenFailed{})
-        .want(1)
-        .want(2)
-        .take(Spilled{1, false})
-        .want(3)
-        .pass(500)
-        .take(SpillHolds{1, 9});
-    s.take(OpenFailed{}).take(Spilled{2}).ended(2).take(Spilled{3, false}).pass(3'000).take(Opened{});
-    s.take(SpillHolds{0, 0}).stored(4).stored(5);
-    CHECK(s.done() == R"(
+    s.start()
+        .handle(StoreOpenFailed{})
+        .submit_intent(1)
+        .submit_intent(2)
+        .handle(SpillWritten{1, false})
+        .submit_intent(3)
+        .advance(500)
+        .handle(SpillLevel{1, 9});
+    s.handle(StoreOpenFailed{})
+        .handle(SpillWritten{2})
+        .submit_refusal(2)
+        .handle(SpillWritten{3, false})
+        .advance(3'000)
+        .handle(StoreOpened{});
+    s.handle(SpillLevel{0, 0}).write_stored(4).write_stored(5);
+    CHECK(s.trace_text() == R"(
 0 open
 0 store down
 0 open
@@ -318,9 +379,17 @@
 
 TEST_CASE("one entry that the store will not have does not keep the others out") {
     Script s;
-    s.up().want(1).want(2).want(3).stored(1).take(Refused{2, true}).take(Refused{3, true}).stored(4).ended(1);
-    s.take(Refused{5, true});
-    CHECK(s.done() == R"(
+    s.start_up()
+        .submit_intent(1)
+        .submit_intent(2)
+        .submit_intent(3)
+        .write_stored(1)
+        .handle(WriteRejected{2, true})
+        .handle(WriteRejected{3, true})
+        .write_stored(4)
+        .submit_refusal(1);
+    s.handle(WriteRejected{5, true});
+    CHECK(s.trace_text() == R"(
 0 open
 0 store up
 0 write #1 i1
@@ -337,10 +406,15 @@
 
 TEST_CASE("of the spill such an entry is set aside, when the others of its write go singly") {
     Script s;
-    s.terms.most_batch = 2;
-    s.begin().take(SpillHolds{2, 90}).take(Opened{}).take(Refused{1, true}).take(SpillHolds{1, 40}).stored(2);
-    s.take(Refused{3, true}).take(SpillHolds{0, 0}).take(Refused{4, false});
-    CHECK(s.done() == R"(
+    s.config.most_batch = 2;
+    s.start()
+        .handle(SpillLevel{2, 90})
+        .handle(StoreOpened{})
+        .handle(WriteRejected{1, true})
+        .handle(SpillLevel{1, 40})
+        .write_stored(2);
+    s.handle(WriteRejected{3, true}).handle(SpillLevel{0, 0}).handle(WriteRejected{4, false});
+    CHECK(s.trace_text() == R"(
 0 open
 0 store up
 0 replay #1 up to 2
@@ -355,84 +429,84 @@
 // A store and a spill that behave anyhow, and a plain model of what is durable. Whatever happens: nobody
 // proceeds without a durable intent, everyone is told once and in time, and in the end each outcome of those
 // who went on is durable, unless it was reported lost.
-struct World {
-    explicit World(std::uint64_t seed)
-        : recorder(seed, terms()), chance(static_cast<std::mt19937::result_type>(seed)) {}
-
-    static WriteTerms terms() {
-        WriteTerms terms;
-        terms.most_batch = 4;
-        terms.most_waiting = 40;
-        terms.spill_bytes = 20'000;
-        return terms;
+struct Simulation {
+    explicit Simulation(std::uint64_t seed)
+        : recorder(seed, test_config()), rng(static_cast<std::mt19937::result_type>(seed)) {}
+
+    static WriteTerms test_config() {
+        WriteTerms config;
+        config.most_batch = 4;
+        config.most_waiting = 40;
+        config.spill_bytes = 20'000;
+        return config;
     }
-    bool one_in(unsigned n) { return chance() % n == 0; }
+    bool one_in(unsigned n) { return rng() % n == 0; }
 
     void act(const std::vector<Action>& actions) {
-        for (const auto& action : actions) std::visit([this](const auto& what) { on(what); }, action);
+        for (const auto& action : actions) std::visit([this](const auto& each) { on(each); }, action);
     }
-    void on(const Open&) {
-        HOLDS(!opening);
+    void on(const OpenStore&) {
+        REQUIRE_HOLDS(!opening);
         opening = true;
     }
-    void on(const Write& w) { begin(w.batch, w.refs, 'w'); }
-    void on(const Settle& s) { begin(s.batch, s.refs, 's'); }
-    void on(const Replay& r) { begin(r.batch, {}, 'r'); }
-    void on(const Skip&) { HOLDS(false); }
-    void begin(Batch batch, std::vector<Ref> refs, char kind) {
-        HOLDS(!out);
-        HOLDS(refs.size() <= 4 || kind == 's');
-        out = {batch, std::move(refs), kind};
+    void on(const WriteBatch& w) { start_operation(w.batch, w.refs, 'w'); }
+    void on(const ReconcileBatch& s) { start_operation(s.batch, s.refs, 's'); }
+    void on(const ReplaySpill& r) { start_operation(r.batch, {}, 'r'); }
+    void on(const SetAsideSpilled&) { REQUIRE_HOLDS(false); }
+    void start_operation(BatchId batch, std::vector<EntryRef> refs, char kind) {
+        REQUIRE_HOLDS(!outstanding);
+        REQUIRE_HOLDS(refs.size() <= 4 || kind == 's');
+        outstanding = {batch, std::move(refs), kind};
     }
-    void on(const SpillOut& s) {
-        HOLDS(!spilling);
+    void on(const WriteSpill& s) {
+        REQUIRE_HOLDS(!spilling);
         spilling = {s.batch, s.refs};
     }
     void on(const Proceed& p) {
-        HOLDS(durable(Ref{Half::kIntent, p.number}));
-        HOLDS(waiting.erase(p.number) == 1U);
-        open.insert(p.number);
+        REQUIRE_HOLDS(durable(EntryRef{Kind::kIntent, p.number}));
+        REQUIRE_HOLDS(awaiting_intent.erase(p.number) == 1U);
+        open_multigets.insert(p.number);
     }
-    void on(const TurnAway& t) {
-        HOLDS(waiting.erase(t.number) == 1U);
-        if (t.may_be_stored)
-            refusals.push_back(t.number);
+    void on(const RejectMultiget& r) {
+        REQUIRE_HOLDS(awaiting_intent.erase(r.number) == 1U);
+        if (r.may_be_stored)
+            refusals.push_back(r.number);
         else
-            HOLDS(!in_spill.contains({Half::kIntent, t.number}) &&
-                  !in_store.contains({Half::kIntent, t.number}));
+            REQUIRE_HOLDS(!in_spill.contains({Kind::kIntent, r.number}) &&
+                          !in_store.contains({Kind::kIntent, r.number}));
     }
-    void on(const Release& r) {
-        const auto at = answers.find(r.number);
-        HOLDS(at != answers.end());
-        HOLDS(!r.durable || durable(Ref{Half::kOutcome, r.number}));
-        answers.erase(at);
+    void on(const ReleaseAnswer& r) {
+        const auto at = awaiting_outcome.find(r.number);
+        REQUIRE_HOLDS(at != awaiting_outcome.end());
+        REQUIRE_HOLDS(!r.durable || durable(EntryRef{Kind::kOutcome, r.number}));
+        awaiting_outcome.erase(at);
     }
     void on(const DropAnswer&) {}
-    void on(const Forget& f) { HOLDS(!f.lost); }
-    void on(const Wake& w) { wake = w.at; }
-    void on(const Now&) {}
-    bool durable(const Ref& ref) const { return in_store.contains(ref) || in_spill.contains(ref); }
+    void on(const DiscardEntry& f) { REQUIRE_HOLDS(!f.lost); }
+    void on(const WakeAt& w) { next_wake = w.at; }
+    void on(const ConditionChanged&) {}
+    bool durable(const EntryRef& ref) const { return in_store.contains(ref) || in_spill.contains(ref); }
 
-    void take(const Event& event) {
-        act(recorder.take(now, event));
+    void handle(const Event& event) {
+        act(recorder.handle(now, event));
         for (auto number : std::exchange(refusals, {})) {
             outcomes.insert(number);
-            take(Over{number, 120, 120, false, now});
+            handle(OutcomeSubmitted{number, 120, 120, false, now});
         }
     }
-    void spill_says() { take(SpillHolds{in_spill.size(), in_spill.size() * 120}); }
+    void report_spill_level() { handle(SpillLevel{in_spill.size(), in_spill.size() * 120}); }
 
-    void store_acts(bool well) {
+    void complete_store_operation(bool succeeds) {
         if (opening) {
             opening = false;
-            if (well || (luck < 0 && one_in(2))) return take(Opened{});
-            return take(OpenFailed{});
+            if (succeeds || (next_result < 0 && one_in(2))) return handle(StoreOpened{});
+            return handle(StoreOpenFailed{});
         }
-        if (!out) return;
-        const auto [batch, refs, kind] = *std::exchange(out, std::nullopt);
-        const int how = well ? 0 : luck >= 0 ? luck : static_cast<int>(chance() % 4);
-        const bool goes_in = how == 0 || (how == 1 && (luck >= 0 || one_in(2)));
-        std::vector<Ref> absent;
+        if (!outstanding) return;
+        const auto [batch, refs, kind] = *std::exchange(outstanding, std::nullopt);
+        const int result = succeeds ? 0 : next_result >= 0 ? next_result : static_cast<int>(rng() % 4);
+        const bool goes_in = result == 0 || (result == 1 && (next_result >= 0 || one_in(2)));
+        std::vector<EntryRef> absent;
         if (kind == 's') {
             for (const auto& ref : refs) {
                 if (!in_store.contains(ref)) absent.push_back(ref);
@@ -442,162 +516,164 @@
         } else if (goes_in && kind == 'r') {
             for (std::size_t i = 0; i < 4 && !in_spill.empty(); ++i) {
                 in_store.insert(*in_spill.begin());
-                if (how == 0) in_spill.erase(in_spill.begin());
+                if (result == 0) in_spill.erase(in_spill.begin());
             }
-            if (how == 0) spill_says();
+            if (result == 0) report_spill_level();
         }
-        if (how == 0) return take(Stored{batch, {}, absent});
-        if (how <= 2) return take(Unsure{batch});
-        take(Refused{batch, false});
+        if (result == 0) return handle(WriteStored{batch, {}, absent});
+        if (result <= 2) return handle(WriteUnknown{batch});
+        handle(WriteRejected{batch, false});
     }
-    void spill_acts(bool well, bool badly = false) {
+    void complete_spill_write(bool succeeds, bool must_fail = false) {
         if (!spilling) return;
         const auto [batch, refs] = *std::exchange(spilling, std::nullopt);
-        const bool good = !badly && (well || !one_in(4));
-        if (good) {
+        const bool ok = !must_fail && (succeeds || !one_in(4));
+        if (ok) {
             in_spill.insert(refs.begin(), refs.end());
-            spill_says();
+            report_spill_level();
         }
-        take(Spilled{batch, good});
+        handle(SpillWritten{batch, ok});
     }
     // One thing happens, of so many; false: it cannot happen now.
     static constexpr int kChoices = 10;
-    bool happen(int choice) {
+    bool apply(int choice) {
         switch (choice) {
             case 0:
             case 1: {
-                if (waiting.size() + open.size() >= 3) return false;
-                const auto number = ++last;
-                waiting[number] = now + 5'000;
-                take(Wanted{number, choice == 1, 120, now + 10'000});
+                if (awaiting_intent.size() + open_multigets.size() >= 3) return false;
+                const auto number = ++last_number;
+                awaiting_intent[number] = now + 5'000;
+                handle(IntentSubmitted{number, choice == 1, 120, now + 10'000});
                 break;
             }
             case 2: {
-                if (open.empty()) return false;
-                const auto number = *open.begin();
-                open.erase(open.begin());
+                if (open_multigets.empty()) return false;
+                const auto number = *open_multigets.begin();
+                open_multigets.erase(open_multigets.begin());
                 outcomes.insert(number);
-                answers[number] = now + 2'500;
-                take(Over{number, 400, 120, true, now + 10'000});
+                awaiting_outcome[number] = now + 2'500;
+                handle(OutcomeSubmitted{number, 400, 120, true, now + 10'000});
                 break;
             }
             case 3:
             case 4:
             case 5:
             case 6:
-                if (!opening && !out) return false;
+                if (!opening && !outstanding) return false;
                 if (opening && choice > 4) return false;
-                luck = choice - 3;
-                store_acts(choice == 3);
+                next_result = choice - 3;
+                complete_store_operation(choice == 3);
                 break;
             case 7:
             case 8:
                 if (!spilling) return false;
-                spill_acts(choice == 7, choice == 8);
+                complete_spill_write(choice == 7, choice == 8);
                 break;
-            default: now += 600; take(Tick{});
+            default: now += 600; handle(Tick{});
         }
-        for (const auto& [number, at] : waiting) HOLDS(at > now);
-        for (const auto& [number, at] : answers) HOLDS(at > now);
+        for (const auto& [number, deadline] : awaiting_intent) REQUIRE_HOLDS(deadline > now);
+        for (const auto& [number, deadline] : awaiting_outcome) REQUIRE_HOLDS(deadline > now);
         return true;
     }
-    void end_well() {
-        for (const auto number : open) outcomes.insert(number);
-        for (const auto number : std::exchange(open, {})) take(Over{number, 120, 120, false, now});
-        calm_down();
-        for (const auto number : std::exchange(open, {})) {  // those whose intent came through only now
+    void finish_and_check() {
+        for (const auto number : open_multigets) outcomes.insert(number);
+        for (const auto number : std::exchange(open_multigets, {}))
+            handle(OutcomeSubmitted{number, 120, 120, false, now});
+        run_until_idle();
+        for (const auto number :
+             std::exchange(open_multigets, {})) {  // those whose intent came through only now
             outcomes.insert(number);
-            take(Over{number, 120, 120, false, now});
+            handle(OutcomeSubmitted{number, 120, 120, false, now});
         }
-        calm_down();
-        HOLDS(waiting.empty());
-        HOLDS(answers.empty());
-        HOLDS(in_spill.empty());
-        HOLDS(recorder.in_memory() == 0U);
-        HOLDS(recorder.impossible() == 0U);
-        for (const auto number : outcomes) HOLDS(in_store.contains(Ref{Half::kOutcome, number}));
+        run_until_idle();
+        REQUIRE_HOLDS(awaiting_intent.empty());
+        REQUIRE_HOLDS(awaiting_outcome.empty());
+        REQUIRE_HOLDS(in_spill.empty());
+        REQUIRE_HOLDS(recorder.pending_entries() == 0U);
+        REQUIRE_HOLDS(recorder.unexpected_events() == 0U);
+        for (const auto number : outcomes) REQUIRE_HOLDS(in_store.contains(EntryRef{Kind::kOutcome, number}));
     }
-    void step() {
-        now += static_cast<Time>(chance() % 300);
-        switch (chance() % 7) {
+    void random_step() {
+        now += static_cast<Time>(rng() % 300);
+        switch (rng() % 7) {
             case 0:
             case 1: {
-                const auto number = ++last;
-                waiting[number] = now + 5'000;
-                take(Wanted{number, one_in(3), 120, now + 10'000});
+                const auto number = ++last_number;
+                awaiting_intent[number] = now + 5'000;
+                handle(IntentSubmitted{number, one_in(3), 120, now + 10'000});
                 break;
             }
             case 2:
-                if (!open.empty()) {
-                    const auto number = *open.begin();
-                    open.erase(open.begin());
+                if (!open_multigets.empty()) {
+                    const auto number = *open_multigets.begin();
+                    open_multigets.erase(open_multigets.begin());
                     outcomes.insert(number);
                     const bool answer = one_in(2);
-                    if (answer) answers[number] = now + 2'500;
-                    take(Over{number, 400, 120, answer, now + 10'000});
+                    if (answer) awaiting_outcome[number] = now + 2'500;
+                    handle(OutcomeSubmitted{number, 400, 120, answer, now + 10'000});
                 }
                 break;
-            case 3: store_acts(false); break;
-            case 4: spill_acts(false); break;
-            case 5: store_acts(true); break;
+            case 3: complete_store_operation(false); break;
+            case 4: complete_spill_write(false); break;
+            case 5: complete_store_operation(true); break;
             default: break;
         }
-        take(Tick{});
-        for (const auto& [number, at] : waiting) HOLDS(at > now);
-        for (const auto& [number, at] : answers) HOLDS(at > now);
+        handle(Tick{});
+        for (const auto& [number, deadline] : awaiting_intent) REQUIRE_HOLDS(deadline > now);
+        for (const auto& [number, deadline] : awaiting_outcome) REQUIRE_HOLDS(deadline > now);
     }
-    void calm_down(int steps = 300) {
-        luck = -1;
+    void run_until_idle(int steps = 300) {
+        next_result = -1;
         for (int i = 0; i < steps; ++i) {
             now += 100;
-            store_acts(true);
-            spill_acts(true);
-            take(Tick{});
+            complete_store_operation(true);
+            complete_spill_write(true);
+            handle(Tick{});
         }
     }
 
     Recorder recorder;
-    std::mt19937 chance;
+    std::mt19937 rng;
     Time now = 0;
-    Time wake = 0;
-    int luck =
+    Time next_wake = 0;
+    int next_result =
         -1;  // what the store does next: 1 and 2 end unsure, with it in or not, 3 is a refusal; -1: by chance
     bool opening = false;
-    struct Out {
-        Batch batch;
-        std::vector<Ref> refs;
+    struct Outstanding {
+        BatchId batch;
+        std::vector<EntryRef> refs;
         char kind;
     };
-    std::optional<Out> out;
-    std::optional<std::pair<Batch, std::vector<Ref>>> spilling;
-    std::map<Number, Time> waiting, answers;
-    std::set<Number> open, outcomes;
-    std::vector<Number> refusals;
-    std::set<Ref> in_store, in_spill;
-    Number last = 0;
+    std::optional<Outstanding> outstanding;
+    std::optional<std::pair<BatchId, std::vector<EntryRef>>> spilling;
+    std::map<RecordNumber, Time> awaiting_intent, awaiting_outcome;
+    std::set<RecordNumber> open_multigets, outcomes;
+    std::vector<RecordNumber> refusals;
+    std::set<EntryRef> in_store, in_spill;
+    RecordNumber last_number = 0;
 };
 
 TEST_CASE(
     "whatever store and spill do, who proceeds has an intent, all are told in time, no outcome is lost") {
     CHECK(rc::check([] {
-        World world(*rc::gen::arbitrary<std::uint64_t>());
-        if (world.one_in(2)) world.recorder.is_named();
-        world.act(world.recorder.start(0));
-        for (int i = 0; i < 400; ++i) world.step();
-        world.end_well();
+        Simulation simulation(*rc::gen::arbitrary<std::uint64_t>());
+        if (simulation.one_in(2)) simulation.recorder.set_incarnation_known();
+        simulation.act(simulation.recorder.start(0));
+        for (int i = 0; i < 400; ++i) simulation.random_step();
+        simulation.finish_and_check();
     }));
 }
 
 // Every order of what may happen to up to three multigets, seven steps deep.
-void explore(const World& world, int depth, std::size_t& seen) {
-    for (int choice = 0; choice < World::kChoices; ++choice) {
-        World next(world);
-        if (!next.happen(choice)) continue;
+void explore(const Simulation& simulation, int depth, std::size_t& seen) {
+    for (int choice = 0; choice < Simulation::kChoices; ++choice) {
+        Simulation next(simulation);
+        if (!next.apply(choice)) continue;
         if (depth > 1) {
             explore(next, depth - 1, seen);
             continue;
         }
-        next.end_well();
+        next.finish_and_check();
         ++seen;
     }
 }
@@ -606,11 +682,11 @@
     "all orders of wants, ends, writes that go well, unsure, refused, spilled or not, and time: it holds") {
     std::size_t seen = 0;
     for (const bool up : {true, false}) {
-        World world(1);
-        if (up) world.recorder.is_named();
-        world.act(world.recorder.start(0));
-        if (up) world.happen(3);
-        explore(world, 6, seen);
+        Simulation simulation(1);
+        if (up) simulation.recorder.set_incarnation_known();
+        simulation.act(simulation.recorder.start(0));
+        if (up) simulation.apply(3);
+        explore(simulation, 6, seen);
     }
     CHECK(seen > 10'000);
 }
--- a/tests/store/spill_test.cpp
+++ b/tests/store/spill_test.cpp
@@ -18,16 +18,16 @@
 using namespace pinedoor::test;
 
 Entry intent(std::uint64_t number, const std::string& key = "") {
-    Intent made;
-    made.id = {"n", 1, number};
-    made.op_type = "once";
-    made.tenant = "acme";
-    made.client = "t" + std::to_string(number);
-    made.key = key;
-    made.fingerprint = key.empty() ? "" : "f";
-    made.asked = 10;
-    made.parts = 1;
-    return made;
+    Intent intent;
+    intent.id = {"n", 1, number};
+    intent.op_type = "once";
+    intent.tenant = "acme";
+    intent.request_name = "t" + std::to_string(number);
+    intent.key = key;
+    intent.fingerprint = key.empty() ? "" : "f";
+    intent.requested_at = 10;
+    intent.part_count = 1;
+    return intent;
 }
 Entry outcome(std::uint64_t number, Fate fate = Fate::kAnswered, const std::string& key = "") {
     Outcome made;
@@ -115,7 +115,7 @@
 }
 
 TEST_CASE("files that fail at the n-th call, for every n: what was called durable is found after the crash") {
-    for (const auto fault : {Fault::kFails, Fault::kShort, Fault::kTorn}) {
+    for (const auto fault : {Fault::kNothingWritten, Fault::kHalfWritten, Fault::kHalfDurable}) {
         for (int n = 1; n <= 60; ++n) {
             MemoryFiles files;
             std::set<std::uint64_t> durable, done;
@@ -160,13 +160,13 @@
         spill.append(payloads(4, 3));
     }
     auto& bytes = files.bytes("f/spill-00000001.journal");
-    const auto one = frame(encode(intent(1))).size();
+    const auto one = frame_payload(encode(intent(1))).size();
     SUBCASE("torn") {
         bytes.resize(bytes.size() - 5);
         Spill spill(files, "f", 10'000);
         const auto found = spill.recover();
         CHECK(found.torn_bytes == one - 5);
-        CHECK(found.corrupt_places == 0);
+        CHECK(found.corrupt_regions == 0);
         CHECK(numbers(spill.next(9)) == std::vector<std::uint64_t>{1, 2, 3, 4, 5});
         CHECK(spill.append(payloads(7, 1)));
         CHECK(spill.entries() == 6);
@@ -175,16 +175,16 @@
         bytes[16 + one + 20] ^= 1;  // in the second entry
         Spill spill(files, "f", 10'000);
         const auto found = spill.recover();
-        CHECK(found.corrupt_places == 1);
+        CHECK(found.corrupt_regions == 1);
         CHECK(found.corrupt_bytes == one);
         CHECK(numbers(spill.next(9)) == std::vector<std::uint64_t>{1, 3, 4, 5, 6});
         spill.done(5);
-        CHECK(files.names() == std::vector<std::string>{"f/spill-00000001.journal.corrupt"});
+        CHECK(files.paths() == std::vector<std::string>{"f/spill-00000001.journal.corrupt"});
     }
     SUBCASE("another version's head") {
         bytes[7] = 2;
         Spill spill(files, "f", 10'000);
-        CHECK(spill.recover().corrupt_places == 1);
+        CHECK(spill.recover().corrupt_regions == 1);
         CHECK(spill.entries() == 6);
     }
 }
@@ -215,7 +215,7 @@
                         const auto claims =
                             write_entries(db, {intent(i, "same key"), intent(i + 100)}, 1'000);
                         stored.insert(i + 100);
-                        if (claims[0].kind == Claim::Kind::kMine) ++mine;
+                        if (claims[0].kind == Claim::Kind::kGranted) ++mine;
                         write_entries(db, {outcome(i + 100)}, 1'000);
                         stored.insert(i + 200);
                     } catch (const SqlError&) {
@@ -254,7 +254,7 @@
         write_entries(db, {intent(1, key)}, 1'000);
         write_entries(db, {outcome(1, Fate::kRefused, key)}, 1'000);
         const auto claims = write_entries(db, {intent(2, key)}, 1'000);
-        RC_ASSERT(claims.at(0).kind == Claim::Kind::kMine);
+        RC_ASSERT(claims.at(0).kind == Claim::Kind::kGranted);
         const auto rows = db.run("SELECT fate, answer, number FROM records ORDER BY number");
         RC_ASSERT(rows.size() == 2U);
         RC_ASSERT(number_of(rows.at(0).at(0)) == 3);
--- a/tests/tool_test.cpp
+++ b/tests/tool_test.cpp
@@ -91,7 +91,7 @@
     store::Intent intent;
     intent.id = {"n", 1, 1};
     intent.op_type = "once";
-    intent.asked = 17'600'000'000'000;
+    intent.requested_at = 17'600'000'000'000;
     {
         store::SqliteDb db(folder.path + "/r.db");
         store::write_entries(db, {intent}, 1'000);
@@ -121,16 +121,16 @@
         store::Intent intent;
         intent.id = {"n", 1, i};
         intent.op_type = "once";
-        intent.client = "t" + std::to_string(i);
+        intent.request_name = "t" + std::to_string(i);
         intent.tenant = i == 1 ? "a,\"b\"" : "acme";
         intent.key = i % 2 == 0 ? "k" + std::to_string(i) : "";
-        intent.asked = now - (i <= 500 ? 40 : 1) * day + static_cast<store::Time>(i);
+        intent.requested_at = now - (i <= 500 ? 40 : 1) * day + static_cast<store::Time>(i);
         store::Outcome outcome;
         outcome.id = intent.id;
         outcome.tenant = intent.tenant;
         outcome.key = intent.key;
         outcome.fate = store::Fate::kAnswered;
-        outcome.ended = intent.asked + 10;
+        outcome.ended = intent.requested_at + 10;
         outcome.answer = "{}";
         std::vector<store::Entry> entries{intent};
         if (i != 7) entries.emplace_back(outcome);
@@ -176,7 +176,7 @@
         intent.op_type = "once";
         intent.key = key;
         intent.fingerprint = "f";
-        intent.asked = 1'000 + static_cast<store::Time>(number);
+        intent.requested_at = 1'000 + static_cast<store::Time>(number);
         std::vector<store::Entry> entries{intent};
         store::Outcome outcome;
         outcome.id = intent.id;
@@ -220,7 +220,7 @@
     store::SqliteDb db(folder.path + "/r.db");
     store::Intent intent;
     intent.id = {"n", 1, 1};
-    intent.asked = store::number_of(db.run("SELECT pinedoor_now()")[0][0]);
+    intent.requested_at = store::number_of(db.run("SELECT pinedoor_now()")[0][0]);
     store::write_entries(db, {intent}, 1'000);
     usleep(500'000);
     store::Outcome outcome;
