--- a/src/store/asked_again.cpp
+++ b/src/store/asked_again.cpp
@@ -32,7 +32,7 @@
         case Fate::kAnswered:
         case Fate::kAnsweredInPart:
             return holder.answer.empty() ? RepeatVerdict::kAnswerNotKept : RepeatVerdict::kAnswer;
-        case Fate::kRefused:  // of a part that may have run: a key that is free is not held
+        case Fate::kRefused:  // some part may have run; otherwise the key would be free
         case Fate::kFailed: break;
     }
     return RepeatVerdict::kFailed;
@@ -51,7 +51,7 @@
     for (const auto& name : named) {
         const auto found = std::find(op_types.begin(), op_types.end(), name);
         if (found == op_types.end())
-            throw std::invalid_argument("store.op_types: '" + name + "' is no op type here");
+            throw std::invalid_argument("store.op_types: '" + name + "' is not a configured op type");
         recorded[static_cast<std::size_t>(found - op_types.begin())] = true;
     }
     return recorded;
--- a/src/store/backend.hpp
+++ b/src/store/backend.hpp
@@ -1,5 +1,5 @@
-// A store as the front node uses it: never blocking, one thing at a time, each answered exactly once from the
-// scheduler's loop.
+// Interface to the database of the store of record, as the front node uses it. Calls do not block; every
+// request is answered exactly once, from the scheduler's loop.
 #pragma once
 
 #include <functional>
@@ -17,29 +17,31 @@
 public:
     struct Enrolled {
         bool good = false;
-        bool schema_error = false;  // it fails by its schema: a person must act
+        bool schema_error = false;  // the schema does not fit: needs an operator
         std::uint64_t incarnation = 0;
         std::string why;
     };
     enum class End { kStored, kRejected, kEntriesRejected, kUnknown };
     struct Written {
         End end = End::kRejected;
-        std::vector<Claim> claims;  // kStored: one for each entry
-        std::vector<bool> present;  // after settle()
+        std::vector<Claim> claims;  // if kStored: one for each entry
+        std::vector<bool> present;  // after reconcile()
         std::string error;
     };
 
     virtual ~Backend() = default;
-    // Connects, checks the schema (a new SQLite file gets one) and enrolls; what was open before is closed.
+    // Connects, checks the schema (a new SQLite file is initialized) and enrolls this process. Closes a
+    // connection that is open.
     virtual void open(Registration registration, std::function<void(Enrolled)> done) = 0;
     virtual void write(Entries entries, std::function<void(Written)> done) = 0;
     virtual void reconcile(Entries entries, std::function<void(Written)> done) = 0;
-    // Says that this process is alive and deletes what is old (0: nothing); its failure is found by others.
+    // Renews this process's lease and deletes records older than `delete_before` (0: none). Does not report
+    // failures; the next write detects them.
     virtual void maintain(Time delete_before, std::size_t max_deletes,
                           std::function<void(std::size_t deleted)> done) = 0;
-    // Says that this process ends in order; done() is called within the time, whatever comes of it.
+    // Marks this process as ended. Calls done() within the timeout in any case.
     virtual void deregister(Time timeout, std::function<void()> done) = 0;
-    // Told when an open store goes away while nothing is asked of it.
+    // Sets the callback for a connection that is lost while no request is outstanding.
     virtual void on_lost(std::function<void()> callback) = 0;
 };
 
--- a/src/store/catalog.cpp
+++ b/src/store/catalog.cpp
@@ -135,7 +135,7 @@
         "INSERT INTO history(node, incarnation, number, at, who, why, was, became) "
         "VALUES ($1, $2, $3, pinedoor_now(), $5, $6, 0, $4)",
         values);
-    // ended stays null: so it is told from an outcome that the node recorded.
+    // ended stays null, which marks the outcome as set by an operator and not recorded by the node.
     db.run(
         "UPDATE records SET fate = $4, note = $5 WHERE node = $1 AND incarnation = $2 AND number = $3 AND "
         "fate IS NULL",
@@ -203,8 +203,8 @@
 
 namespace {
 
-// Calls `each` for every row of a table of the copy, in the order of its first three columns, `step` rows in
-// one transaction of the store.
+// Calls `on_row` for every row of a table of the copy, ordered by its first three columns, with `batch_size`
+// rows in each transaction of the store.
 template <class RowFunction>
 void copy_rows(SqlDb& db, SqlDb& copy, const std::string& columns, const std::string& table,
                std::size_t batch_size, RowFunction on_row) {
@@ -255,8 +255,8 @@
                 ++result.outcomes;
             }
         });
-    // A key goes with its record: as the copy has it where nobody holds it, closed where the record is
-    // closed.
+    // A key is restored together with its record: added as the copy has it if nobody holds it, and closed if
+    // the record is closed.
     copy_rows(
         db, copy, "node, incarnation, number, tenant, ikey, fingerprint, asked, state", "claims", batch_size,
         [&](const Row& row) {
--- a/src/store/catalog.hpp
+++ b/src/store/catalog.hpp
@@ -1,4 +1,5 @@
-// What a person asks the store: which records there are, what became of one, and what is settled by hand.
+// Operator access to the store of record: lists and shows records, resolves records in doubt, checks the
+// store and restores it from a copy.
 #pragma once
 
 #include <optional>
@@ -9,7 +10,7 @@
 
 namespace pinedoor::store {
 
-// A record's state as a person reads it: a fate's name, or one of the two.
+// States of a record without an outcome; a record with one has the outcome's name as its state.
 inline constexpr const char* kStateInDoubt = "in-doubt";
 inline constexpr const char* kStateInProgress = "under-way";
 
@@ -17,10 +18,10 @@
     RecordId id;
     std::string state;
     std::string op_type, tenant, request_name, key;
-    Time requested_at = 0;  // 0: its intent is not in yet
+    Time requested_at = 0;  // 0: the intent is not stored yet
     Time deadline = 0;
     std::int64_t part_count = 0;
-    Time ended_at = 0;  // 0: without an outcome, or settled by hand
+    Time ended_at = 0;  // 0: no outcome yet, or it was set by an operator
     std::string part_outcomes, note, answer;
 };
 
@@ -34,7 +35,7 @@
     Time since = 0;
     Time until = INT64_MAX;
     std::size_t max_records = 100;
-    // The page after this one, in the order of the list.
+    // Start of the next page: the last record of the previous one.
     Time after_requested_at = -1;
     RecordId after_id;
 };
@@ -42,7 +43,8 @@
 std::string format_id(const RecordId& id);  // NODE/INCARNATION/NUMBER
 std::optional<RecordId> parse_id(const std::string& text);
 bool is_record_state(const std::string& text);
-std::vector<Record> list_records(SqlDb& db, const Filter& filter, Time lease);  // by time asked, oldest first
+// Ordered by request time, oldest first.
+std::vector<Record> list_records(SqlDb& db, const Filter& filter, Time lease);
 
 struct Resolution {
     Time resolved_at = 0;
@@ -50,7 +52,8 @@
 };
 std::vector<Resolution> resolution_history(SqlDb& db, const RecordId& id);
 enum class ResolveResult { kResolved, kNotFound, kNotInDoubt };
-// Settles a record in doubt by hand; kept in the history. What the node itself records later goes before it.
+// Sets the outcome of a record in doubt and adds it to the history. An outcome that the node itself records
+// later replaces it.
 ResolveResult resolve(SqlDb& db, const RecordId& id, Fate outcome_kind, const std::string& resolved_by,
                       const std::string& reason, Time lease);
 
@@ -63,22 +66,21 @@
         Time started_at = 0, last_seen = 0, ended_at = 0;
         bool alive = false;
     };
-    std::vector<Process> processes;  // the newest of each node
+    std::vector<Process> processes;  // the latest of each node
 };
 Summary summary(SqlDb& db, Time lease);
 
-// What cannot be, in words; nothing if all is well.
+// Returns a description of each kind of inconsistency found; empty if there is none.
 std::vector<std::string> find_inconsistencies(SqlDb& db);
 
-// What a copy holds and the store does not is added: whole records, outcomes of records that have none, keys
-// that nobody holds, and what persons settled. Nothing that is there is overwritten, so nodes may go on
-// writing, and it may be done again after a break. `step` rows in one transaction. The copy is of the present
-// schema.
+// Adds what a copy has and the store lacks: whole records, missing outcomes, keys that nobody holds, and the
+// history. Nothing is overwritten, so nodes may keep writing, and an interrupted restore can be repeated.
+// Uses `batch_size` rows per transaction. The copy must have the current schema.
 struct RestoreResult {
-    std::size_t records = 0;   // that were not there
-    std::size_t outcomes = 0;  // of records that had none
+    std::size_t records = 0;   // records added
+    std::size_t outcomes = 0;  // outcomes added to existing records
     std::size_t keys = 0;
-    std::size_t conflicting_keys = 0;  // by another record by now: left as they are
+    std::size_t conflicting_keys = 0;  // held by another record now, left unchanged
 };
 RestoreResult restore_copy(SqlDb& db, SqlDb& copy, std::size_t batch_size);
 
--- a/src/store/crash_point.hpp
+++ b/src/store/crash_point.hpp
@@ -1,5 +1,5 @@
-// Named places where a test lets the process die by SIGKILL: PINEDOOR_CRASH_AT=NAME or NAME:N for the N-th
-// time that it is come by. Only in builds for tests; elsewhere it is nothing.
+// Named points at which a test can make the process kill itself with SIGKILL. PINEDOOR_CRASH_AT=NAME kills at
+// the first pass, NAME:N at the N-th. Compiled in for test builds only.
 #pragma once
 
 #include <string_view>
--- a/src/store/decide.cpp
+++ b/src/store/decide.cpp
@@ -60,7 +60,7 @@
     return condition_met;
 }
 
-// --- What comes in ---
+// --- Events ---
 
 void Recorder::on(const IntentSubmitted& submitted) {
     const EntryRef ref{Kind::kIntent, submitted.number};
@@ -107,7 +107,8 @@
     incarnation_known_ = true;
     set_condition(Condition::kUp);
     if (!spill_failing_) return;
-    // The spill cannot be written: what gathered for it goes to the store that is back.
+    // The spill cannot be written, but the store is available again: it takes the entries queued for the
+    // spill.
     for (const auto& ref : std::exchange(spill_queue_, {})) {
         const auto entry = entries_.find(ref);
         if (entry == entries_.end() || entry->second.spill_state != SpillState::kQueued) continue;
@@ -149,7 +150,7 @@
     std::sort(absent.begin(), absent.end());
     for (auto each = outstanding.refs.rbegin(); each != outstanding.refs.rend(); ++each) {
         const auto entry = entries_.find(*each);
-        if (entry == entries_.end()) continue;  // durable by way of the spill, or turned away
+        if (entry == entries_.end()) continue;  // durable through the spill, or rejected meanwhile
         if (contains(absent, *each)) {
             entry->second.store_state = StoreState::kNone;
             if (entry->second.spill_state == SpillState::kNone) queue_for_store(entry, true);
@@ -160,7 +161,8 @@
         if (entry == entries_.end() || contains(absent, ref)) continue;
         if (contains(held_elsewhere, ref)) {
             entry->second.store_state = StoreState::kNone;
-            entry->second.write_attempted = false;  // somebody else's: nothing of this one is in the store
+            // Another record holds the key, so this intent was not stored.
+            entry->second.write_attempted = false;
             if (entry->second.awaited)
                 reject(ref.number, RejectReason::kKeyHeld);
             else
@@ -211,7 +213,8 @@
         if (!alone) single_writes_left_ = outstanding->refs.size();
         return;
     }
-    ++consecutive_failures_;  // it opens well and takes nothing: no second try at once
+    // The store opens but cannot write; do not try again at once.
+    ++consecutive_failures_;
     mark_down();
     reject_store_only();
 }
@@ -224,7 +227,7 @@
         if (entry == entries_.end() || outstanding->kind != OutstandingWrite::Kind::kWrite) continue;
         if (ref.kind == Kind::kIntent && !entry->second.awaited &&
             entry->second.spill_state == SpillState::kNone) {
-            discard(entry);  // its refusal is on the way, which stands whether this one comes in or not
+            discard(entry);  // a refusal follows, which holds whether or not this intent was stored
             continue;
         }
         entry->second.store_state = StoreState::kUnreconciled;
@@ -252,7 +255,7 @@
         spill_pending_bytes_ -= entry->second.bytes;
         if (entry->second.store_state != StoreState::kNone) continue;
         if (ref.kind == Kind::kIntent && !entry->second.awaited)
-            discard(entry);  // turned away meanwhile, with a refusal of its own
+            discard(entry);  // rejected meanwhile; a refusal follows
         else
             route(entry);
     }
@@ -263,9 +266,10 @@
     spill_bytes_ = level.bytes;
 }
 
-// --- Where an entry goes ---
+// --- Routing ---
 
-// Nearly caught up counts: what comes now waits for the last replay instead of keeping it going for ever.
+// Also true when only a few spilled entries are left: new entries then wait for the last replay. If they were
+// spilled too, the replay would never end.
 bool Recorder::writes_directly() const {
     return condition_ == Condition::kUp && unreconciled_.empty() &&
            spill_entries_ + spill_queue_.size() + (spill_write_ ? spill_write_->second.size() : 0) <=
@@ -285,7 +289,7 @@
     const bool fits = is_intent ? needed <= spill_free_bytes()
                                 : spill_bytes_ + spill_pending_bytes_ + needed <= config_.spill_bytes;
     if (fits && spill_usable()) return queue_for_spill(entry);
-    // With the spill full or failing the store alone is left, if it takes anything.
+    // With the spill full or failing, the store is the only destination left.
     if (condition_ == Condition::kUp || !is_intent) return queue_for_store(entry);
     reject(ref.number, fits ? RejectReason::kStoreDown : RejectReason::kNoCapacity);
 }
@@ -305,7 +309,7 @@
     spill_queue_.push_back(entry->first);
 }
 
-// The store does not answer in time: what is plain and waits for it goes to the spill as well.
+// The store is slow or down: also spills the entries without a key that are queued for it or being written.
 void Recorder::spill_waiting() {
     if (!spill_usable()) return;
     std::vector<EntryRef> refs(store_queue_.begin(), store_queue_.end());
@@ -322,7 +326,7 @@
     }
 }
 
-// --- What becomes of those who wait ---
+// --- Completion ---
 
 void Recorder::on_durable(EntryRef ref) {
     const auto entry = entries_.find(ref);
@@ -355,7 +359,7 @@
     if (!write_in_progress) discard(entry);
 }
 
-// When the store is tried next, or a slow one may have caught up.
+// The time until the next attempt to open, or until a slow store may have recovered.
 Time Recorder::retry_advice() const {
     return std::max(config_.reopen_from,
                     condition_ == Condition::kDown ? reopen_at_ - now_ : config_.slow_after);
@@ -383,7 +387,7 @@
     }
 }
 
-// --- The store's condition ---
+// --- Condition of the store ---
 
 void Recorder::set_condition(Condition condition) {
     if (condition_ == condition) return;
@@ -427,7 +431,8 @@
         actions_.emplace_back(ReconcileBatch{
             start_store_work(OutstandingWrite::Kind::kReconcile, unreconciled_), unreconciled_});
     } else if (spill_entries_ > 0) {
-        // First of all: an outcome in the spill may be that of a key which is asked for now.
+        // Replay comes before new writes: the spill may hold the outcome of a key that a queued intent
+        // claims.
         actions_.emplace_back(ReplaySpill{start_store_work(OutstandingWrite::Kind::kReplay, {}),
                                           single_replays_left_ > 0 ? 1 : config_.most_batch});
     } else if (auto refs = next_store_batch(); !refs.empty()) {
@@ -441,8 +446,8 @@
 }
 
 std::vector<EntryRef> Recorder::next_store_batch() {
-    while (
-        !store_queue_.empty()) {  // what was turned away or went to the spill leaves its place in the queue
+    // Entries that were rejected or spilled are still queued; skip them.
+    while (!store_queue_.empty()) {
         const auto entry = entries_.find(store_queue_.front());
         if (entry != entries_.end() && entry->second.store_state == StoreState::kQueued) break;
         store_queue_.pop_front();
@@ -457,8 +462,7 @@
         store_queue_.pop_front();
         const auto entry = entries_.find(ref);
         if (entry == entries_.end() || entry->second.store_state != StoreState::kQueued) continue;
-        entry->second.store_state =
-            StoreState::kInWrite;  // so that a second mention in the queue is passed over
+        entry->second.store_state = StoreState::kInWrite;  // a second occurrence in the queue is skipped
         refs.push_back(ref);
     }
     batch_started_at_ = now_;
--- a/src/store/decide.hpp
+++ b/src/store/decide.hpp
@@ -1,24 +1,27 @@
-// Every decision about the store of record: which entry is written where and when, when a write is settled,
-// when the store counts as slow or down, what is spilled, who is turned away and how long an answer waits. It
-// does no I/O and knows no clock, thread or log: it is handed a time and events, and returns actions.
+// Decision logic of the store of record: which entry is written where and when, how a write with an unknown
+// result is resolved, when the store counts as slow or down, what is spilled, which multigets are rejected
+// and how long an answer waits for its record. The module does no I/O and reads no clock: it receives the
+// current time and events, and returns actions.
 //
-// The store's condition, and what is done with an entry that comes then:
+// State of the store, and the destination of an entry that arrives in that state:
 //
-//   condition | how it comes about            | intent without key | intent with key    | outcome
+//   condition | entered when                  | intent without key | intent with key    | outcome
 //   ----------+-------------------------------+--------------------+--------------------+---------
 //   opening   | at the start                  | spill              | waits              | spill
 //   up        | opened, or a slow write ended | store              | store              | store
-//   slow      | a write is out for slow_after | spill              | waits              | spill
+//   slow      | a write exceeds slow_after    | spill              | waits              | spill
 //   down      | a write or opening failed     | spill              | waits              | spill
 //   up, while the spill holds entries         | spill              | waits              | spill
 //
-// An entry that waits does so within its share of the client's time; then its multiget is turned away, before
-// any send. What waits for a store that failed to open again is turned away at once. A key is never judged
-// without the store: only the store knows who else holds it.
+// A waiting intent waits for at most its share of the client's remaining time; then its multiget is rejected
+// before any send. If reopening the store fails, the intents that only the store can take are rejected at
+// once. A key is never judged without the store, because only the store knows whether another multiget holds
+// it.
 //
-// One write is out to the store at a time and one to the spill, with all that gathered meanwhile: groups grow
-// as the store gets slower. A write whose end is not known is settled by asking for its entries by name
-// before any other write; what is not there is written again, under the same name.
+// At most one write to the store and one to the spill are outstanding. Entries that arrive meanwhile form the
+// next batch, so batches grow as the store gets slower. A write whose result is unknown is reconciled before
+// any other write: the store is asked which of its entries it has, and absent ones are written again under
+// the same id.
 #pragma once
 
 #include <cstddef>
@@ -37,21 +40,28 @@
 
 namespace pinedoor::store {
 
+// Configuration of the writes to the store and the spill.
 struct WriteTerms {
-    std::size_t most_batch = 512;     // entries of one write
-    std::size_t most_waiting = 8192;  // intents in memory that are not durable; further ones are turned away
-    Time gather = 0;                  // a write is held back for so long after its first entry
-    Time slow_after = 500;            // a write that is out for longer makes the store count as slow
-    double intent_share = 0.5;        // of the time that a client has left, for its intent to become durable
-    double answer_share = 0.25;  // likewise for the outcome of an answer, before the answer goes out anyway
-    Time reopen_from = 500;      // between two tries to open, doubling up to reopen_to, each times 0.5 to 1
+    std::size_t most_batch = 512;  // max. entries per write
+    // max. entries in memory that are not durable yet; further intents are rejected
+    std::size_t most_waiting = 8192;
+    Time gather = 0;        // delay of a write after its first entry, 0.1 ms
+    Time slow_after = 500;  // a write outstanding for longer makes the store slow, 0.1 ms
+    // Share of the client's remaining time that an intent may take to become durable.
+    double intent_share = 0.5;
+    // Share of the client's remaining time that an answer waits for its outcome to become durable.
+    double answer_share = 0.25;
+    // Delay between attempts to open, in 0.1 ms: doubles from reopen_from up to reopen_to, times a random
+    // factor of 0.5 to 1.
+    Time reopen_from = 500;
     Time reopen_to = 50'000;
-    std::size_t spill_bytes = std::size_t{64}
-                              << 20U;  // on disk, with room kept for the outcomes of what is open
-    std::size_t outcome_room = 1024;   // kept in the spill for each open multiget's outcome
+    // Max. size of the spill on disk, including the space reserved for outcomes of open multigets.
+    std::size_t spill_bytes = std::size_t{64} << 20U;
+    std::size_t outcome_room = 1024;  // bytes reserved in the spill for each open multiget's outcome
 };
 
-using RecordNumber = std::uint64_t;  // a record's, within the incarnation
+using RecordNumber = std::uint64_t;  // of a record, within the incarnation
+// Names an entry within the incarnation.
 struct EntryRef {
     enum class Kind : std::uint8_t { kIntent, kOutcome } kind = Kind::kIntent;
     RecordNumber number = 0;
@@ -59,14 +69,17 @@
 };
 using BatchId = std::uint64_t;
 
-// What happens.
-struct IntentSubmitted {  // a multiget must not be sent before its intent is durable
+// --- Events, the input of the module ---
+
+// A recorded multiget has arrived; it must not be sent before its intent is durable.
+struct IntentSubmitted {
     RecordNumber number = 0;
     bool keyed = false;
     std::size_t bytes = 0;
     Time deadline = 0;
 };
-struct OutcomeSubmitted {  // its outcome is known; an answer is held by the carrier until Release
+// A multiget has ended. If it was answered, the caller holds the answer back until ReleaseAnswer.
+struct OutcomeSubmitted {
     RecordNumber number = 0;
     std::size_t bytes = 0;
     std::size_t bytes_without_answer = 0;
@@ -75,24 +88,29 @@
 };
 struct StoreOpened {};
 struct StoreOpenFailed {};
-struct ConnectionLost {};  // the connection to the store has ended, with no write out
-struct WriteStored {       // a write or a settlement ended well; the refs whose key somebody else holds
+// The connection to the store was lost while no write was outstanding.
+struct ConnectionLost {};
+// A write or a reconciliation succeeded. `held_elsewhere` lists the intents whose key another record holds.
+struct WriteStored {
     BatchId batch = 0;
     std::vector<EntryRef> held_elsewhere;
-    std::vector<EntryRef> absent;  // after Settle: what the store does not have
+    std::vector<EntryRef> absent;  // after ReconcileBatch: entries that the store does not have
 };
-struct WriteRejected {  // surely nothing of it is in the store
+// A write failed and certainly nothing of it was stored.
+struct WriteRejected {
     BatchId batch = 0;
-    bool entries_rejected = false;  // the store is well and will not have them
+    bool entries_rejected = false;  // the store works but rejects these entries
 };
-struct WriteUnknown {  // it may be in, or may come in yet
+// A write has an unknown result: its entries may be stored, or may still get stored.
+struct WriteUnknown {
     BatchId batch = 0;
 };
 struct SpillWritten {
     BatchId batch = 0;
     bool ok = true;
 };
-struct SpillLevel {  // after each change: what is there and not yet in the store
+// Reported after each change: entries in the spill that are not in the store yet.
+struct SpillLevel {
     std::size_t entries = 0;
     std::size_t bytes = 0;
 };
@@ -100,67 +118,78 @@
 using Event = std::variant<IntentSubmitted, OutcomeSubmitted, StoreOpened, StoreOpenFailed, ConnectionLost,
                            WriteStored, WriteRejected, WriteUnknown, SpillWritten, SpillLevel, Tick>;
 
-// What is done about it.
+// --- Actions, the output of the module ---
+
 struct OpenStore {};
-struct WriteBatch {  // to the store
+// Write these entries to the store.
+struct WriteBatch {
     BatchId batch = 0;
     std::vector<EntryRef> refs;
 };
-struct ReconcileBatch {  // ask the store for them by name
+// Ask the store which of these entries it has.
+struct ReconcileBatch {
     BatchId batch = 0;
     std::vector<EntryRef> refs;
 };
-struct ReplaySpill {  // write the spill's next entries to the store; ends like a Write
+// Write the oldest entries of the spill to the store; ends with the same events as WriteBatch.
+struct ReplaySpill {
     BatchId batch = 0;
     std::size_t max_entries = 0;
 };
-struct SetAsideSpilled {
-};                   // the store will not have the spill's next entry: it is set aside, kept for a person
-struct WriteSpill {  // append to the spill and make it durable
+// The store rejects the oldest entry of the spill: move it to the set-aside file for an operator.
+struct SetAsideSpilled {};
+// Append to the spill and make it durable.
+struct WriteSpill {
     BatchId batch = 0;
     std::vector<EntryRef> refs;
 };
-struct Proceed {  // the intent is durable: the multiget may be sent
+// The intent is durable: the multiget may be sent.
+struct Proceed {
     RecordNumber number = 0;
 };
 enum class RejectReason : std::uint8_t { kStoreDown, kStoreSlow, kNoCapacity, kKeyHeld, kEntryRejected };
 std::string_view name_of(RejectReason reason);
-struct RejectMultiget {  // before any send; told at once
+// Reject a multiget before any send.
+struct RejectMultiget {
     RecordNumber number = 0;
     RejectReason reason = RejectReason::kStoreDown;
-    bool may_be_stored = false;  // then a refusal is to be recorded as its outcome
-    Time retry_after = 0;        // when asking again is worth it; 0: not known
+    bool may_be_stored = false;  // then a refusal must be recorded as its outcome
+    Time retry_after = 0;        // 0.1 ms until a retry may succeed; 0: unknown
 };
-struct ReleaseAnswer {  // the answer may go out
+// The answer may be sent to the client.
+struct ReleaseAnswer {
     RecordNumber number = 0;
     bool durable = false;
 };
-struct DropAnswer {  // the outcome must be kept without its answer: there is no room for it
+// Store the outcome without its answer, because the spill lacks the space for it.
+struct DropAnswer {
     RecordNumber number = 0;
 };
-struct DiscardEntry {  // the entry is durable, or given up: its bytes are needed no more
+// The entry is durable or was abandoned; its bytes can be freed.
+struct DiscardEntry {
     EntryRef ref;
-    bool lost = false;  // the store will not have it: it stands nowhere
+    bool lost = false;  // the store rejected it: it is recorded nowhere
 };
 struct WakeAt {
     Time at = 0;
 };
 enum class Condition : std::uint8_t { kOpening, kUp, kSlow, kDown };
 std::string_view name_of(Condition condition);
-struct ConditionChanged {  // the condition has changed
+struct ConditionChanged {
     Condition condition = Condition::kOpening;
 };
 using Action =
     std::variant<OpenStore, WriteBatch, ReconcileBatch, ReplaySpill, SetAsideSpilled, WriteSpill, Proceed,
                  RejectMultiget, ReleaseAnswer, DropAnswer, DiscardEntry, WakeAt, ConditionChanged>;
 
+// The state machine of the store of record; each call is one turn and returns the actions to execute.
 class Recorder {
 public:
-    Recorder(std::uint64_t seed, WriteTerms terms)
-        : config_(terms), rng_(static_cast<std::mt19937::result_type>(seed)) {}
+    Recorder(std::uint64_t seed, WriteTerms config)
+        : config_(config), rng_(static_cast<std::mt19937::result_type>(seed)) {}
 
-    // Before start(): this process knows its incarnation, so what it spills can be named. Otherwise the store
-    // tells it, and until then every intent waits like one with a key.
+    // Call before start() if this process knows its incarnation, so that spilled entries can be named.
+    // Otherwise the store assigns the incarnation, and until then every intent waits like one with a key.
     void set_incarnation_known() { incarnation_known_ = true; }
     std::vector<Action> start(Time now);
     std::vector<Action> handle(Time now, const Event& event);
@@ -168,30 +197,28 @@
     Condition condition() const { return condition_; }
     std::size_t pending_entries() const { return entries_.size(); }
     std::size_t open_multigets() const { return open_multigets_.size(); }
-    std::uint64_t unexpected_events() const {
-        return unexpected_events_;
-    }  // events that cannot happen, passed over
+    // Events that are impossible in the current state; they are counted and ignored.
+    std::uint64_t unexpected_events() const { return unexpected_events_; }
 
 private:
-    enum class StoreState : std::uint8_t {
-        kQueued,
-        kInWrite,
-        kUnreconciled,
-        kNone
-    };  // on its way to the store
+    // Progress of an entry towards the store.
+    enum class StoreState : std::uint8_t { kQueued, kInWrite, kUnreconciled, kNone };
+    // Progress of an entry towards the spill.
     enum class SpillState : std::uint8_t { kNone, kQueued, kInWrite };
+    // An entry that is not durable yet.
     struct Pending {
         std::size_t bytes = 0;
-        bool store_only =
-            false;             // an intent with a key, or of a process without a name: the spill is no help
-        bool awaited = false;  // somebody waits for it to become durable
-        bool write_attempted = false;  // was part of a write to the store or the spill
-        Time wait_deadline = 0;        // when what waits for it goes on without
+        // An intent with a key, or of a process without an incarnation: it cannot be spilled.
+        bool store_only = false;
+        bool awaited = false;          // the multiget or its answer waits for it to become durable
+        bool write_attempted = false;  // was part of a write to the store or to the spill
+        Time wait_deadline = 0;        // when the wait is given up
         StoreState store_state = StoreState::kNone;
         SpillState spill_state = SpillState::kNone;
     };
     using EntryIter = std::map<EntryRef, Pending>::iterator;
-    struct OutstandingWrite {  // a write
+    // The one operation of the store that is outstanding.
+    struct OutstandingWrite {
         BatchId batch = 0;
         std::vector<EntryRef> refs;
         Time slow_at = 0;
@@ -211,7 +238,7 @@
     void on(const SpillLevel& level);
     void on(const Tick&) {}
 
-    bool writes_directly() const;  // plain entries go to the store
+    bool writes_directly() const;  // entries without a key go to the store
     bool spill_usable() const { return !spill_failing_ || now_ >= spill_retry_at_; }
     std::size_t spill_free_bytes() const;
     void route(EntryIter entry);
@@ -240,21 +267,23 @@
     Time now_ = 0;
     Condition condition_ = Condition::kOpening;
     bool incarnation_known_ = false;
-    bool opening_ = false;  // an Open is out
+    bool opening_ = false;  // an OpenStore action is outstanding
     Time reopen_at_ = 0;
-    int consecutive_failures_ = 0;         // of opening or writing, since the last write that ended well
+    // Failed attempts to open or write since the last successful write.
+    int consecutive_failures_ = 0;
     std::map<EntryRef, Pending> entries_;  // not durable yet
     std::set<std::pair<Time, EntryRef>> wait_deadlines_;
-    std::set<RecordNumber>
-        open_multigets_;  // intents that are durable, without an outcome: each has room kept in the spill
+    // Multigets with a durable intent and no outcome yet; the spill reserves space for each of their
+    // outcomes.
+    std::set<RecordNumber> open_multigets_;
     std::deque<EntryRef> store_queue_;
     std::deque<EntryRef> spill_queue_;
     Time batch_started_at_ = 0;
     std::optional<OutstandingWrite> outstanding_;
     std::vector<EntryRef> unreconciled_;
-    std::size_t single_writes_left_ =
-        0;  // so many entries more are written one by one, after a write with one at fault
-    std::size_t single_replays_left_ = 0;  // likewise of the spill's
+    // Number of entries still to be written one at a time, to find the one that made a batch fail.
+    std::size_t single_writes_left_ = 0;
+    std::size_t single_replays_left_ = 0;  // the same for entries of the spill
     std::optional<std::pair<BatchId, std::vector<EntryRef>>> spill_write_;
     bool spill_failing_ = false;
     Time spill_retry_at_ = 0;
--- a/src/store/keeper.cpp
+++ b/src/store/keeper.cpp
@@ -18,7 +18,8 @@
 using service::Ending;
 using service::Level;
 
-constexpr service::Ticket kOwnTicketBit = service::Ticket{1} << 63U;  // the exchange's tickets are far below
+// Distinguishes the tickets of this class from those of the exchange.
+constexpr service::Ticket kOwnTicketBit = service::Ticket{1} << 63U;
 constexpr std::size_t kMaxSpillJobs = 8;
 constexpr Time kFinishTimeout = 5'000;
 constexpr Time kDeregisterTimeout = 1'000;
@@ -48,7 +49,7 @@
     std::error_code error;
     std::filesystem::create_directories(store_config_.folder, error);
     if (error)
-        throw StoreFolderError("store.folder: cannot make '" + store_config_.folder +
+        throw StoreFolderError("store.folder: cannot create '" + store_config_.folder +
                                "': " + error.message());
     lock_file_ = net::Fd(open((store_config_.folder + "/lock").c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600));
     if (!lock_file_ || flock(lock_file_.get(), LOCK_EX | LOCK_NB) != 0) {
@@ -64,7 +65,8 @@
     });
 }
 
-// From the folder, so that it rises whatever the clock does; a new folder asks the store.
+// Each start takes the number after the one in the folder, so it rises whatever the clock does. With a new
+// folder the store assigns the number.
 void Keeper::load_incarnation() {
     const auto file = files_->open(store_config_.folder + "/incarnation");
     const auto text = file ? file->read_all() : std::nullopt;
@@ -75,7 +77,7 @@
     if (error != std::errc{} || std::string_view(end) != std::string_view("\n") || previous == 0) {
         throw StoreFolderError(
             "store.folder: '" + store_config_.folder +
-            "/incarnation' holds no number; remove it, and the store will tell the next one");
+            "/incarnation' does not contain a number; remove it, and the store will assign the next one");
     }
     incarnation_ = previous + 1;
     recorder_.set_incarnation_known();
@@ -89,7 +91,7 @@
     spill_level_ = {spill_->entries(), spill_->bytes()};
     if (spill_level_.entries > 0 || recovered.torn_bytes > 0 || recovered.corrupt_regions > 0) {
         log_.event(recovered.corrupt_regions > 0 ? Level::kError : Level::kInfo, "spill_recovered",
-                   "the spill holds " + std::to_string(spill_level_.entries) + " entries of before",
+                   "recovered " + std::to_string(spill_level_.entries) + " entries from the spill",
                    {{"entries", std::to_string(spill_level_.entries)},
                     {"torn_bytes", std::to_string(recovered.torn_bytes)},
                     {"corrupt_places", std::to_string(recovered.corrupt_regions)},
@@ -113,7 +115,7 @@
             deregistering_ = true;
             if (!entries_.empty()) {
                 log_.event(Level::kWarning, "records_unsaved",
-                           std::to_string(entries_.size()) + " entries are not durable at the end");
+                           std::to_string(entries_.size()) + " entries are not durable at shutdown");
             }
             finish_deadline_ = now + kDeregisterTimeout;
             backend_->deregister(kDeregisterTimeout, [this] {
@@ -147,7 +149,7 @@
     });
 }
 
-// One after the other: what an action leads to is taken when its turn has come.
+// Handles events one after the other: an event caused by an action is queued until the current turn is over.
 void Keeper::dispatch(Event event) {
     events_.push_back(std::move(event));
     if (dispatching_) return;
@@ -203,7 +205,7 @@
     if (at == multigets_.end()) return {};
     auto& multiget = at->second;
     multiget.on_ended = nullptr;
-    if (multiget.inner_ticket == 0) return {};  // its intent or its outcome is on the way
+    if (multiget.inner_ticket == 0) return {};  // its intent or its outcome is being written
     const auto parts = inner_.leave(std::exchange(multiget.inner_ticket, 0));
     const auto finished = std::move(multiget);
     multigets_.erase(at);
@@ -239,7 +241,6 @@
     on_exchange_ended(number, std::move(pushed_back));
 }
 
-// The exchange has ended it.
 void Keeper::on_exchange_ended(RecordNumber number, Ending ending) {
     const auto at = multigets_.find(number);
     if (at == multigets_.end()) return;
@@ -257,7 +258,7 @@
         multiget.ending = std::move(ending);
         return record_outcome(multiget, outcome_kind, parts, {}, std::move(body), true);
     }
-    // A refusal or a failure is never held back.
+    // A refusal or a failure is delivered at once, without waiting for its record.
     const auto finished = std::move(multiget);
     multigets_.erase(at);
     const auto outcome_kind = ending.kind == Ending::Kind::kPushedBack ? Fate::kRefused : Fate::kFailed;
@@ -374,15 +375,15 @@
     if (!result.good) {
         if (result.why != last_error_) {
             log_.event(result.schema_error ? Level::kError : Level::kWarning, "store_open_failed",
-                       "the store cannot be opened: " + result.why);
+                       "cannot open the store: " + result.why);
         }
         last_error_ = result.why;
         return dispatch(StoreOpenFailed{});
     }
     if (result.incarnation != incarnation_ && incarnation_used_) {
-        // Entries went to the spill under the number that turns out to be another process's: the next try
-        // says so.
-        last_error_ = "the incarnation is another process's";
+        // Entries were spilled under a number that belongs to another process; the next attempt to open fails
+        // with that reason.
+        last_error_ = "the incarnation belongs to another process";
         return dispatch(StoreOpenFailed{});
     }
     last_error_.clear();
@@ -390,7 +391,7 @@
     maintain_at_ = 0;
     waiter_.signal();
     if (result.incarnation == incarnation_) return dispatch(StoreOpened{});
-    // Not used before the folder has it: the next process must begin above it.
+    // The incarnation is used only once the folder has it: the next process must take a higher number.
     auto ok = std::make_shared<bool>(false);
     run_on_spill_thread(
         [this, ok, text = std::to_string(result.incarnation) + '\n'](Spill&) {
@@ -403,7 +404,7 @@
                 return dispatch(StoreOpenFailed{});
             }
             incarnation_ = incarnation;
-            for (auto& [number, multiget] : multigets_) {  // those that wait for their name
+            for (auto& [number, multiget] : multigets_) {  // multigets that wait for an incarnation
                 if (multiget.proceeded) continue;
                 multiget.intent.id.incarnation = incarnation;
                 entries_[{EntryRef::Kind::kIntent, number}] = std::make_shared<const Entry>(multiget.intent);
@@ -473,7 +474,7 @@
 
 // --- The spill ---
 
-// Its jobs never outnumber the queue: one append, one replay step, a skip and an incarnation.
+// The number of queued jobs is bounded: one append, one replay step, one set-aside and one incarnation file.
 template <class Job>
 void Keeper::run_on_spill_thread(Job job, std::function<void()> on_done) {
     auto level = std::make_shared<SpillLevel>(spill_level_);
@@ -489,7 +490,8 @@
             }
             on_done();
         });
-    if (!submitted) scheduler_.defer(on_done);  // `ended` finds what it was to bring not there: a failure
+    if (!submitted)
+        scheduler_.defer(on_done);  // the queue is full: `on_done` finds no result, which counts as a failure
 }
 
 void Keeper::execute(const WriteSpill& write) {
@@ -503,7 +505,7 @@
                             if (!*ok) {
                                 ++counters_.spill_failures;
                                 log_.event(Level::kError, "spill_failed",
-                                           "the spill cannot be written in " + store_config_.folder);
+                                           "cannot write the spill in " + store_config_.folder);
                             }
                             dispatch(SpillWritten{batch, *ok});
                         });
@@ -519,7 +521,7 @@
         [this, entries, batch = replay.batch] {
             if (entries->empty())
                 return report_write_failure(batch,
-                                            {Backend::End::kRejected, {}, {}, "the spill cannot be read"});
+                                            {Backend::End::kRejected, {}, {}, "cannot read the spill"});
             backend_->write(*entries, [this, batch, count = entries->size()](Backend::Written result) {
                 on_spill_replayed(batch, count, result);
             });
@@ -538,17 +540,17 @@
 void Keeper::execute(const SetAsideSpilled&) {
     ++counters_.set_aside_entries;
     log_.event(Level::kError, "entry_set_aside",
-               "the store refuses an entry of the spill; it is kept in " + store_config_.folder +
+               "the store rejected an entry of the spill; the entry was moved to " + store_config_.folder +
                    "/refused.journal");
     run_on_spill_thread([](Spill& spill) { spill.set_aside_front(); }, [] {});
 }
 
-// --- The rest ---
+// --- Other actions ---
 
 void Keeper::execute(const DiscardEntry& discard) {
     if (discard.lost) {
         ++counters_.lost_entries;
-        log_.event(Level::kError, "entry_refused", "the store refuses an entry; it is recorded nowhere",
+        log_.event(Level::kError, "entry_refused", "the store rejected an entry; the entry is not recorded",
                    {{"number", std::to_string(discard.ref.number)}});
     }
     entries_.erase(discard.ref);
--- a/src/store/keeper.hpp
+++ b/src/store/keeper.hpp
@@ -1,7 +1,8 @@
-// The record's carrier: stands between the client sides and the exchange. A multiget that is recorded goes on
-// to the exchange once its intent is durable, and its answer to the client once its outcome is, or its share
-// of the time is over; all others pass through untouched. It carries out what the Recorder decides, on a
-// store and a spill, and tells it how each went.
+// Records multigets in the store of record. RecordKeeper is a request handler between the client sides and
+// the exchange: it forwards a recorded multiget once its intent is durable, and delivers the answer once the
+// outcome is durable or the answer's share of the client's time is used up. Other multigets pass through
+// unchanged. Recorder makes the decisions; RecordKeeper executes them on a store and a spill and reports the
+// results back.
 #pragma once
 
 #include <cstdint>
@@ -30,18 +31,19 @@
 
 namespace pinedoor::store {
 
-struct StoreFolderError : std::runtime_error {  // the folder or what is in it: the program must not start
+// The store's folder or a file in it is unusable; the program must not start.
+struct StoreFolderError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// The op types and tenants by their numbers, and what they mean here.
+// Configuration of the node: its op types and tenants by index, and which of them are recorded.
 struct Recorded {
     std::string node;
     std::vector<std::string> op_types;
     std::vector<std::string> tenants;
     std::vector<bool> recorded;   // by op type
     std::vector<bool> retriable;  // by op type
-    Time max_retry_after = 0;     // the most that a client may be told to wait; 0: none is told
+    Time max_retry_after = 0;     // upper limit of a retry delay sent to clients, 0.1 ms; 0: none is sent
 };
 
 class Keeper : public service::RequestHandler {
@@ -50,8 +52,10 @@
            StoreTerms store_config, Recorded config, std::uint64_t seed, std::unique_ptr<Backend> backend,
            std::unique_ptr<Files> files);
 
-    void start();  // recovers the spill and takes its incarnation; throws Unusable
-    // Once no client is left: waits a moment for what is not durable, then leaves the store.
+    // Recovers the spill and loads the incarnation; throws StoreFolderError.
+    void start();
+    // Call once no client is connected: waits up to 0.5 s for entries that are not durable, then deregisters
+    // from the store.
     void finish();
     bool done() const { return finished_; }
 
@@ -63,9 +67,10 @@
     std::string print_gauges() const;
 
 private:
-    struct PendingMultiget {  // a recorded multiget, until its client has its ending
+    // A recorded multiget, until its ending is delivered to the client.
+    struct PendingMultiget {
         service::MultigetAsked request;
-        std::function<void(service::Ending)> on_ended;  // empty: its client has left
+        std::function<void(service::Ending)> on_ended;  // empty: the client has disconnected
         service::Ticket inner_ticket = 0;
         bool proceeded = false;
         Intent intent;
@@ -117,13 +122,14 @@
     CrashPoints crash_points_;
 
     std::string process_token_;
-    std::uint64_t incarnation_ = 0;  // 0: the store has not told it yet
-    bool incarnation_used_ = false;  // something is written under it
+    std::uint64_t incarnation_ = 0;  // 0: not assigned by the store yet
+    bool incarnation_used_ = false;  // entries were written under it
     RecordNumber last_number_ = 0;
     std::map<RecordNumber, PendingMultiget> multigets_;
-    std::set<std::string> pending_names_;  // of those that are not with the exchange yet
+    std::set<std::string> pending_names_;  // of multigets that are not with the exchange yet
     std::map<EntryRef, std::shared_ptr<const Entry>> entries_;
-    std::map<RecordNumber, Claim> held_claims_;  // claims that somebody else has, until told
+    // Keys held by other records, until the client is answered.
+    std::map<RecordNumber, Claim> held_claims_;
     std::deque<Event> events_;
     bool dispatching_ = false;
 
@@ -134,7 +140,7 @@
     Time finish_deadline_ = net::kNever;
     bool deregistering_ = false;
     bool finished_ = false;
-    std::string last_error_;  // the store's last trouble
+    std::string last_error_;  // of the store, so that a repeated failure is logged once
     SpillLevel spill_level_;
 
     struct Counters {
@@ -144,11 +150,12 @@
                       in_doubt_answers = 0, answers_not_kept = 0, lost_entries = 0, set_aside_entries = 0,
                       spill_failures = 0, pruned_records = 0, store_opens = 0;
     } counters_;
-    std::shared_ptr<Spill> spill_;  // touched by its thread alone, but for recovery
+    // Used by the spill thread only, except for recovery at the start.
+    std::shared_ptr<Spill> spill_;
     std::unique_ptr<Backend> backend_;
     net::Worker spill_thread_;
     net::Waiter waiter_;
-    net::Task task_;  // last: goes first
+    net::Task task_;  // last member: destroyed first
 };
 
 }  // namespace pinedoor::store
--- a/src/store/make_backend.hpp
+++ b/src/store/make_backend.hpp
@@ -1,4 +1,4 @@
-// The stores by their kinds.
+// Creates the database access for the configured kind of store.
 #pragma once
 
 #include <memory>
--- a/src/store/move_journal.cpp
+++ b/src/store/move_journal.cpp
@@ -20,8 +20,8 @@
     const auto step = placement::move_step_named(text_of(row.at(5)));
     const auto kind = placement::move_kind_named(text_of(row.at(6)));
     if (!step || !kind)
-        throw SqlError(SqlError::Kind::kSchema, "move " + std::to_string(result.move.id) +
-                                                    " has a step or kind that is not known here");
+        throw SqlError(SqlError::Kind::kSchema,
+                       "move " + std::to_string(result.move.id) + " has an unknown step or kind");
     result.move.step = *step;
     result.move.kind = *kind;
     result.wave = static_cast<std::size_t>(number_of(row.at(7)));
@@ -102,11 +102,11 @@
 
 void MoveJournal::keep(const placement::Move& move, const std::string& owner) {
     Transaction transaction(db_);
-    // The lease is written, not only read: two movers' transactions meet in this row.
+    // Updating the lease row, instead of only reading it, makes the transactions of two movers conflict.
     db_.run("UPDATE shard_mover SET until = until WHERE one = 1 AND who = $1", {owner});
     const auto rows = db_.run("SELECT who FROM shard_mover WHERE one = 1");
     if (rows.empty() || text_of(rows[0].at(0)) != owner)
-        throw LostLease("another mover carries the moves: " + (rows.empty() ? "" : text_of(rows[0].at(0))));
+        throw LostLease("another mover holds the lease: " + (rows.empty() ? "" : text_of(rows[0].at(0))));
     db_.run("UPDATE shard_moves SET step = $2, epoch = $3, since = pinedoor_now() WHERE id = $1",
             {to_value(move.id), to_value(name_of(move.step)), to_value(move.epoch)});
     transaction.commit();
--- a/src/store/move_journal.hpp
+++ b/src/store/move_journal.hpp
@@ -1,9 +1,9 @@
-// The journal of moves in the store of record: every move with its step, who carries them now, and what an
-// operator wishes of it. Tables of its own beside the records', made when they are first needed.
+// Journal of shard moves, kept in the database of the store of record: every move with its step, the process
+// that carries moves out (the mover), and requests of the operator. It has its own tables, which are created
+// on first use.
 //
-// Whoever carries moves holds the lease. A step is kept only by its holder, in the transaction that looks at
-// the lease: of two movers one keeps steps, and the other learns it before it asks anything of a box that
-// belongs to a step.
+// The mover holds a lease. Only its holder may save a step, in a transaction that checks the lease. Of two
+// movers only one can save steps, and the other one fails before it sends a request of that step to a box.
 #pragma once
 
 #include <optional>
@@ -22,28 +22,29 @@
 struct JournalMove {
     placement::Move move;
     std::size_t wave = 0;
-    std::string from, to;    // names of boxes, as the list has them
-    std::uint64_t map = 0;   // the version at which it was planned
-    std::string wish;        // "abort", or none
-    std::int64_t since = 0;  // of its step, tenths of a millisecond since 1970
+    std::string from, to;    // names of boxes as in the discovery list
+    std::uint64_t map = 0;   // version of the map that the move was planned for
+    std::string wish;        // "abort" or empty
+    std::int64_t since = 0;  // start of the step, tenths of a millisecond since 1970
     std::string note;
 };
 
 class MoveJournal {
 public:
     explicit MoveJournal(SqlDb& db) : db_(db) {}
-    void init();  // makes the tables unless they are there
+    void init();  // creates the tables if they are missing
 
-    // True: it is this one's for so long, and was free or its own.
+    // Returns true if the owner has the lease now, for `duration` tenths of a millisecond. It fails while
+    // another owner holds it.
     bool take_lease(const std::string& owner, std::int64_t duration);
     void leave_lease(const std::string& owner);
-    std::string holder();  // empty: nobody, or its time is over
+    std::string holder();  // empty: none, or the lease has expired
 
-    // In one transaction; the moves get their ids, each one more than any before.
+    // Adds all moves in one transaction and assigns their ids, in ascending order.
     std::vector<JournalMove> add(std::vector<JournalMove> moves);
     void keep(const placement::Move& move, const std::string& owner);  // throws LostLease
-    std::vector<JournalMove> moves(bool open_only);                    // by id
-    bool wish(placement::MoveId id, const std::string& request);       // false: there is none that is open
+    std::vector<JournalMove> moves(bool open_only);                    // ordered by id
+    bool wish(placement::MoveId id, const std::string& request);       // false: no such open move
     void note(placement::MoveId id, const std::string& text);
     void pause(bool paused);
     bool paused();
--- a/src/store/pg_backend.cpp
+++ b/src/store/pg_backend.cpp
@@ -12,11 +12,12 @@
 namespace pinedoor::store {
 namespace {
 
-constexpr std::size_t kMaxQueuedRequests = 8;  // one write, one tending, one leave, and steps of opening
+// One write, one maintenance, one deregistration, and steps of opening.
+constexpr std::size_t kMaxQueuedRequests = 8;
 constexpr int kMaxPreparedStatements = 64;
 
 bool is_numeric(std::string_view host) {
-    // A list of hosts is as good as each of them.
+    // The host may be a list; check each one.
     while (!host.empty()) {
         const std::string address_text(host.substr(0, host.find(',')));
         host.remove_prefix(std::min(host.size(), address_text.size() + 1));
@@ -48,7 +49,7 @@
     if (address.empty() && !is_numeric(host)) {
         throw SqlError(SqlError::Kind::kUnavailable,
                        "store.postgres.conninfo: host '" + host +
-                           "' is a name, whose look-up would stop the front node; add hostaddr");
+                           "' is a name, and resolving it would block the front node; add hostaddr");
     }
 }
 
@@ -76,8 +77,8 @@
     prepared_.clear();
     socket_waiter_.reset();
     connection_.reset();
-    // Whoever still waits is told that the end of it is not known. What was never sent cannot be in, but that
-    // it is absent is found by asking.
+    // Pending requests get the result "unknown". One that was not sent cannot be stored either, which
+    // reconciliation finds out.
     for (auto& request : std::exchange(requests_, {})) {
         if (!request.done) continue;
         scheduler_.defer([done = std::move(request.done)] {
@@ -102,7 +103,7 @@
     });
 }
 
-// One connection's life: up, then one request after the other until it is lost.
+// The life of one connection: connects, then serves one request after the other until the connection is lost.
 net::Task PgBackend::connect_and_serve() {
     const auto connect_deadline = scheduler_.now() + config_.connect_timeout;
     connection_.reset(pq_.connect_start(config_.conninfo.c_str()));
@@ -110,14 +111,16 @@
     auto polling = PGRES_POLLING_WRITING;
     if (!connection_ || pq_.status(connection_.get()) == CONNECTION_BAD) polling = PGRES_POLLING_FAILED;
     while (polling == PGRES_POLLING_READING || polling == PGRES_POLLING_WRITING) {
-        socket_waiter_ = make_waiter();  // anew each time: each address that is tried has a socket of its own
+        // A new one each time: libpq opens a socket for each address it tries.
+        socket_waiter_ = make_waiter();
         const auto interest = polling == PGRES_POLLING_READING ? net::kRead : net::kWrite;
         co_await socket_waiter_->wait(interest, connect_deadline);
         if (scheduler_.now() >= connect_deadline) {
-            error = "no connection within the connect time-out";
+            error = "no connection within the connect timeout";
             break;
         }
-        socket_waiter_.reset();  // libpq may close the socket in here: it is taken off epoll first
+        // libpq may close the socket in connect_poll(), so it is removed from epoll first.
+        socket_waiter_.reset();
         polling = pq_.connect_poll(connection_.get());
     }
     if (polling != PGRES_POLLING_OK) {
@@ -135,7 +138,7 @@
     check_schema_and_enroll(registration_, std::exchange(on_opened_, nullptr));
     while (connected_) {
         if (requests_.empty()) {
-            // What comes unasked is a notice, or the end.
+            // With no request outstanding, only a notice or the end of the connection can arrive.
             co_await socket_waiter_->wait(net::kRead);
             socket_waiter_->used_up(net::kRead);
             const bool readable = net::is_readable(pq_.socket(connection_.get()));
@@ -164,14 +167,14 @@
             if (lost || scheduler_.now() >= deadline) break;
             socket_waiter_->used_up(net::kRead);
             socket_waiter_->used_up(net::kWrite);
-            // What came between the look and here has no edge of its own left.
+            // Data that arrived after the last read causes no further edge-triggered event, so check again.
             if (net::is_readable(pq_.socket(connection_.get()))) continue;
             co_await socket_waiter_->wait(net::kRead | (unsent > 0 ? unsigned{net::kWrite} : 0U), deadline);
         }
         if (!finished || lost) {
             result.status = QueryResult::Status::kLost;
             if (result.error.empty())
-                result.error = lost ? connection_error() : "no answer within the statement time-out";
+                result.error = lost ? connection_error() : "no answer within the statement timeout";
             connected_ = false;
         }
         request.done(std::move(result));
@@ -196,7 +199,7 @@
         auto& name = prepared_[text];
         if (name.empty()) {
             if (prepared_.size() > kMaxPreparedStatements)
-                return "too many statements";  // they are few and fixed
+                return "too many statements";  // the set of statements is small and fixed
             name = "s" + std::to_string(++last_statement_number_);
             if (pq_.send_prepare(connection, name.c_str(), text, parameters.count(), parameters.types()) == 0)
                 return connection_error();
@@ -213,7 +216,8 @@
 bool PgBackend::read_results(QueryResult& result) {
     for (bool statement_ended = false; pq_.is_busy(connection_.get()) == 0;) {
         auto* const raw = pq_.get_result(connection_.get());
-        if (raw == nullptr) {  // ends one statement's results; twice in a row: nothing more is there
+        // Ends the results of one statement; twice in a row: no more results have arrived.
+        if (raw == nullptr) {
             if (std::exchange(statement_ended, true)) return false;
             continue;
         }
@@ -234,7 +238,8 @@
                 result.status = QueryResult::Status::kError;
                 result.error_kind = sqlstate_kind(pq_result.sqlstate());
                 result.error = pq_result.message();
-                prepared_.clear();  // which of them were made is not known
+                // It is unknown which statements of the pipeline were prepared.
+                prepared_.clear();
         }
         ++results_seen_;
     }
@@ -247,7 +252,7 @@
         scheduler_.defer([done = std::move(done), connected = connected_] {
             done({QueryResult::Status::kError,
                   SqlError::Kind::kUnavailable,
-                  connected ? "too much is asked" : "the store is not open",
+                  connected ? "too many requests are queued" : "the store is not open",
                   {}});
         });
         return;
@@ -324,7 +329,8 @@
 
 void PgBackend::write(Entries entries, std::function<void(Written)> done) {
     std::vector<Statement> statements;
-    std::vector<std::size_t> claims;  // where the claim of each entry stands; 0: none
+    // Index of each entry's claim query among the results; 0: none.
+    std::vector<std::size_t> claims;
     for (const auto& entry : entries) {
         for (auto& statement : write_statements(*entry)) statements.push_back(std::move(statement));
         claims.push_back(0);
@@ -341,7 +347,7 @@
                        claims[i] == 0 ? Claim{}
                                       : read_claim(std::get<Intent>(*entries[i]), result.rows.at(claims[i])));
                }
-               // A transaction that failed stands open until it is rolled back; nothing of it is in.
+               // A failed transaction stays open until it is rolled back; nothing of it is stored.
                if (result.status == QueryResult::Status::kError)
                    submit({{"ROLLBACK", {}}}, false, [](const QueryResult&) {});
                scheduler_.defer([done, written = std::move(written)] { done(written); });
@@ -359,7 +365,7 @@
     submit(std::move(statements), false,
            [this, entries = std::move(entries), done = std::move(done)](const QueryResult& result) {
                auto written = to_written(result);
-               // Only asked, nothing written: whatever went wrong, it is to be asked again.
+               // This only queried the store, so after any failure the caller must reconcile again.
                if (written.end != End::kStored) written.end = End::kUnknown;
                std::size_t row = 0;
                for (std::size_t i = 0; i < entries.size() && written.end == End::kStored; ++i) {
--- a/src/store/pg_backend.hpp
+++ b/src/store/pg_backend.hpp
@@ -1,5 +1,5 @@
-// A PostgreSQL database through libpq, never blocking, on the scheduler: one connection in pipeline mode, a
-// group of entries in one transaction and one round trip.
+// Non-blocking access to a PostgreSQL database through libpq, driven by the scheduler. It uses one connection
+// in pipeline mode; a batch of entries takes one transaction and one round trip.
 #pragma once
 
 #include <deque>
@@ -18,7 +18,8 @@
 
 class PgBackend : public Backend {
 public:
-    // Throws SqlError if libpq is missing, or the address is a name: a look-up would block the loop.
+    // Throws SqlError if libpq is missing, or if the host is a name, because resolving it would block the
+    // loop.
     PgBackend(net::Scheduler& scheduler, PostgresTerms config, Time lease);
     ~PgBackend() override;
 
@@ -33,14 +34,15 @@
 private:
     struct QueryResult {
         enum class Status { kOk, kError, kLost } status = Status::kLost;
-        SqlError::Kind error_kind = SqlError::Kind::kUnavailable;  // of an error
+        SqlError::Kind error_kind = SqlError::Kind::kUnavailable;  // if kError
         std::string error;
         std::vector<std::vector<Row>> rows;  // of each statement
     };
     struct Request {
         std::vector<Statement> statements;
         bool transaction = false;
-        std::function<void(QueryResult)> done;  // from the connection's own coroutine; it may ask the next
+        // Runs in the connection's coroutine; may submit the next request.
+        std::function<void(QueryResult)> done;
     };
     struct ConnectionCloser {
         const LibPq* pq = nullptr;
@@ -48,8 +50,8 @@
     };
 
     net::Task connect_and_serve();
-    std::string send(const Request& request);  // what went wrong, or nothing
-    // False: more must come. Takes what has come of the request's results.
+    std::string send(const Request& request);  // returns the error, or an empty text
+    // Reads the results that have arrived. Returns false while more are expected.
     bool read_results(QueryResult& result);
     void submit(std::vector<Statement> statements, bool transaction, std::function<void(QueryResult)> done);
     void check_schema_and_enroll(Registration registration, std::function<void(Enrolled)> done);
@@ -67,16 +69,16 @@
     std::unique_ptr<PGconn, ConnectionCloser> connection_;
     std::map<std::string, std::string> prepared_;  // statement to its name on this connection
     std::uint64_t last_statement_number_ = 0;
-    std::vector<bool>
-        result_expected_;  // of what was sent: does its result count (else it is a preparation's)
+    // For each command sent: whether its result belongs to the request (false: PREPARE, BEGIN or COMMIT).
+    std::vector<bool> result_expected_;
     std::size_t results_seen_ = 0;
     bool connected_ = false;
-    std::uint64_t generation_ = 0;  // of the connection: what an older one still tells is passed over
+    std::uint64_t generation_ = 0;  // of the connection; notifications of an older one are ignored
     std::deque<Request> requests_;
     std::function<void(Enrolled)> on_opened_;
     Registration registration_;
     std::unique_ptr<net::Waiter> socket_waiter_;
-    net::Task task_;  // last: goes first
+    net::Task task_;  // last member: destroyed first
 };
 
 }  // namespace pinedoor::store
--- a/src/store/pq.cpp
+++ b/src/store/pq.cpp
@@ -16,12 +16,13 @@
 template <class Function>
 void load(void* library, Function& function, const char* name) {
     function = reinterpret_cast<Function>(dlsym(library, name));
-    if (function == nullptr) throw SqlError(Kind::kUnavailable, std::string("libpq has no ") + name);
+    if (function == nullptr) throw SqlError(Kind::kUnavailable, std::string("libpq lacks ") + name);
 }
 
 }  // namespace
 
-// It stays loaded to the end: OpenSSL keeps what libpq registered there once.
+// RTLD_NODELETE keeps libpq loaded until the process exits, because OpenSSL keeps pointers that libpq
+// registered.
 LibPq::LibPq() : library_(dlopen("libpq.so.5", RTLD_NOW | RTLD_LOCAL | RTLD_NODELETE)) {
     if (library_ == nullptr) {
         throw SqlError(Kind::kUnavailable, std::string("libpq cannot be loaded (") + dlerror() +
@@ -69,7 +70,7 @@
 
 std::string PqResult::message() const {
     const char* text = pq_.error_field(result_, PG_DIAG_MESSAGE_PRIMARY);
-    return text == nullptr ? "an error without words" : text;
+    return text == nullptr ? "an error without a message" : text;
 }
 
 std::vector<Row> PqResult::read_rows() const {
@@ -108,8 +109,8 @@
     }
 }
 
-// Classes 22 (data), 23 (integrity), 54 (limits) and 42 (the statement) are of the values or the program; all
-// else is of the server (PostgreSQL's documentation, appendix A).
+// Errors of the values are those of classes 22 (data), 23 (integrity) and 54 (limits); all others count as
+// errors of the server (PostgreSQL documentation, appendix A).
 Kind sqlstate_kind(const std::string& sqlstate) {
     for (const char* prefix : {"22", "23", "54"}) {
         if (sqlstate.starts_with(prefix)) return Kind::kRejectedEntries;
@@ -151,7 +152,7 @@
 void PgDb::roll_back() noexcept {
     try {
         run("ROLLBACK");
-    } catch (const SqlError&) {  // the connection is gone, and the transaction with it
+    } catch (const SqlError&) {  // the connection was lost, and the transaction with it
     }
 }
 
--- a/src/store/pq.hpp
+++ b/src/store/pq.hpp
@@ -1,5 +1,5 @@
-// libpq, loaded when a PostgreSQL store is stated and not before: with the libraries that it brings along it
-// would double the resident size of a front node that has none.
+// libpq, loaded at run time and only if a PostgreSQL store is configured: together with its dependencies it
+// would double the resident size of a front node that does not use it.
 #pragma once
 
 #include <libpq-fe.h>
@@ -70,7 +70,7 @@
     PGresult* result_;
 };
 
-// The values as libpq takes them: as text, with the types of what they are here.
+// Values in the form that libpq takes: texts, with the type of each.
 class PqParameters {
 public:
     explicit PqParameters(const std::vector<Value>& values);
@@ -87,7 +87,7 @@
 
 SqlError::Kind sqlstate_kind(const std::string& sqlstate);
 
-// A database for the command line; each call waits for its end. Throws SqlError.
+// A blocking connection for the command line. Throws SqlError.
 class PgDb : public SqlDb {
 public:
     explicit PgDb(const std::string& conninfo);
--- a/src/store/record.cpp
+++ b/src/store/record.cpp
@@ -29,7 +29,8 @@
     append(out, id.number);
 }
 
-class ByteReader {  // reads in order; once something is missing, all that follows is
+// Decodes fields in order; after a field that is incomplete, all further reads fail.
+class ByteReader {
 public:
     explicit ByteReader(std::string_view bytes) : rest_(bytes) {}
 
--- a/src/store/record.hpp
+++ b/src/store/record.hpp
@@ -1,12 +1,13 @@
-// What the store of record holds of one multiget: an intent, durable before its first send, and its outcome.
+// Entries of the store of record. For each recorded multiget the store holds an intent, which is durable
+// before the first send, and an outcome; an entry is one of the two.
 //
-// An entry is one of the two. Entries are named by (node, incarnation, number) and are written by name, so an
-// entry that arrives twice, or before its other half, leaves the same row. Bytes of an entry, all integers
-// least significant byte first, a text as its length in four bytes and then so many bytes:
+// Entries are identified by (node, incarnation, number) and written idempotently under that id: an entry that
+// arrives twice, or before the other one of its multiget, results in the same row. Encoding of an entry;
+// integers are little-endian, a text is its length in four bytes followed by its bytes:
 //   intent   'I', node, incarnation u64, number u64, op type, tenant, client, key, fingerprint, asked i64,
 //            not_after i64, parts u32
 //   outcome  'O', node, incarnation u64, number u64, tenant, key, fate u8, frees_key u8, ended i64, parts
-//   (text), note, answer
+//            (text), note, answer
 #pragma once
 
 #include <cstdint>
@@ -19,12 +20,12 @@
 
 namespace pinedoor::store {
 
-using Time = std::int64_t;  // whole tenths of a millisecond since 1970
+using Time = std::int64_t;  // tenths of a millisecond since 1970, or a duration in that unit
 
 struct RecordId {
     std::string node;
-    std::uint64_t incarnation =
-        0;  // of the node's process, rising by one with each start, whatever its clock says
+    // Identifies a run of the node's process. Each start gets a higher number, whatever the clock does.
+    std::uint64_t incarnation = 0;
     std::uint64_t number = 0;  // within the incarnation, from 1
     bool operator==(const RecordId&) const = default;
 };
@@ -33,16 +34,16 @@
 std::string_view name_of(Fate fate);
 std::optional<Fate> parse_outcome_kind(std::string_view name);
 
-// What is known of a part at its multiget's end. "May have run" is said whenever the opposite is not proven.
+// What is known about a part when its multiget ends; kMayHaveRun unless the opposite is certain.
 enum class PartFate : char { kNeverSent = 'n', kMayHaveRun = 'm', kRan = 'r' };
 
 struct Intent {
     RecordId id;
     std::string op_type;
     std::string tenant;
-    std::string request_name;  // the client's own name of the multiget (X-Txn)
+    std::string request_name;  // the client's name for the multiget (X-Txn)
     std::string key;           // Idempotency-Key; empty: none
-    std::string fingerprint;   // of what was asked, 32 hex digits of XXH3-128; with a key only
+    std::string fingerprint;   // of the op type and body, 32 hex digits of XXH3-128; set with a key only
     Time requested_at = 0;
     Time deadline = 0;
     std::uint32_t part_count = 0;
@@ -51,14 +52,14 @@
 
 struct Outcome {
     RecordId id;
-    std::string tenant;  // tenant and key as in the intent: they find its claim
+    std::string tenant;  // with the key, identifies the claim of the intent
     std::string key;
     Fate fate = Fate::kFailed;
-    bool frees_key = false;  // the key may be claimed again: nothing ran
+    bool frees_key = false;  // nothing ran, so the key may be claimed again
     Time ended = 0;
-    std::string parts;   // "3r 4m 7n": shard and PartFate of each
-    std::string note;    // why, where there is more to say
-    std::string answer;  // the body that the client was given; empty: none, or not kept
+    std::string parts;   // "3r 4m 7n": each part's shard and PartFate
+    std::string note;    // the reason, if the outcome alone does not tell it
+    std::string answer;  // the body sent to the client; empty: none, or not stored
     bool operator==(const Outcome&) const = default;
 };
 
@@ -73,27 +74,28 @@
 }
 
 std::string encode(const Entry& entry);
-std::optional<Entry> decode(std::string_view bytes);  // none: they are no entry, whole and nothing else
+std::optional<Entry> decode(std::string_view bytes);  // nullopt: not exactly one whole entry
 
 std::string fingerprint_of(std::string_view op_type, std::string_view body);
 
 using PartFates = std::vector<std::pair<int, PartFate>>;
 std::string format_part_outcomes(const PartFates& parts);
 
-// Who holds a key, when it is not the one who asks.
+// The record that holds a key claimed by another multiget.
 struct KeyHolder {
     RecordId id;
     std::string fingerprint;
-    std::optional<Fate> fate;  // none: no outcome is recorded
-    bool alive = false;  // its process is known to run: without an outcome it is under way, else in doubt
+    std::optional<Fate> fate;  // nullopt: no outcome is recorded
+    // Its process is running: without an outcome the record is in progress, otherwise in doubt.
+    bool alive = false;
     std::string answer;
     std::string note;
 };
 
-// What became of an entry's claim to its key. Entries without a key are always kMine.
+// Result of an entry's claim to its key. An entry without a key is always kGranted.
 struct Claim {
     enum class Kind { kGranted, kHeld } kind = Kind::kGranted;
-    KeyHolder holder;  // kHeld
+    KeyHolder holder;  // if kHeld
 };
 
 }  // namespace pinedoor::store
--- a/src/store/spill.cpp
+++ b/src/store/spill.cpp
@@ -31,7 +31,7 @@
     return XXH3_64bits_withSeed(payload.data(), payload.size(), read_le(length));
 }
 
-// The whole entry that begins there, or nothing.
+// Returns the payload of the whole entry at the start of `bytes`, or an empty view.
 std::string_view parse_frame(std::string_view bytes) {
     if (bytes.size() < kFrameHeaderBytes) return {};
     const auto length = read_le(bytes.substr(0, 4));
@@ -55,7 +55,7 @@
     ScanResult result;
     std::size_t offset = std::min(bytes.size(), kFileHeader.size());
     std::size_t corrupt_start = 0;
-    // A head that cannot be read is corrupt bytes like others.
+    // An unreadable file header counts as corrupt bytes.
     if (!bytes.starts_with(kFileHeader)) offset = 0;
     if (offset != 0) result.valid_end = offset;
     bool in_corrupt_region = offset == 0 && !bytes.empty();
@@ -96,7 +96,7 @@
         if (scanned.valid_end < bytes->size()) {
             result.torn_bytes += bytes->size() - scanned.valid_end;
             if (!file->truncate(scanned.valid_end) || !file->sync())
-                return {false, 0, 0, 0, "cannot cut '" + path(name) + "'"};
+                return {false, 0, 0, 0, "cannot truncate '" + path(name) + "'"};
         }
         result.corrupt_regions += scanned.corrupt_regions;
         result.corrupt_bytes += scanned.corrupt_bytes;
@@ -131,8 +131,9 @@
     for (const auto& payload : payloads) bytes += frame_payload(payload);
     auto& segment = segments_.back();
     if (!append_file_->append(bytes) || !append_file_->sync()) {
-        // What of it is there after a crash is read back then, which is harmless; in this process it counts
-        // as not written. An fsync that failed once says nothing when it succeeds later: the file is left.
+        // A part of the batch may be in the file. Recovery reads it after a crash, which is harmless; in this
+        // process the batch counts as not written. After an fsync has failed, a later successful one proves
+        // nothing, so the file gets no more appends.
         append_file_->truncate(segment.bytes);
         append_file_.reset();
         return false;
@@ -152,7 +153,7 @@
     const auto& front = segments_.front();
     const auto file = files_.open(path(front.name));
     const auto bytes = file ? file->read_all() : std::nullopt;
-    if (!bytes) return;  // asked again next time
+    if (!bytes) return;  // retried by the next call
     front_entries_ = scan(std::string_view(*bytes).substr(0, front.bytes)).entries;
     front_loaded_ = true;
 }
@@ -173,17 +174,16 @@
     remove_finished();
 }
 
-// Removes the oldest files while all of their entries are in the store.
+// Removes the oldest files as long as all of their entries are in the store.
 void Spill::remove_finished() {
     while (!segments_.empty() && segments_.front().entries == 0) {
         const auto finished = std::move(segments_.front());
         segments_.pop_front();
         if (segments_.empty()) append_file_.reset();
-        if (finished.corrupt)
-            files_.rename(path(finished.name), path(finished.name + ".corrupt"));
+        if (finished.corrupt) files_.rename(path(finished.name), path(finished.name + ".corrupt"));
+        // If the removal fails, the entries are written again after a restart.
         else
-            files_.remove(
-                path(finished.name));  // if that fails, its entries are written once more after a restart
+            files_.remove(path(finished.name));
         bytes_ -= finished.bytes;
         front_entries_.clear();
         front_loaded_ = false;
--- a/src/store/sql.cpp
+++ b/src/store/sql.cpp
@@ -12,13 +12,13 @@
             "INSERT INTO pinedoor_meta(schema_version) VALUES (0)",
             "CREATE TABLE incarnations(node text NOT NULL, incarnation bigint NOT NULL, birth text NOT NULL, "
             "started bigint NOT NULL, seen bigint NOT NULL, ended bigint, PRIMARY KEY (node, incarnation))",
-            // asked is null until the intent is in, fate until the outcome is.
+            // asked is null until the intent is stored, fate until the outcome is.
             "CREATE TABLE records(node text NOT NULL, incarnation bigint NOT NULL, number bigint NOT NULL, "
             "op_type text, tenant text, client text, ikey text, asked bigint, not_after bigint, parts "
             "bigint, "
             "fate bigint, ended bigint, part_fates text, note text, answer text, "
             "PRIMARY KEY (node, incarnation, number))",
-            // state: 0 open or in doubt, 1 free to be claimed again, 2 over
+            // state: 0 open or in doubt, 1 free to be claimed again, 2 closed
             "CREATE TABLE claims(tenant text NOT NULL, ikey text NOT NULL, fingerprint text NOT NULL, "
             "node text NOT NULL, incarnation bigint NOT NULL, number bigint NOT NULL, asked bigint NOT NULL, "
             "state bigint NOT NULL, PRIMARY KEY (tenant, ikey))",
@@ -51,7 +51,7 @@
     "op_type = excluded.op_type, tenant = excluded.tenant, client = excluded.client, ikey = excluded.ikey, "
     "asked = excluded.asked, not_after = excluded.not_after, parts = excluded.parts";
 
-// Only if the claim before it has succeeded.
+// Stores the intent only if the preceding claim was granted.
 constexpr const char* kUpsertKeyedIntent =
     "INSERT INTO records(node, incarnation, number, op_type, tenant, client, ikey, asked, not_after, parts) "
     "SELECT $1, $2, $3, $4, $5, $6, $7, $8, $9, $10 WHERE EXISTS (SELECT 1 FROM claims WHERE tenant = $5 AND "
@@ -60,7 +60,7 @@
     "op_type = excluded.op_type, tenant = excluded.tenant, client = excluded.client, ikey = excluded.ikey, "
     "asked = excluded.asked, not_after = excluded.not_after, parts = excluded.parts";
 
-// What really happened goes before what a person had settled on (a history row tells of that).
+// An outcome recorded by the node replaces one that an operator set (the history table keeps that one).
 constexpr const char* kUpsertOutcome =
     "INSERT INTO records(node, incarnation, number, fate, ended, part_fates, note, answer) "
     "VALUES ($1, $2, $3, $4, $5, $6, $7, $8) ON CONFLICT (node, incarnation, number) DO UPDATE SET "
@@ -156,7 +156,7 @@
         throw SqlError(Kind::kUnavailable,
                        "incarnation " + std::to_string(registration.incarnation) + " of node '" +
                            registration.node +
-                           "' is another process's: two nodes share a name, or a folder was copied");
+                           "' belongs to another process: two nodes share a name, or a folder was copied");
     }
     return highest + 1;
 }
@@ -173,7 +173,8 @@
 
 void check_enrolled(const Registration& registration, const std::vector<Row>& results) {
     if (!results.empty() && text_of(results[0].at(0)) == registration.process_token) return;
-    throw SqlError(Kind::kUnavailable, "another process of node '" + registration.node + "' starts just now");
+    throw SqlError(Kind::kUnavailable,
+                   "another process of node '" + registration.node + "' is starting at the same time");
 }
 
 std::uint64_t enroll(SqlDb& db, const Registration& registration) {
@@ -254,7 +255,7 @@
 
 Claim read_claim(const Intent& intent, const std::vector<Row>& rows) {
     Claim claim;
-    // Without a row the intent's own outcome is in already: nobody waits for this claim any more.
+    // No row: the outcome of the intent itself is stored already, so nothing waits for this claim.
     if (rows.empty()) return claim;
     const auto& row = rows[0];
     KeyHolder holder;
@@ -285,7 +286,7 @@
     return {"SELECT state FROM claims WHERE tenant = $1 AND ikey = $2", {intent.tenant, intent.key}};
 }
 
-// For an intent that is not there: a claim that is free again is no obstacle.
+// For an intent that is not stored: a claim that is free again does not block it.
 Claim read_claim(const Intent& intent, const std::vector<Row>& rows, const std::vector<Row>& states) {
     if (!states.empty() && number_of(states[0].at(0)) == 1) return {};
     return read_claim(intent, rows);
--- a/src/store/sqlite_backend.cpp
+++ b/src/store/sqlite_backend.cpp
@@ -5,7 +5,7 @@
 namespace pinedoor::store {
 namespace {
 
-constexpr std::size_t kMaxQueuedJobs = 4;  // one write, one tending, one leave, and one to spare
+constexpr std::size_t kMaxQueuedJobs = 4;  // one write, one maintenance, one deregistration, and one spare
 
 std::vector<Entry> copy_entries(const Entries& entries) {
     std::vector<Entry> out;
@@ -23,7 +23,7 @@
     state_->lease = lease;
 }
 
-// A job that finds the queue full ends at once, by way of the loop like any other.
+// If the queue is full the request fails at once; its result is delivered from the loop like any other.
 template <class Result, class Job>
 void SqliteBackend::submit(Job job, std::function<void(Result)> done, Result result_if_full) {
     auto result = std::make_shared<Result>(std::move(result_if_full));
@@ -65,7 +65,8 @@
                   {},
                   {},
                   error.what()};
-        // After an error of the file the next one starts from what is on disk.
+        // After a database error the file is reopened, so that the next operation starts from what is on
+        // disk.
         if (result.end != End::kEntriesRejected) db.reset();
     }
     return result;
--- a/src/store/sqlite_backend.hpp
+++ b/src/store/sqlite_backend.hpp
@@ -1,4 +1,4 @@
-// A SQLite file behind a writer thread: the loop hands groups over and never waits on a disk.
+// Access to a SQLite file through a writer thread, so that the scheduler's loop does not wait for a disk.
 #pragma once
 
 #include <memory>
@@ -21,10 +21,10 @@
     void maintain(Time delete_before, std::size_t max_deletes,
                   std::function<void(std::size_t)> done) override;
     void deregister(Time timeout, std::function<void()> done) override;
-    void on_lost(std::function<void()>) override {}  // a file does not go away by itself
+    void on_lost(std::function<void()>) override {}  // a file has no connection to lose
 
 private:
-    struct WriterState {  // touched by the thread alone
+    struct WriterState {  // used by the writer thread only
         std::string path;
         std::string vfs;
         Time lease = 0;
@@ -40,7 +40,7 @@
 
     net::Scheduler& scheduler_;
     std::shared_ptr<WriterState> state_;
-    net::Worker worker_;  // last: goes first, and with it what uses the rest
+    net::Worker worker_;  // last member: destroyed first, because its jobs use the others
 };
 
 }  // namespace pinedoor::store
--- a/src/store/sqlite_db.cpp
+++ b/src/store/sqlite_db.cpp
@@ -12,7 +12,7 @@
 
 using Kind = SqlError::Kind;
 constexpr std::size_t kMaxPreparedStatements = 64;
-constexpr int kBackupPagesPerStep = 256;  // a step, between which others write
+constexpr int kBackupPagesPerStep = 256;  // pages per step; other connections can write between steps
 constexpr int kBackupPauseMs = 5;
 
 constexpr std::int64_t kTicksPerSecond = 10'000;
@@ -24,7 +24,7 @@
     return std::int64_t{time.tv_sec} * kTicksPerSecond + time.tv_nsec / kNanosPerTick;
 }
 
-// Another one after each start of the machine; empty if the system does not tell.
+// Changes with each boot of the machine; empty if it cannot be read.
 std::string boot_id() {
     std::string id;
     std::getline(std::ifstream("/proc/sys/kernel/random/boot_id"), id);
@@ -79,8 +79,8 @@
 SqliteDb::Prepared& SqliteDb::prepare(const std::string& text, std::size_t values) {
     const auto found = prepared_.find(text);
     if (found != prepared_.end()) return found->second;
-    if (prepared_.size() >= kMaxPreparedStatements)
-        prepared_.clear();  // statements are few; who makes them up keeps none
+    // The set of statements is small; callers that generate statement texts do not benefit from the cache.
+    if (prepared_.size() >= kMaxPreparedStatements) prepared_.clear();
     sqlite3_stmt* raw = nullptr;
     const int code = sqlite3_prepare_v2(db_.get(), text.c_str(), -1, &raw, nullptr);
     Prepared prepared{std::unique_ptr<sqlite3_stmt, FinalizeStatement>(raw), {}};
@@ -107,7 +107,7 @@
     transaction.commit();
 }
 
-// False: nobody has written it since the machine started.
+// Returns false if the table has no entry since the machine booted.
 bool SqliteDb::load_shared_clock() {
     const auto rows = run("SELECT booted_at FROM pinedoor_clock WHERE one = 1 AND boot = $1", {boot_id()});
     if (rows.empty()) return false;
@@ -165,7 +165,8 @@
         run("COMMIT");
     } catch (const SqlError& error) {
         roll_back();
-        // A commit that could not be made durable may yet be found in the log by the next one who opens it.
+        // A commit that could not be made durable may still be found in the WAL by the next process that
+        // opens the file.
         throw SqlError(Kind::kCommitUnknown, error.what());
     }
 }
@@ -195,7 +196,7 @@
     sqlite3_backup_finish(backup);
     if (code != SQLITE_DONE)
         throw SqlError(Kind::kUnavailable, std::string("backup: ") + sqlite3_errstr(code));
-    // One file that stands alone, whatever the original's mode.
+    // Makes the copy a single file, whatever journal mode the original has.
     if (sqlite3_exec(target, "PRAGMA journal_mode = DELETE", nullptr, nullptr, nullptr) != SQLITE_OK)
         throw SqlError(Kind::kUnavailable, std::string("backup: ") + sqlite3_errmsg(target));
     if (std::rename(partial_path.c_str(), target_path.c_str()) != 0)
--- a/src/store/sqlite_db.hpp
+++ b/src/store/sqlite_db.hpp
@@ -1,5 +1,5 @@
-// A SQLite file as a SqlDb: WAL and full sync, prepared statements. What it does blocks: only threads that
-// may wait on a disk use it (the writer's, the command line's).
+// A SQLite file as a SqlDb, in WAL mode with full sync, with cached prepared statements. All calls block, so
+// it is used only by threads that may wait for a disk (the writer thread, the command line).
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,7 @@
 
 class SqliteDb : public SqlDb {
 public:
-    // `vfs`: a name registered with SQLite; empty: the system's. Throws SqlError.
+    // `vfs`: a name registered with SQLite; empty: the default one. Throws SqlError.
     explicit SqliteDb(const std::string& path, const std::string& vfs = {}, int busy_timeout_ms = 2'000);
     ~SqliteDb() override;
 
@@ -27,14 +27,15 @@
     void commit() override;
     void roll_back() noexcept override;
     std::string kind() const override { return "sqlite"; }
-    // pinedoor_now() in a statement is this machine's boot clock, which no step of the wall clock moves,
-    // counted from when the wall clock said that the machine had started. All who share a file read that from
-    // its table `pinedoor_clock`, which is written anew after a start of the machine.
+    // In statements, pinedoor_now() is the boot-time clock, which is not affected by steps of the wall clock,
+    // plus the time at which the machine booted by the wall clock. All processes that share a file take that
+    // time from its table `pinedoor_clock`, which is rewritten after each boot.
     void agree_on_clock() override;
 
-    // In steps, while others write; whole or not there at all. Throws SqlError.
+    // Copies the database in steps while others write. The target exists only once it is complete. Throws
+    // SqlError.
     void back_up(const std::string& target_path);
-    std::vector<std::string> check_integrity();  // what is amiss
+    std::vector<std::string> check_integrity();  // returns the problems found
 
 private:
     [[noreturn]] void throw_error(int code, const std::string& action);
@@ -46,12 +47,13 @@
     struct FinalizeStatement {
         void operator()(sqlite3_stmt* statement) const;
     };
-    std::int64_t booted_at_ =
-        0;  // tenths of a millisecond since 1970, as agreed; else as this process saw it
+    // When the machine booted, in tenths of a millisecond since 1970: the shared value, or what this process
+    // determined.
+    std::int64_t booted_at_ = 0;
     std::unique_ptr<sqlite3, CloseDb> db_;
     struct Prepared {
         std::unique_ptr<sqlite3_stmt, FinalizeStatement> statement;
-        std::vector<int> parameter_indexes;  // of $1, $2 and so on; 0: it has no use for that one
+        std::vector<int> parameter_indexes;  // of $1, $2 and so on; 0: not used by the statement
     };
     Prepared& prepare(const std::string& text, std::size_t values);
     std::unordered_map<std::string, Prepared> prepared_;
--- a/src/store/terms.hpp
+++ b/src/store/terms.hpp
@@ -1,4 +1,4 @@
-// What an installation states about the store of record, in plain types. Read from TOML by `stated`.
+// Configuration of the store of record; `stated` reads it from TOML. Times are in tenths of a millisecond.
 #pragma once
 
 #include <cstddef>
@@ -19,19 +19,19 @@
 };
 
 struct KeepTerms {
-    int days = 0;  // 0: for good
+    int days = 0;  // 0: records are kept forever
     std::size_t step = 200;
     Time every = 10'000;
 };
 
 struct StoreTerms {
     Kind kind = Kind::kNone;
-    std::string folder;       // of this node alone: its spill, its incarnation, its lock
+    std::string folder;       // of this node only: its spill, incarnation and lock
     std::string sqlite_file;  // empty: records.db in the folder
     PostgresTerms postgres;
-    std::vector<std::string> op_types;  // recorded; empty: all that are not retriable
+    std::vector<std::string> op_types;  // recorded ones; empty: all that are not retriable
     std::size_t largest_answer = 64 * 1024;
-    Time lease = 150'000;  // after so long without word a node's process counts as gone
+    Time lease = 150'000;  // without a heartbeat for this long a process counts as dead
     std::size_t spill_file_bytes = std::size_t{8} << 20U;
     WriteTerms write;
     KeepTerms keep;
--- a/tests/stand_ins/faulty_files.hpp
+++ b/tests/stand_ins/faulty_files.hpp
@@ -1,4 +1,4 @@
-// Files in memory that keep what was synced over a crash and fail at a call that is told.
+// Files in memory that can fail at a given call. After crash() only synced content remains.
 #pragma once
 
 #include <algorithm>
@@ -16,17 +16,18 @@
 enum class Fault {
     kNothingWritten,
     kHalfWritten,
+    // Effect of the failing call: nothing is written; half is written; half is written and survives a crash.
     kHalfDurable
-};  // nothing is done; half is written; half is, and over a crash too
+};
 
 class MemoryFiles : public store::Files {
 public:
-    // The n-th call from now; 0: none.
+    // The call that fails, counted from now; 0: none.
     void fail_at(int call, Fault fault) {
         calls_until_fault_ = call;
         fault_ = fault;
     }
-    // What was not synced is gone.
+    // Discards what was not synced.
     void crash() {
         for (auto& [path, file] : stored_files_)
             file->bytes.resize(std::min(file->bytes.size(), file->synced_bytes));
--- a/tests/stand_ins/faulty_vfs.hpp
+++ b/tests/stand_ins/faulty_vfs.hpp
@@ -1,6 +1,5 @@
-// A SQLite VFS over the system's that fails at the n-th reading, writing, syncing, cutting or shared-memory
-// call from when it is told, and at every one of that kind after it while the run lasts: a disk that has
-// gone.
+// A SQLite VFS over the default one that simulates a failing disk: the n-th call that opens, reads, writes,
+// syncs, truncates or maps shared memory fails, and so do all later ones until fail_at() is called again.
 #pragma once
 
 #include <sqlite3.h>
@@ -42,7 +41,7 @@
         fault_ = fault;
         fault_reached_ = false;
     }
-    bool came_by() const { return fault_reached_; }  // the call was reached
+    bool came_by() const { return fault_reached_; }  // whether the failing call was reached
 
 private:
     struct File {
--- a/tests/stand_ins/postgres.cpp
+++ b/tests/stand_ins/postgres.cpp
@@ -37,7 +37,8 @@
     out.push_back(static_cast<char>(value & 0xffU));
 }
 
-class MessageReader {  // a message's fields; what is missing ends the connection
+// Decodes the fields of a message; throws if one is missing, which ends the connection.
+class MessageReader {
 public:
     explicit MessageReader(std::string_view bytes) : rest_(bytes) {}
     std::uint32_t number(std::size_t bytes) {
@@ -47,13 +48,13 @@
     }
     std::string text() {
         const auto end = rest_.find('\0');
-        if (end == std::string_view::npos) throw std::runtime_error("a text without end");
+        if (end == std::string_view::npos) throw std::runtime_error("unterminated string");
         std::string out(rest_.substr(0, end));
         rest_.remove_prefix(end + 1);
         return out;
     }
     std::string_view take_bytes(std::size_t count) {
-        if (count > rest_.size()) throw std::runtime_error("a message that is too short");
+        if (count > rest_.size()) throw std::runtime_error("message too short");
         const auto out = rest_.substr(0, count);
         rest_.remove_prefix(count);
         return out;
@@ -78,7 +79,7 @@
     const int size =
         EVP_DecodeBlock(reinterpret_cast<unsigned char*>(out.data()),
                         reinterpret_cast<const unsigned char*>(text.data()), static_cast<int>(text.size()));
-    if (size < 0) throw std::runtime_error("no base64");
+    if (size < 0) throw std::runtime_error("invalid base64");
     out.resize(static_cast<std::size_t>(size));
     while (text.ends_with('=')) {
         text.remove_suffix(1);
@@ -110,7 +111,7 @@
         if (field.size() >= 2 && field[0] == name && field[1] == '=') return std::string(field.substr(2));
         message.remove_prefix(std::min(message.size(), field.size() + 1));
     }
-    throw std::runtime_error(std::string("SCRAM without ") + name);
+    throw std::runtime_error(std::string("SCRAM message lacks attribute ") + name);
 }
 
 bool fault_due(std::atomic<int>& fault) {
@@ -122,7 +123,7 @@
 
 }  // namespace
 
-// A key and a certificate that it signed itself, and what TLS sessions are made from.
+// A self-signed certificate with its key, and the context for TLS sessions.
 struct PostgresStandIn::Tls {
     explicit Tls(const std::string& certificate_file)
         : key(EVP_EC_gen("P-256"), EVP_PKEY_free), certificate(X509_new(), X509_free),
@@ -161,13 +162,14 @@
 struct PostgresStandIn::Session {
     Session(PostgresStandIn& server, net::Fd fd) : server_(server), fd_(std::move(fd)) {
         thread_ = std::thread([this] {
-            sigset_t pipe;  // what TLS writes after the other end has gone raises it
+            // SIGPIPE is raised by TLS writes after the client has closed the connection.
+            sigset_t pipe;
             sigemptyset(&pipe);
             sigaddset(&pipe, SIGPIPE);
             pthread_sigmask(SIG_BLOCK, &pipe, nullptr);
             try {
                 run();
-            } catch (const std::exception&) {  // ends the connection, as it would a real server's
+            } catch (const std::exception&) {  // ends the connection, as a real server would
             }
             db_.reset();
             shutdown(fd_.get(), SHUT_RDWR);
@@ -201,7 +203,7 @@
             const auto count_read =
                 tls_ ? SSL_read(tls_.get(), bytes.data() + received, static_cast<int>(count - received))
                      : recv(fd_.get(), bytes.data() + received, count - received, 0);
-            if (count_read <= 0) throw ConnectionBroken("the other end has gone");
+            if (count_read <= 0) throw ConnectionBroken("the client closed the connection");
             received += static_cast<std::size_t>(count_read);
         }
         return bytes;
@@ -212,7 +214,7 @@
             const auto step = server_.send_byte_by_byte ? 1 : rest.size();
             const auto count = tls_ ? SSL_write(tls_.get(), rest.data(), static_cast<int>(step))
                                     : ::send(fd_.get(), rest.data(), step, MSG_NOSIGNAL);
-            if (count <= 0) throw ConnectionBroken("the other end has gone");
+            if (count <= 0) throw ConnectionBroken("the client closed the connection");
             rest.remove_prefix(static_cast<std::size_t>(count));
         }
         send_buffer_.clear();
@@ -243,7 +245,7 @@
         for (;;) {
             const auto head = read(4);
             const auto size = MessageReader(head).number(4);
-            if (size < 8 || size > 10'000) throw ConnectionBroken("no start");
+            if (size < 8 || size > 10'000) throw ConnectionBroken("invalid startup message");
             const auto body = read(size - 4);
             MessageReader reader(body);
             const auto code = reader.number(4);
@@ -254,23 +256,23 @@
                 if (!use_tls) continue;
                 tls_.reset(SSL_new(server_.tls_->context.get()));
                 SSL_set_fd(tls_.get(), fd_.get());
-                if (SSL_accept(tls_.get()) != 1) throw ConnectionBroken("no TLS");
+                if (SSL_accept(tls_.get()) != 1) throw ConnectionBroken("TLS handshake failed");
                 ++server_.tls_connections;
                 continue;
             }
-            if (server_.tls_ && !tls_) throw ConnectionBroken("TLS is asked for here");
+            if (server_.tls_ && !tls_) throw ConnectionBroken("TLS is required");
             if (code == 80877102) {  // CancelRequest
                 ++server_.cancels;
                 return false;
             }
-            if (code != 196608) throw ConnectionBroken("no version 3.0");
+            if (code != 196608) throw ConnectionBroken("unsupported protocol version");
             return true;
         }
     }
     std::string read_sasl_message() {
         flush();
         const auto head = read(5);
-        if (head[0] != 'p') throw ConnectionBroken("no password");
+        if (head[0] != 'p') throw ConnectionBroken("expected a password message");
         return read(MessageReader(std::string_view(head).substr(1)).number(4) - 4);
     }
     void authenticate() {
@@ -279,7 +281,7 @@
         send_message('R', body + std::string("SCRAM-SHA-256\0\0", 15));
         const auto first = read_sasl_message();
         MessageReader reader(first);
-        if (reader.text() != "SCRAM-SHA-256") throw ConnectionBroken("another mechanism");
+        if (reader.text() != "SCRAM-SHA-256") throw ConnectionBroken("unsupported SASL mechanism");
         const std::string client_first(reader.take_bytes(reader.number(4)));
         const auto bare = client_first.substr(client_first.find(",,") + 2);
         const std::string salt = "a salt of sixteen";
@@ -330,7 +332,7 @@
             if (!has_pending_input()) flush();
             const auto head = read(5);
             const auto size = MessageReader(std::string_view(head).substr(1)).number(4);
-            if (size < 4 || size > (8U << 20U)) throw ConnectionBroken("an impossible length");
+            if (size < 4 || size > (8U << 20U)) throw ConnectionBroken("invalid message length");
             const auto body = read(size - 4);
             if (head[0] == 'X') return;
             if (head[0] == 'S') {
@@ -357,7 +359,7 @@
                 case 'C': send_message('3', ""); break;
                 case 'H': flush(); break;
                 case 'Q': simple_query(reader.text()); break;
-                default: throw ConnectionBroken("an unknown message");
+                default: throw ConnectionBroken("unknown message type");
             }
         } catch (const SqlError& error) {
             send_error(error.kind == SqlError::Kind::kRejectedEntries ? "23000" : "XX000", error.what());
@@ -407,7 +409,7 @@
     }
     void describe(MessageReader& reader) {
         if (reader.number(1) == 'S')
-            throw SqlError(SqlError::Kind::kUnavailable, "statements are not described here");
+            throw SqlError(SqlError::Kind::kUnavailable, "describing a statement is not supported");
         run_portal();
         send_row_description();
     }
@@ -432,7 +434,7 @@
         send_message('T', body);
     }
     void execute() {
-        if (fault_due(server_.die_at_execute)) throw ConnectionBroken("told to die");
+        if (fault_due(server_.die_at_execute)) throw ConnectionBroken("injected crash");
         run_portal();
         send_rows();
     }
@@ -473,7 +475,8 @@
         }
         if (transaction_status_ == 'E')
             throw SqlError(SqlError::Kind::kUnavailable, "the transaction is aborted");
-        if (text.starts_with("CREATE OR REPLACE FUNCTION")) return {};  // the SQLite side has its own
+        if (text.starts_with("CREATE OR REPLACE FUNCTION"))
+            return {};  // SqliteDb defines the function itself
         if (text.find("to_regclass") != std::string::npos) {
             return db_->run(
                 "SELECT count(*) FROM sqlite_master WHERE type = 'table' AND name = 'pinedoor_meta'");
@@ -482,15 +485,15 @@
     }
     void end_transaction(const std::string& command) {
         const bool commit = command == "COMMIT";
-        if (commit && fault_due(server_.die_before_commit)) throw ConnectionBroken("told to die");
+        if (commit && fault_due(server_.die_before_commit)) throw ConnectionBroken("injected crash");
         if (commit && fault_due(server_.fail_commit)) {
             db_->roll_back();
             in_transaction_ = false;
             transaction_status_ = 'I';
-            throw SqlError(SqlError::Kind::kUnavailable, "told to fail");
+            throw SqlError(SqlError::Kind::kUnavailable, "injected commit failure");
         }
         while (commit && server_.stall_commits && !disconnected_) usleep(1'000);
-        if (disconnected_) throw ConnectionBroken("killed");
+        if (disconnected_) throw ConnectionBroken("connection killed");
         if (commit && in_transaction_)
             db_->commit();
         else
@@ -499,7 +502,7 @@
         transaction_status_ = 'I';
         if (!commit) return;
         ++server_.commits;
-        if (fault_due(server_.die_after_commit)) throw ConnectionBroken("told to die");
+        if (fault_due(server_.die_after_commit)) throw ConnectionBroken("injected crash");
     }
 
     PostgresStandIn& server_;
@@ -509,7 +512,7 @@
     std::string send_buffer_;
     std::unique_ptr<store::SqliteDb> db_;
     std::map<std::string, Prepared> prepared_;
-    std::string portal_sql_;  // of the portal
+    std::string portal_sql_;
     std::vector<Value> portal_values_;
     std::optional<std::vector<Row>> portal_rows_;
     bool skipping_until_sync_ = false;
--- a/tests/stand_ins/postgres.hpp
+++ b/tests/stand_ins/postgres.hpp
@@ -1,10 +1,10 @@
-// A stand-in for a PostgreSQL server, from its published protocol, version 3.0 (the documentation's part
-// "Frontend/Backend Protocol"): start-up, SCRAM-SHA-256 (RFC 5802, RFC 7677), simple and extended query with
-// pipelining, errors that skip to the next Sync, cancel requests, TLS by SSLRequest. It keeps its rows in a
-// SQLite file, so what it tells is what it holds; a transaction is one of SQLite's. Only the SQL that both
-// share is understood.
+// A stand-in for a PostgreSQL server, written from the published protocol 3.0 (PostgreSQL documentation,
+// "Frontend/Backend Protocol"). It supports start-up, SCRAM-SHA-256 (RFC 5802, RFC 7677), simple and extended
+// queries with pipelining, errors that skip to the next Sync, cancel requests, and TLS by SSLRequest. Rows
+// are kept in a SQLite file and transactions are SQLite's, so only SQL that both databases share is
+// supported.
 //
-// Faults are told to it while it runs, each by its name; it counts what it did.
+// Tests inject faults through the public members while it runs; counters report what it did.
 #pragma once
 
 #include <atomic>
@@ -24,25 +24,26 @@
 
 class PostgresStandIn {
 public:
-    // `file`: where its rows are; they outlive it, as a server's outlive a restart.
+    // `file`: the SQLite file with the rows. It outlives the stand-in, so a new instance acts as a restarted
+    // server.
     explicit PostgresStandIn(std::string file, std::string password = "turnout");
     ~PostgresStandIn();
 
     std::string conninfo() const;  // with user and password
-    // From now on connections must be TLS's, with a certificate of its own for the name records.test, which
-    // is written to `certificate_file`.
+    // Requires TLS for all further connections. Writes its certificate, for the name records.test, to
+    // `certificate_file`.
     void require_tls(const std::string& certificate_file);
     std::uint16_t port() const { return port_; }
 
-    // Faults. A number: at so many more times that it comes to that, counting down, 0: never.
-    std::atomic<int> die_before_commit = 0;        // the connection breaks, nothing is in
-    std::atomic<int> die_after_commit = 0;         // it is in, and no word of it comes
-    std::atomic<int> die_at_execute = 0;           // at the n-th Execute message from now
-    std::atomic<int> fail_commit = 0;              // an error of the server's, nothing is in
-    std::atomic<bool> stall_commits = false;       // they wait, and go in when this ends
+    // Faults. A number N triggers the fault at the N-th occasion; 0: never.
+    std::atomic<int> die_before_commit = 0;        // the connection breaks, nothing is committed
+    std::atomic<int> die_after_commit = 0;         // it is committed, but the client gets no reply
+    std::atomic<int> die_at_execute = 0;           // at the N-th Execute message
+    std::atomic<int> fail_commit = 0;              // the server reports an error, nothing is committed
+    std::atomic<bool> stall_commits = false;       // commits wait until this is reset
     std::atomic<bool> refuse_connections = false;  // new connections are closed at once
-    std::atomic<bool> send_byte_by_byte = false;   // what it says comes byte by byte
-    void kill_connections();                       // all connections break; what is not committed is gone
+    std::atomic<bool> send_byte_by_byte = false;   // replies are sent byte by byte
+    void kill_connections();                       // breaks all connections; open transactions are lost
 
     std::atomic<int> connections = 0, tls_connections = 0, commits = 0, wrong_passwords = 0, cancels = 0,
                      errors = 0;
@@ -56,7 +57,7 @@
 
     const std::string file_;
     const std::string password_;
-    std::unique_ptr<Tls> tls_;  // set before any connection
+    std::unique_ptr<Tls> tls_;  // set before the first connection
     net::Fd listener_;
     std::uint16_t port_ = 0;
     std::atomic<bool> stopping_ = false;
--- a/tests/store/crash_test.cpp
+++ b/tests/store/crash_test.cpp
@@ -1,5 +1,5 @@
-// SIGKILL at every named point, and at random ones: what the store says afterwards agrees with what the index
-// servers really ran, and nothing ran twice.
+// Kills the program with SIGKILL at every named crash point and at random times. Afterwards the store must
+// agree with what the index servers ran, and nothing may have run twice.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -16,7 +16,7 @@
 
 const std::string kSqlite = "[store]\nkind = \"sqlite\"\nfolder = \"@/store\"\nlease_ms = 200\n";
 
-// "answered", "refused" and so on, a word for each record, oldest first.
+// The states of all records, oldest first, separated by blanks.
 std::string list_states(const Program& program) {
     std::istringstream lines(program.store("list --most 100000"));
     std::string out;
@@ -29,20 +29,21 @@
     return out;
 }
 
-TEST_CASE("killed at each point between intent and answer: what is known after is what has happened") {
+TEST_CASE("after a kill at any point between intent and answer, the records match what happened") {
     struct Point {
         const char* name;
         const char* expected_states;  // after the restart
         int expected_runs;
-        const char* repeat_answer;  // the client that asks again
+        const char* repeat_answer;  // to the client that repeats the request
     };
     const std::string answer = R"(200 {"whole":true,"results":[{"partition":1,"value":"of qa"}]})";
     const std::string in_doubt = "500 in doubt: the first request may have run, and is not run again\n";
     for (const auto& point :
          {Point{"asked", "", 0, "runs"}, Point{"before_write", "", 0, "runs"},
-          Point{"after_write", "in-doubt", 0, "doubt"}, Point{"intent_durable", "in-doubt", 0, "doubt"},
-          Point{"handed_over", "in-doubt", 0, "doubt"}, Point{"outcome_known", "in-doubt", 1, "doubt"},
-          Point{"before_write:2", "in-doubt", 1, "doubt"}, Point{"after_write:2", "answered", 1, "recorded"},
+          Point{"after_write", "in-doubt", 0, "in doubt"}, Point{"intent_durable", "in-doubt", 0, "in doubt"},
+          Point{"handed_over", "in-doubt", 0, "in doubt"}, Point{"outcome_known", "in-doubt", 1, "in doubt"},
+          Point{"before_write:2", "in-doubt", 1, "in doubt"},
+          Point{"after_write:2", "answered", 1, "recorded"},
           Point{"outcome_durable", "answered", 1, "recorded"},
           Point{"answered", "answered", 1, "recorded"}}) {
         CAPTURE(point.name);
@@ -61,14 +62,14 @@
         CHECK(server.runs()["qa"] == point.expected_runs);
         client = program.client();
         client.say(post("once", "t2", asks({1}, "qa"), 4'000, keyed("k")));
-        CHECK(client.answer() == (std::string_view(point.repeat_answer) == "doubt" ? in_doubt : answer));
+        CHECK(client.answer() == (std::string_view(point.repeat_answer) == "in doubt" ? in_doubt : answer));
         CHECK(server.runs()["qa"] ==
               (std::string_view(point.repeat_answer) == "runs" ? 1 : point.expected_runs));
     }
 }
 
-// Many multigets and a kill at a random time, again and again; then each key is asked for until it has a
-// final answer.
+// Runs many multigets and kills the program at a random time, repeatedly; then repeats the request of each
+// key until it has a final answer.
 struct CrashRounds {
     Counting server;
     Listener discovery;
@@ -76,7 +77,7 @@
     std::mt19937 rng{20'261'201};
     int next_request = 0;
     std::vector<std::string> texts;
-    std::map<std::string, std::string> client_answers;  // the final answer that a client was given, by text
+    std::map<std::string, std::string> client_answers;  // last answer that a client received, by text
 
     void run_round(bool with_keys, int max_delay_us) {
         program.start().client();
@@ -94,7 +95,7 @@
             if (const auto answer = client.answer(); answer != "nothing") client_answers[text] = answer;
         }
     }
-    // What the store says of each client's name against what ran.
+    // Compares the store's record of each multiget with what the server ran.
     void check_against_server() {
         const auto ran = server.runs();
         std::istringstream lines(program.store("list --most 100000"));
@@ -102,7 +103,8 @@
         for (std::string line; std::getline(lines, line);) {
             std::istringstream fields(line);
             std::string time, state, id, op_type, word, client;
-            fields >> time >> state >> id >> op_type >> word >> word >> client;  // the tenant has two words
+            // The tenant's name has two words.
+            fields >> time >> state >> id >> op_type >> word >> word >> client;
             const auto text = client.substr(client.find('-') + 1);
             const auto at = ran.find(text);
             const int runs = at == ran.end() ? 0 : at->second;
@@ -121,7 +123,7 @@
     }
 };
 
-TEST_CASE("killed at 100 random times: nothing runs twice, and every key has a final answer that is true") {
+TEST_CASE("after kills at 100 random times, nothing has run twice and every key has a correct final answer") {
     CrashRounds crash_rounds;
     crash_rounds.program.with_settings(kSqlite);
     for (int round = 0; round < 100; ++round) crash_rounds.run_round(true, 12'000);
@@ -131,8 +133,8 @@
     std::map<std::string, int> kinds;
     for (const auto& text : crash_rounds.texts) {
         if (text.back() == 'u' || text.back() == 's') continue;  // never run, and never answered
-        // A pushback is asked again later: so many of these texts fail at the one server that the module sets
-        // it aside, for up to the longest Retry-After.
+        // Retries after a pushback. So many of these texts fail at the single server that it is set aside,
+        // for up to the longest Retry-After.
         std::string answer = "503";
         for (int tries = 0; tries < 400 && (answer.starts_with("503") || answer.starts_with("409"));
              ++tries) {
@@ -162,8 +164,7 @@
     CHECK(crash_rounds.program.wait() == 0);
 }
 
-TEST_CASE(
-    "killed at 60 random times with a store that comes and goes: records and spill agree with what ran") {
+TEST_CASE("after kills at 60 random times with an unreliable store, records and spill match what ran") {
     const auto file = scratch() + "/pinedoor-storm-" + std::to_string(getpid()) + ".db";
     {
         PostgresStandIn postgres(file);
--- a/tests/store/record_test.cpp
+++ b/tests/store/record_test.cpp
@@ -1,4 +1,5 @@
-// The program with a store of record, over sockets: what a client is told, and what the store then says.
+// The whole program with a store of record, over sockets: the answers that clients get, and what the store
+// then contains.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -31,14 +32,14 @@
               int ms = 4'000, const std::string& text = "q") {
         client.say(post(op_type, name, asks({1}, text), ms, extra));
     }
-    // Asks, and takes the call at the server on a new connection there.
+    // Sends a multiget and accepts the resulting send on a new connection at the server.
     std::string send_and_accept(const std::string& op_type, const std::string& name,
                                 const std::string& extra = "") {
         send(op_type, name, extra);
         link = server.accept();
         return link.frame();
     }
-    // "answered n0/1/1", a line each.
+    // The records as lines like "answered n0/1/1".
     std::string list_states(const std::string& words = "") {
         std::istringstream lines(program.store("list " + words));
         std::string out;
@@ -55,7 +56,7 @@
 const std::string kAnswerX = R"(200 {"whole":true,"results":[{"partition":1,"value":"x"}]})";
 
 TEST_CASE(
-    "what must not run twice is recorded; a key gives its answer again, and only for the same request") {
+    "non-retriable multigets are recorded; a key returns the recorded answer, for the same request only") {
     Node node(kSqlite);
     node.start();
     CHECK(node.send_and_accept("once", "t1", keyed("k \\\"1\\\"")) == "St1.1 1 1\nq");
@@ -74,7 +75,7 @@
     node.link.reply("t5.1", "full");
     CHECK(pinedoor::test::is_pushback(node.client.answer(), 0.625, 1.25));
     node.send("again", "t6", keyed("k2"));
-    CHECK(node.link.frame() == "St6.1 1 1\nq");  // refused before, so it runs afresh
+    CHECK(node.link.frame() == "St6.1 1 1\nq");  // refused before, so it runs now
     node.link.reply("t6.1", "done", "x");
     CHECK(node.client.answer() == kAnswerX);
     CHECK(node.list_states() == "answered n0/1/1\nrefused n0/1/4\nanswered n0/1/5\n");
@@ -93,7 +94,7 @@
 }
 
 TEST_CASE(
-    "a key under way is a conflict; after a kill it is in doubt, never run again, until a person settles "
+    "a key in progress is a conflict; after a kill it is in doubt and not run until an operator resolves "
     "it") {
     Node node(kSqlite);
     node.start();
@@ -119,7 +120,8 @@
     CHECK(node.client.answer() == kAnswerX);
 }
 
-TEST_CASE("what has failed is never run again, and what the client left is told from what it had") {
+TEST_CASE(
+    "a failed multiget is never run again; one whose client left is recorded by what is known of its parts") {
     Node node(kSqlite);
     node.start();
     node.send_and_accept("once", "t1", keyed("k"));
@@ -137,7 +139,7 @@
     CHECK(node.program.store("show n0/1/3").find("note          client left\n") != std::string::npos);
 }
 
-TEST_CASE("hostile words stay words: SQL, quotes and what is no UTF-8 in every field, and keys too long") {
+TEST_CASE("SQL, quotes and invalid UTF-8 in any field are stored as data; overlong keys are rejected") {
     Node node(kSqlite);
     node.program.with("acme, inc", "x'); DROP TABLE records; --");
     node.start();
@@ -161,7 +163,7 @@
 }
 
 TEST_CASE(
-    "a clock set back changes nothing: incarnations rise, and a copied folder's name is not used twice") {
+    "incarnations rise with every start whatever the clock says, and a copied folder does not reuse one") {
     Node node(kSqlite);
     node.start();
     node.send_and_accept("once", "t1");
@@ -179,7 +181,7 @@
     CHECK(node.program.counter_at("store_incarnation", 4) == 4);
 }
 
-TEST_CASE("the folder is one node's alone, and faults of the settings name file, line and key") {
+TEST_CASE("a folder is used by one node only, and errors in the settings name file, line and key") {
     Node node(kSqlite);
     node.start();
     Program second({}, node.discovery.at());
@@ -209,11 +211,12 @@
                postgres.conninfo() + "\"\nstatement_timeout_ms = 300\n[store.write]\nreopen_from_ms = 10\n" +
                extra;
     }
-    // Needs a node that was started: its settings name the store.
+    // Call after the node was started, which writes the settings that name the store.
     std::string init(Node& node) const { return node.program.store("init"); }
 };
 
-TEST_CASE("PostgreSQL: the same over the wire, with a database that is made and migrated by hand only") {
+TEST_CASE(
+    "PostgreSQL: records and keys work as with SQLite; only the operator creates and migrates the database") {
     PostgresStore store;
     Node node(store.settings());
     node.start();
@@ -242,21 +245,23 @@
     CHECK(node.program.store("list").ends_with("run a newer pinedoor\nexit 1\n"));
 }
 
-TEST_CASE("PostgreSQL: a commit whose word is lost, one that never came, and a server that dies in a batch") {
+TEST_CASE(
+    "PostgreSQL: a commit without a reply, a commit that failed, and a server that dies during a batch") {
     PostgresStore store;
     Node node(store.settings());
     node.start();
     store.init(node);
     CHECK(node.program.counter_at("store_condition", 1) == 1);
-    SUBCASE("committed, no word") { store.postgres.die_after_commit = 1; }
+    SUBCASE("committed, no reply") { store.postgres.die_after_commit = 1; }
     SUBCASE("not committed") { store.postgres.die_before_commit = 1; }
     SUBCASE("refused by the server") { store.postgres.fail_commit = 1; }
-    SUBCASE("in the middle") { store.postgres.die_at_execute = 2; }
+    SUBCASE("during the batch") { store.postgres.die_at_execute = 2; }
     SUBCASE("slow bytes") { store.postgres.send_byte_by_byte = true; }
     const bool refused = store.postgres.fail_commit == 1;
     node.send("once", "t1", keyed("k"));
     if (refused) {
-        CHECK(node.client.answer().starts_with("503 "));  // the store said no: the key cannot be judged
+        // The store rejected the write, so the key cannot be judged.
+        CHECK(node.client.answer().starts_with("503 "));
         CHECK(node.program.counter_at("store_condition", 1) == 1);
         node.send("once", "t1", keyed("k"));
     }
@@ -271,7 +276,7 @@
     CHECK(node.program.store("verify") == "nothing amiss\n");
 }
 
-TEST_CASE("PostgreSQL: a store that stalls holds up no final answer; the record follows") {
+TEST_CASE("PostgreSQL: a stalled store does not delay the final answer; the record follows") {
     PostgresStore store;
     Node node(store.settings());
     node.start();
@@ -281,9 +286,9 @@
     store.postgres.stall_commits = true;
     const auto began = std::chrono::steady_clock::now();
     node.link.reply("t1.1", "done", "x");
-    CHECK(node.client.answer() == kAnswerX);  // its outcome went to the spill
+    CHECK(node.client.answer() == kAnswerX);  // its outcome was spilled
     node.send("once", "t2");
-    CHECK(node.link.frame() == "St2.1 1 1\nq");  // and so did the next one's intent
+    CHECK(node.link.frame() == "St2.1 1 1\nq");  // the next intent was spilled, too
     node.link.reply("t2.1", "failed");
     CHECK(node.client.answer() == "500");
     node.send("once", "t3", keyed("k"), 1'000);
@@ -299,7 +304,8 @@
     CHECK(node.list_states("--state failed") == "failed n0/1/2\n");
 }
 
-TEST_CASE("PostgreSQL: one key at two nodes is run by one, and in doubt once that one is killed") {
+TEST_CASE(
+    "PostgreSQL: a key used at two nodes runs at one of them, and is in doubt after that one is killed") {
     PostgresStore store;
     Node first(store.settings()), second(store.settings());
     second.program.with("\"name\":\"n0\"", "\"name\":\"n1\"");
@@ -320,8 +326,8 @@
     SUBCASE("killed") {
         first.program.kill(SIGKILL);
         std::string last_answer = "409";
-        for (int tries = 0; tries < 800 && last_answer.starts_with("409");
-             ++tries) {  // until its lease is over
+        // Repeats the request until the lease of the killed node has expired.
+        for (int tries = 0; tries < 800 && last_answer.starts_with("409"); ++tries) {
             usleep(10'000);
             second.send("once", "t" + std::to_string(tries + 10), keyed("k"));
             last_answer = second.client.answer();
@@ -333,7 +339,7 @@
 }
 
 TEST_CASE(
-    "PostgreSQL: gone for longer than the spill holds, those that need an intent are refused before any "
+    "PostgreSQL: when an outage fills the spill, multigets that need an intent are rejected before any "
     "send") {
     PostgresStore store;
     Node node(store.settings("[store.spill]\nmost_mb = 1\noutcome_room = 65536\n"));
@@ -358,9 +364,9 @@
         last_answer = node.client.answer();
     }
     CHECK(last_answer.starts_with("503 retry-after=0."));
-    CHECK(answered >= 14);  // 60 kB each, and 64 KiB are kept for the outcome of the next
+    CHECK(answered >= 14);  // 60 kB each, and 64 KiB are reserved for the next outcome
     CHECK(answered <= 18);
-    node.send("again", "free");  // all others go on
+    node.send("again", "free");  // unrecorded multigets are not affected
     CHECK(node.link.frame() == "Sfree.1 1 1\nq");
     node.link.reply("free.1", "done", "x");
     CHECK(node.client.answer() == kAnswerX);
@@ -371,7 +377,7 @@
     CHECK(node.program.counter("records_lost") == 0);
 }
 
-TEST_CASE("PostgreSQL: a wrong password and a name to look up are said") {
+TEST_CASE("PostgreSQL: a wrong password and a host name that needs resolving are reported") {
     PostgresStore store;
     auto settings = store.settings();
     SUBCASE("password") {
@@ -381,7 +387,7 @@
         CHECK(node.program.counter_at("store_condition", 3) == 3);
         CHECK(node.program.log().find("password authentication failed") != std::string::npos);
     }
-    SUBCASE("name") {
+    SUBCASE("host name") {
         settings.replace(settings.find("hostaddr=127.0.0.1"), 18, "host=records.internal");
         Node node(settings);
         node.program.start();
@@ -390,7 +396,7 @@
     }
 }
 
-TEST_CASE("PostgreSQL over TLS: a server with the right certificate is used, another is not, none without") {
+TEST_CASE("PostgreSQL over TLS: only a server with the trusted certificate and the right name is used") {
     PostgresStore store;
     const auto trusted_certificate = scratch() + "/pinedoor-right-" + std::to_string(getpid()) + ".pem";
     const auto other_certificate = scratch() + "/pinedoor-wrong-" + std::to_string(getpid()) + ".pem";
@@ -401,7 +407,7 @@
         const auto at = settings.find("hostaddr");
         settings.insert(at, extra + " ");
     };
-    SUBCASE("right") {
+    SUBCASE("trusted certificate") {
         add_conninfo("host=records.test sslmode=verify-full sslrootcert=" + trusted_certificate);
         Node node(settings);
         node.start();
@@ -412,7 +418,7 @@
         node.link.reply("t1.1", "done", "x");
         CHECK(node.client.answer() == kAnswerX);
         store.postgres.send_byte_by_byte = false;
-        store.postgres.kill_connections();  // and over a new connection, what was recorded
+        store.postgres.kill_connections();  // the record is then read over a new connection
         node.send("once", "t2", keyed("k"));
         const auto answer = node.client.answer();
         CHECK((answer == kAnswerX || answer.starts_with("503 ")));
@@ -421,7 +427,7 @@
         CHECK(node.client.answer() == kAnswerX);
         CHECK(store.postgres.tls_connections >= 3);
     }
-    SUBCASE("another's certificate") {
+    SUBCASE("other certificate") {
         add_conninfo("host=records.test sslmode=verify-full sslrootcert=" + other_certificate);
         Node node(settings);
         node.start();
@@ -430,7 +436,7 @@
         node.send("once", "t1", keyed("k"));
         CHECK(node.client.answer().starts_with("503 "));
     }
-    SUBCASE("another name") {
+    SUBCASE("other name") {
         add_conninfo("host=records.elsewhere sslmode=verify-full sslrootcert=" + trusted_certificate);
         Node node(settings);
         node.start();
--- a/tests/store/recorder_test.cpp
+++ b/tests/store/recorder_test.cpp
@@ -1,4 +1,4 @@
-// The recorder's decisions, as printed traces and as properties against a plain model.
+// Tests of Recorder's decisions: by traces of its actions, and by properties checked against a simple model.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -12,9 +12,9 @@
 using namespace pinedoor::store;
 using Kind = EntryRef::Kind;
 
-// As an exception, so that it ends a property's case or an exploration alike.
+// Throws, which works in a property as well as in the exhaustive exploration.
 #define REQUIRE_HOLDS(condition) \
-    if (!(condition)) throw std::logic_error("does not hold: " #condition)
+    if (!(condition)) throw std::logic_error("violated: " #condition)
 
 std::string print(const std::vector<EntryRef>& refs) {
     std::string out;
@@ -96,7 +96,8 @@
     std::string trace_text() { return '\n' + trace.str(); }
 };
 
-TEST_CASE("an intent goes on when its write has ended; what comes meanwhile makes up the next write") {
+TEST_CASE(
+    "a multiget proceeds once its intent is written; entries that arrive meanwhile form the next batch") {
     Script s;
     s.start_up()
         .submit_intent(1)
@@ -120,8 +121,7 @@
 )");
 }
 
-TEST_CASE(
-    "a write that is slow sends all that is plain to the spill, and the spill is read back when it ends") {
+TEST_CASE("a slow write sends entries without a key to the spill, which is replayed once the write ends") {
     Script s;
     s.start_up()
         .submit_intent(1)
@@ -155,7 +155,9 @@
 )");
 }
 
-TEST_CASE("a store that stalls turns keyed ones away at their share of the time, and holds no refusal back") {
+TEST_CASE(
+    "with a stalled store, keyed intents are rejected at their share of the time, and no refusal is "
+    "delayed") {
     Script s;
     s.start_up()
         .submit_intent(1, true, 4'000)
@@ -174,7 +176,7 @@
 )");
 }
 
-TEST_CASE("an answer waits for its record for its share of the time, then goes out before it") {
+TEST_CASE("an answer waits for its record for its share of the time, then is released without it") {
     Script s;
     s.start_up()
         .submit_intent(1)
@@ -196,7 +198,7 @@
 )");
 }
 
-TEST_CASE("a write whose end is not known is settled by asking, and only what is absent is written again") {
+TEST_CASE("a write with an unknown result is reconciled, and only absent entries are written again") {
     Script s;
     s.start_up().submit_intent(1).submit_intent(2, true).submit_intent(3, true).write_stored(1).handle(
         WriteUnknown{2});
@@ -217,7 +219,7 @@
 )");
 }
 
-TEST_CASE("a settlement that is lost too is asked again; who gave up meanwhile is not sent any more") {
+TEST_CASE("a reconciliation that fails is repeated; a multiget rejected meanwhile does not proceed") {
     Script s;
     s.start_up()
         .submit_intent(1, true, 2'000)
@@ -243,7 +245,7 @@
 )");
 }
 
-TEST_CASE("a store that does not open turns keyed ones away at once, and is tried with growing pauses") {
+TEST_CASE("a store that fails to open rejects keyed intents at once, and is retried with growing delays") {
     Script s;
     s.start()
         .submit_intent(1, true)
@@ -265,7 +267,7 @@
 )");
 }
 
-TEST_CASE("a process without a name spills nothing: what needs an intent waits for the store that names it") {
+TEST_CASE("a process without an incarnation spills nothing: intents wait for the store to assign one") {
     Script s;
     s.incarnation_known = false;
     s.start()
@@ -293,7 +295,7 @@
 )");
 }
 
-TEST_CASE("a key that somebody else holds is not run; the multigets beside it are") {
+TEST_CASE("a multiget whose key another record holds does not proceed; the others of its batch do") {
     Script s;
     s.start_up()
         .submit_intent(1, true)
@@ -312,8 +314,7 @@
 )");
 }
 
-TEST_CASE(
-    "with the spill full those that need an intent are turned away, and outcomes still have their room") {
+TEST_CASE("with a full spill, intents are rejected, and outcomes still fit into their reserved space") {
     Script s;
     s.config.spill_bytes = 3'000;
     s.start()
@@ -343,7 +344,8 @@
 )");
 }
 
-TEST_CASE("when the spill fails as well nothing more is begun; outcomes are kept until one of them is back") {
+TEST_CASE(
+    "when store and spill both fail, intents are rejected and outcomes are kept until one of the two works") {
     Script s;
     s.start()
         .handle(StoreOpenFailed{})
@@ -377,7 +379,7 @@
 )");
 }
 
-TEST_CASE("one entry that the store will not have does not keep the others out") {
+TEST_CASE("an entry that the store rejects does not block the others of its batch") {
     Script s;
     s.start_up()
         .submit_intent(1)
@@ -404,7 +406,7 @@
 )");
 }
 
-TEST_CASE("of the spill such an entry is set aside, when the others of its write go singly") {
+TEST_CASE("a rejected entry of the spill is set aside after its batch is replayed one entry at a time") {
     Script s;
     s.config.most_batch = 2;
     s.start()
@@ -426,9 +428,9 @@
 )");
 }
 
-// A store and a spill that behave anyhow, and a plain model of what is durable. Whatever happens: nobody
-// proceeds without a durable intent, everyone is told once and in time, and in the end each outcome of those
-// who went on is durable, unless it was reported lost.
+// A store and a spill that succeed or fail in any order, and a model of what is durable. In every run no
+// multiget proceeds without a durable intent, each is answered exactly once and in time, and in the end every
+// outcome of a multiget that proceeded is durable unless it was reported lost.
 struct Simulation {
     explicit Simulation(std::uint64_t seed)
         : recorder(seed, test_config()), rng(static_cast<std::mt19937::result_type>(seed)) {}
@@ -534,7 +536,7 @@
         }
         handle(SpillWritten{batch, ok});
     }
-    // One thing happens, of so many; false: it cannot happen now.
+    // Applies one of kChoices events; returns false if it is not possible now.
     static constexpr int kChoices = 10;
     bool apply(int choice) {
         switch (choice) {
@@ -580,8 +582,8 @@
         for (const auto number : std::exchange(open_multigets, {}))
             handle(OutcomeSubmitted{number, 120, 120, false, now});
         run_until_idle();
-        for (const auto number :
-             std::exchange(open_multigets, {})) {  // those whose intent came through only now
+        // Multigets whose intents became durable only now.
+        for (const auto number : std::exchange(open_multigets, {})) {
             outcomes.insert(number);
             handle(OutcomeSubmitted{number, 120, 120, false, now});
         }
@@ -636,8 +638,9 @@
     std::mt19937 rng;
     Time now = 0;
     Time next_wake = 0;
-    int next_result =
-        -1;  // what the store does next: 1 and 2 end unsure, with it in or not, 3 is a refusal; -1: by chance
+    // Result of the next store operation: 0 success, 1 unknown and stored, 2 unknown and not stored, 3
+    // rejected; -1: random.
+    int next_result = -1;
     bool opening = false;
     struct Outstanding {
         BatchId batch;
@@ -653,8 +656,7 @@
     RecordNumber last_number = 0;
 };
 
-TEST_CASE(
-    "whatever store and spill do, who proceeds has an intent, all are told in time, no outcome is lost") {
+TEST_CASE("whatever store and spill do: no send without an intent, answers in time, no outcome lost") {
     CHECK(rc::check([] {
         Simulation simulation(*rc::gen::arbitrary<std::uint64_t>());
         if (simulation.one_in(2)) simulation.recorder.set_incarnation_known();
@@ -664,7 +666,7 @@
     }));
 }
 
-// Every order of what may happen to up to three multigets, seven steps deep.
+// Explores every sequence of events of the given depth with up to three open multigets.
 void explore(const Simulation& simulation, int depth, std::size_t& seen) {
     for (int choice = 0; choice < Simulation::kChoices; ++choice) {
         Simulation next(simulation);
@@ -678,8 +680,7 @@
     }
 }
 
-TEST_CASE(
-    "all orders of wants, ends, writes that go well, unsure, refused, spilled or not, and time: it holds") {
+TEST_CASE("the same holds for every order of intents, outcomes, write results, spill results and time") {
     std::size_t seen = 0;
     for (const bool up : {true, false}) {
         Simulation simulation(1);
--- a/tests/store/spill_test.cpp
+++ b/tests/store/spill_test.cpp
@@ -1,4 +1,4 @@
-// The spill and the SQLite side when files fail at every call, and the formats.
+// Tests of the spill and of SqliteDb with files that fail at any call, and of the encoding of entries.
 #include "store/spill.hpp"
 
 #include <doctest/doctest.h>
@@ -52,7 +52,7 @@
     return out;
 }
 
-TEST_CASE("an entry is read back as it was written, and nothing else is an entry") {
+TEST_CASE("an entry decodes to what was encoded, and other bytes do not decode") {
     CHECK(rc::check([](const std::string& a, const std::string& b, std::uint64_t n, std::int64_t t) {
         const Entry one = Intent{{a, n, n + 1}, b, a, b, a + b, b, t, t + 1, 7};
         const Entry two = Outcome{{b, n, n}, a, b, Fate::kFailed, true, t, b, a, a + a};
@@ -60,11 +60,12 @@
         RC_ASSERT(decode(encode(two)) == std::optional(two));
         RC_ASSERT(!decode(encode(one) + 'x'));
         RC_ASSERT(!decode(encode(two).substr(0, encode(two).size() - 1)));
-        decode(a);  // whatever it is
+        decode(a);  // must not crash on any input
     }));
 }
 
-TEST_CASE("the spill gives back in order what was appended, over many files and a restart at any place") {
+TEST_CASE(
+    "the spill returns entries in the order of appends, across files and after a restart at any point") {
     CHECK(rc::check([](const std::vector<std::uint8_t>& steps) {
         MemoryFiles files;
         std::optional<Spill> spill;
@@ -74,7 +75,8 @@
         };
         restart();
         std::vector<std::uint64_t> model;  // in the spill
-        std::size_t since = 0;             // done since the start: these may come back with it
+        // Entries done since the start; a restart may return them again.
+        std::size_t since = 0;
         std::uint64_t last = 0;
         for (const auto step : steps) {
             const std::uint64_t count = step % 7 + 1U;
@@ -100,7 +102,7 @@
                     held.insert(held.end(), next.begin(), next.end());
                     spill->done(next.size());
                 }
-                // All that is not done is there, in order; what is done may come again, before it.
+                // All entries that are not done are there, in order; entries that are done may precede them.
                 RC_ASSERT(held.size() >= model.size());
                 RC_ASSERT(held.size() <= model.size() + since);
                 RC_ASSERT(std::equal(model.rbegin(), model.rend(), held.rbegin()));
@@ -114,7 +116,8 @@
     }));
 }
 
-TEST_CASE("files that fail at the n-th call, for every n: what was called durable is found after the crash") {
+TEST_CASE(
+    "with files that fail at the n-th call, for every n, entries reported durable are found after a crash") {
     for (const auto fault : {Fault::kNothingWritten, Fault::kHalfWritten, Fault::kHalfDurable}) {
         for (int n = 1; n <= 60; ++n) {
             MemoryFiles files;
@@ -151,7 +154,7 @@
 }
 
 TEST_CASE(
-    "a torn end is cut; bytes that are none in the middle are counted and stepped over, the file kept") {
+    "a torn end is cut off; corrupt bytes in the middle are counted and skipped, and the file is kept") {
     MemoryFiles files;
     {
         Spill spill(files, "f", 10'000);
@@ -181,7 +184,7 @@
         spill.done(5);
         CHECK(files.paths() == std::vector<std::string>{"f/spill-00000001.journal.corrupt"});
     }
-    SUBCASE("another version's head") {
+    SUBCASE("header of another version") {
         bytes[7] = 2;
         Spill spill(files, "f", 10'000);
         CHECK(spill.recover().corrupt_regions == 1);
@@ -190,13 +193,12 @@
 }
 
 TEST_CASE(
-    "SQLite on a disk that fails at the n-th call, for every n: no claim is doubled, nothing stored is "
-    "lost") {
+    "with a disk that fails at the n-th call, for every n, SQLite grants no claim twice and loses no entry") {
     const std::string path = scratch() + "/pinedoor-vfs-" + std::to_string(getpid()) + ".db";
     {
         SqliteDb db(path + ".new");
         migrate(db);
-        db.run("PRAGMA journal_mode = DELETE");  // one file, to be copied
+        db.run("PRAGMA journal_mode = DELETE");  // a single file, so that it can be copied
     }
     FaultyVfs vfs;
     int survived = 0;
@@ -221,7 +223,7 @@
                     } catch (const SqlError&) {
                     }
                 }
-            } catch (const SqlError&) {  // it cannot even be opened
+            } catch (const SqlError&) {  // the database cannot be opened
             }
             reached = vfs.came_by();
             vfs.fail_at(0, fault);
@@ -237,14 +239,13 @@
             for (const auto number : stored) CHECK(found.contains(number));
             survived += mine == 1 ? 1 : 0;
         }
-        CHECK(n > 20);  // the run has that many calls
+        CHECK(n > 20);  // the run makes at least that many calls
     }
     CHECK(survived > 20);
     for (const char* end : {"", "-wal", "-shm", "-journal", ".new"}) std::filesystem::remove(path + end);
 }
 
-TEST_CASE(
-    "entries commute: whichever order they come in and how often, the same is left, and the key is free") {
+TEST_CASE("entries written in any order and any number of times give the same rows, and the key is free") {
     CHECK(rc::check([](bool keyed, const std::vector<std::uint8_t>& order) {
         const std::string key = keyed ? "k" : "";
         SqliteDb db(":memory:");
