--- a/src/tool/command_group.hpp
+++ b/src/tool/command_group.hpp
@@ -11,19 +11,19 @@
 
 class CommandGroup {
 public:
-    CommandGroup(CLI::App& app, int& code, const std::string& name, const std::string& what)
-        : code_(code), group_(app.add_subcommand(name, what)) {
+    CommandGroup(CLI::App& app, int& exit_code, const std::string& name, const std::string& description)
+        : exit_code_(exit_code), group_(app.add_subcommand(name, description)) {
         group_->require_subcommand(1);
     }
 
 protected:
-    CLI::App* command(const char* name, const char* what, std::function<int()> run) {
-        auto* added = group_->add_subcommand(name, what);
-        added->callback([this, run = std::move(run)] { code_ = run(); });
-        return added;
+    CLI::App* command(const char* name, const char* description, std::function<int()> action) {
+        auto* subcommand = group_->add_subcommand(name, description);
+        subcommand->callback([this, action = std::move(action)] { exit_code_ = action(); });
+        return subcommand;
     }
 
-    int& code_;
+    int& exit_code_;
     CLI::App* const group_;
 };
 
--- a/src/tool/command_line.cpp
+++ b/src/tool/command_line.cpp
@@ -26,14 +26,14 @@
                 return std::string_view(name) == "ROUTER_CONFIG" ? path.c_str() : std::getenv(name);
             });
         std::printf("%s: good\n", path.c_str());
-        return kDone;
+        return kSuccess;
     } catch (const stated::BadStated& error) {
         std::printf("%s\n", error.what());
-        return kAmiss;
+        return kProblemFound;
     }
 }
 
-int run_words(int count, const char* const* words) {
+int parse_and_run(int argc, const char* const* argv) {
     CLI::App app{"pinedoor, a front node for multigets over replicated shards", "pinedoor"};
     app.set_version_flag("--version", "pinedoor " PINEDOOR_VERSION);
     app.require_subcommand(0, 1);
@@ -45,43 +45,43 @@
         "  pinedoor store --settings deploy/pinedoor.toml list --state in-doubt --json\n\n"
         "Exit codes: 0 done; 1 the configuration or the store cannot be used; 2 the words are not\n"
         "understood; 3 the command found something amiss, or nothing to act on.");
-    int code = kDone;
-    ServeWords serve_words;
-    auto* served =
+    int exit_code = kSuccess;
+    ServeOptions serve_options;
+    auto* serve_command =
         app.add_subcommand("serve", "Serve as a front node until SIGTERM; what pinedoor alone does");
-    served
-        ->add_option("-s,--settings", serve_words.installation,
+    serve_command
+        ->add_option("-s,--settings", serve_options.settings_path,
                      "Our TOML; without it all that it turns on is off")
         ->envname("PINEDOOR_SETTINGS");
-    served->add_option("--log-format", serve_words.log_format, "pairs (key=value) or json")
+    serve_command->add_option("--log-format", serve_options.log_format, "pairs (key=value) or json")
         ->check(CLI::IsMember({"pairs", "json"}));
-    served->add_option("--log-level", serve_words.log_level, "debug, info, warning or error")
+    serve_command->add_option("--log-level", serve_options.log_level, "debug, info, warning or error")
         ->check(CLI::IsMember({"debug", "info", "warning", "error"}));
-    std::string checked;
+    std::string checked_file;
     auto* check_command =
         app.add_subcommand("check", "Say whether a configuration can be used; exit 3 if not");
-    check_command->add_option("file", checked, "Our TOML (*.toml) or the platform's JSON")->required();
-    add_store_commands(app, code);
-    add_shard_commands(app, code);
-    add_peer_commands(app, code);
+    check_command->add_option("file", checked_file, "Our TOML (*.toml) or the platform's JSON")->required();
+    add_store_commands(app, exit_code);
+    add_shard_commands(app, exit_code);
+    add_peer_commands(app, exit_code);
     try {
-        app.parse(count, words);
-        if (served->parsed() || app.get_subcommands().empty()) code = serve(serve_words);
-        if (check_command->parsed()) code = check(checked);
-        return code;
+        app.parse(argc, argv);
+        if (serve_command->parsed() || app.get_subcommands().empty()) exit_code = serve(serve_options);
+        if (check_command->parsed()) exit_code = check(checked_file);
+        return exit_code;
     } catch (const CLI::ParseError& error) {
-        return app.exit(error) == 0 ? kDone : kBadWords;
+        return app.exit(error) == 0 ? kSuccess : kUsageError;
     }
 }
 
 }  // namespace
 
-int run(int count, const char* const* words) {
+int run(int argc, const char* const* argv) {
     try {
-        return run_words(count, words);
+        return parse_and_run(argc, argv);
     } catch (const std::exception& error) {
         std::fprintf(stderr, "pinedoor: %s\n", error.what());
-        return kUnusable;
+        return kFailure;
     }
 }
 
--- a/src/tool/command_line.hpp
+++ b/src/tool/command_line.hpp
@@ -9,12 +9,12 @@
 
 namespace pinedoor::tool {
 
-enum ExitCode : int { kDone = 0, kUnusable = 1, kBadWords = 2, kAmiss = 3 };
+enum ExitCode : int { kSuccess = 0, kFailure = 1, kUsageError = 2, kProblemFound = 3 };
 
-struct Unusable : std::runtime_error {  // told to the user as it is; ends the command with kUnusable
+struct CommandError : std::runtime_error {  // told to the user as it is; ends the command with kUnusable
     using std::runtime_error::runtime_error;
 };
 
-int run(int count, const char* const* words);
+int run(int argc, const char* const* argv);
 
 }  // namespace pinedoor::tool
--- a/src/tool/serve.cpp
+++ b/src/tool/serve.cpp
@@ -16,7 +16,7 @@
 namespace pinedoor::tool {
 namespace {
 
-net::Fd watch_signals() {
+net::Fd open_signal_fd() {
     sigset_t signals;
     sigemptyset(&signals);
     sigaddset(&signals, SIGTERM);
@@ -27,12 +27,12 @@
     return net::Fd(signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC));
 }
 
-net::Task heed_signals(const net::Fd& fd, net::Waiter& signals, service::FrontDoor& door) {
+net::Task handle_signals(const net::Fd& fd, net::Waiter& signals, service::FrontDoor& door) {
     for (;;) {
         co_await signals.wait(net::kRead);
-        signalfd_siginfo told{};
-        while (read(fd.get(), &told, sizeof told) == static_cast<ssize_t>(sizeof told)) {
-            if (told.ssi_signo == SIGHUP)
+        signalfd_siginfo info{};
+        while (read(fd.get(), &info, sizeof info) == static_cast<ssize_t>(sizeof info)) {
+            if (info.ssi_signo == SIGHUP)
                 door.reload();
             else
                 door.stop();
@@ -41,34 +41,35 @@
     }
 }
 
-service::LogTerms log_terms(const stated::LogWords& told) {
-    service::LogTerms terms;
-    terms.format = told.format == "json" ? service::LogFormat::kJson : service::LogFormat::kPairs;
-    terms.least = told.level == "debug"     ? service::Level::kDebug
-                  : told.level == "warning" ? service::Level::kWarning
-                  : told.level == "error"   ? service::Level::kError
-                                            : service::Level::kInfo;
-    return terms;
+service::LogTerms log_options(const stated::LogWords& config) {
+    service::LogTerms options;
+    options.format = config.format == "json" ? service::LogFormat::kJson : service::LogFormat::kPairs;
+    options.least = config.level == "debug"     ? service::Level::kDebug
+                    : config.level == "warning" ? service::Level::kWarning
+                    : config.level == "error"   ? service::Level::kError
+                                                : service::Level::kInfo;
+    return options;
 }
 
 }  // namespace
 
-int serve(const ServeWords& words) {
-    const auto signals = watch_signals();
-    auto installation = words.installation.empty() ? stated::Installation{}
-                                                   : stated::Installation::read_file(words.installation);
-    if (!words.log_format.empty()) installation.log.format = words.log_format;
-    if (!words.log_level.empty()) installation.log.level = words.log_level;
+int serve(const ServeOptions& options) {
+    const auto signals = open_signal_fd();
+    auto installation = options.settings_path.empty()
+                            ? stated::Installation{}
+                            : stated::Installation::read_file(options.settings_path);
+    if (!options.log_format.empty()) installation.log.format = options.log_format;
+    if (!options.log_level.empty()) installation.log.level = options.log_level;
     const auto launch = stated::Launch::read([](const char* name) { return std::getenv(name); });
     net::Scheduler scheduler;
-    service::FrontDoor door(scheduler, launch, installation, stderr, log_terms(installation.log));
+    service::FrontDoor door(scheduler, launch, installation, stderr, log_options(installation.log));
     net::Waiter waiter(scheduler, signals.get());
     door.start();
-    auto heeding = heed_signals(signals, waiter, door);
-    heeding.start({});
+    auto signal_task = handle_signals(signals, waiter, door);
+    signal_task.start({});
     scheduler.run([&] { return door.done(); });
     std::fputs(door.print_counters().c_str(), stderr);
-    return kDone;
+    return kSuccess;
 }
 
 }  // namespace pinedoor::tool
--- a/src/tool/serve.hpp
+++ b/src/tool/serve.hpp
@@ -5,12 +5,12 @@
 
 namespace pinedoor::tool {
 
-struct ServeWords {
-    std::string installation;  // path of our TOML; empty: none
-    std::string log_format;    // empty: as the TOML says
+struct ServeOptions {
+    std::string settings_path;  // path of our TOML; empty: none
+    std::string log_format;     // empty: as the TOML says
     std::string log_level;
 };
 
-int serve(const ServeWords& words);
+int serve(const ServeOptions& options);
 
 }  // namespace pinedoor::tool
--- a/src/tool/shard_carrier.hpp
+++ b/src/tool/shard_carrier.hpp
@@ -25,19 +25,20 @@
     std::vector<net::Endpoint> nodes;  // whose counters tell the fleet's pressure; none: it is not looked at
     std::string who;                   // names this process in the lease
     std::int64_t lease = 100'000;
-    int ask_ms = 500;     // of one request
-    int look_ms = 1'000;  // between two looks at the pressure
+    int request_timeout_ms = 500;      // of one request
+    int pressure_interval_ms = 1'000;  // between two looks at the pressure
     placement::MoveTerms move;
     placement::DeskTerms desk;
 };
 
 // The map at discovery, with the boxes' addresses by the list. Throws Unusable if there is none.
-struct FleetSeen {
+struct FleetView {
     placement::ShardMap map;
     std::map<std::string, net::Endpoint> boxes;
     std::map<std::string, std::string> zones;  // of boxes
 };
-FleetSeen see_fleet(net::Endpoint discovery, const std::string& path, placement::BoxNames& names, int ask_ms);
+FleetView fetch_fleet(net::Endpoint discovery, const std::string& path, placement::BoxNames& names,
+                      int timeout_ms);
 
 // What `before` turned into `after` takes, one move for each replica that changes.
 std::vector<store::JournalMove> moves_between(placement::ShardId shard, placement::Epoch epoch,
@@ -46,66 +47,66 @@
 
 class ShardCarrier {
 public:
-    ShardCarrier(store::SqlDb& db, CarrierTerms terms, std::function<void(const std::string&)> say);
+    ShardCarrier(store::SqlDb& db, CarrierTerms config, std::function<void(const std::string&)> report);
 
     // Until every move of the journal has ended, or none may begin. True: all were done. Throws Unusable if
     // another one carries moves, or discovery is not there.
     bool run();
 
 private:
-    struct Carried {
-        store::JournalMove kept;
+    struct ActiveMove {
+        store::JournalMove journaled;
         std::unique_ptr<placement::Mover> mover;
-        std::set<placement::Time> wakes;
+        std::set<placement::Time> wake_times;
         bool aborted = false;
     };
     using Actions = std::vector<placement::moving::Action>;
 
     placement::Time now() const;
-    void begin(placement::MoveId id);
-    void act(Carried& carried, const Actions& actions);
-    void happened(Carried& carried, const placement::moving::Event& event);
-    void heed_wishes();
-    void look();
-    bool ask(const Carried& carried, const std::string& box, const char* verb, std::uint64_t& number,
-             std::uint64_t upto = 0, placement::Epoch epoch = 0);
-    bool ask(const Carried& carried, const std::string& box, const char* verb, const placement::Shard& shard,
-             std::uint64_t& number, std::uint64_t upto = 0);
+    void start_move(placement::MoveId id);
+    void run_actions(ActiveMove& active, const Actions& actions);
+    void handle_event(ActiveMove& active, const placement::moving::Event& event);
+    void apply_operator_requests();
+    void check_pressure();
+    bool request_box(const ActiveMove& active, const std::string& box, const char* verb, std::uint64_t& value,
+                     std::uint64_t upto = 0, placement::Epoch epoch = 0);
+    bool request_box(const ActiveMove& active, const std::string& box, const char* verb,
+                     const placement::Shard& shard, std::uint64_t& value, std::uint64_t upto = 0);
     // Of a split or a merge: what was, and what is once it is published; null where it is not so.
-    std::vector<const placement::Shard*> parents(const Carried& carried) const;
-    std::vector<const placement::Shard*> children(const Carried& carried) const;
-    bool ask_owner_of_parents(const Carried& carried, const char* verb, std::uint64_t& number);
-    bool drop_parents(const Carried& carried);
-    void see();
-    std::vector<placement::Step> to_publish(const Carried& carried) const;
+    std::vector<const placement::Shard*> parents(const ActiveMove& active) const;
+    std::vector<const placement::Shard*> children(const ActiveMove& active) const;
+    bool request_owner_of_parents(const ActiveMove& active, const char* verb, std::uint64_t& value);
+    bool drop_parents(const ActiveMove& active);
+    void refresh_fleet();
+    std::vector<placement::Step> unpublished_steps(const ActiveMove& active) const;
 
-    void carry_out(Carried& carried, const placement::moving::Keep& keep);
-    void carry_out(Carried& carried, const placement::moving::AskCopy&);
-    void carry_out(Carried& carried, const placement::moving::AskMissing&);
-    void carry_out(Carried& carried, const placement::moving::AskFence&);
-    void carry_out(Carried& carried, const placement::moving::AskReach& reach);
-    void carry_out(Carried& carried, const placement::moving::Publish&);
-    void carry_out(Carried& carried, const placement::moving::AskOwn&);
-    void carry_out(Carried& carried, const placement::moving::AskDrained&);
-    void carry_out(Carried& carried, const placement::moving::AskDrop& drop);
-    void carry_out(Carried& carried, const placement::moving::AskUnfence&);
-    void carry_out(Carried& carried, const placement::moving::Wake& wake);
-    void carry_out(Carried& carried, const placement::moving::Ended& ended);
-    void carry_out(Carried& carried, const placement::moving::CannotAbort&);
+    void execute(ActiveMove& active, const placement::moving::Keep& keep);
+    void execute(ActiveMove& active, const placement::moving::AskCopy&);
+    void execute(ActiveMove& active, const placement::moving::AskMissing&);
+    void execute(ActiveMove& active, const placement::moving::AskFence&);
+    void execute(ActiveMove& active, const placement::moving::AskReach& reach);
+    void execute(ActiveMove& active, const placement::moving::Publish&);
+    void execute(ActiveMove& active, const placement::moving::AskOwn&);
+    void execute(ActiveMove& active, const placement::moving::AskDrained&);
+    void execute(ActiveMove& active, const placement::moving::AskDrop& drop);
+    void execute(ActiveMove& active, const placement::moving::AskUnfence&);
+    void execute(ActiveMove& active, const placement::moving::Wake& wake);
+    void execute(ActiveMove& active, const placement::moving::Ended& ended);
+    void execute(ActiveMove& active, const placement::moving::CannotAbort&);
 
     store::MoveJournal journal_;
-    const CarrierTerms terms_;
-    const std::function<void(const std::string&)> say_;
-    placement::MoveDesk desk_;
+    const CarrierTerms config_;
+    const std::function<void(const std::string&)> report_;
+    placement::MoveDesk scheduler_;
     placement::BoxNames names_;
-    FleetSeen seen_;
-    std::map<std::string, BoxLink> links_;
-    std::map<placement::MoveId, Carried> carried_;
-    std::vector<placement::MoveId> over_;  // to be forgotten once nothing of them is under way
-    placement::Time look_at_ = 0;
-    placement::Time wishes_at_ = 0;
-    std::uint64_t taken_ = 0, refused_ = 0;
-    bool looked_ = false;
+    FleetView fleet_;
+    std::map<std::string, BoxConnection> connections_;
+    std::map<placement::MoveId, ActiveMove> active_moves_;
+    std::vector<placement::MoveId> finished_;  // to be forgotten once nothing of them is under way
+    placement::Time next_pressure_check_ = 0;
+    placement::Time next_request_check_ = 0;
+    std::uint64_t last_taken_ = 0, last_refused_ = 0;
+    bool has_baseline_ = false;
     bool all_done_ = true;
     store::CrashPoints crash_points_;
 };
--- a/src/tool/shard_commands.cpp
+++ b/src/tool/shard_commands.cpp
@@ -23,17 +23,17 @@
 
 using namespace placement;
 using Json = nlohmann::ordered_json;
-constexpr int kBar = 40;  // columns of a plot
+constexpr int kBarWidth = 40;  // columns of a plot
 
-std::string bar(double share, double most) {
-    const auto length = most > 0 ? static_cast<std::size_t>(share / most * kBar + 0.5) : 0;
-    return std::string(std::min<std::size_t>(length, kBar), '#');
+std::string bar(double value, double max) {
+    const auto length = max > 0 ? static_cast<std::size_t>(value / max * kBarWidth + 0.5) : 0;
+    return std::string(std::min<std::size_t>(length, kBarWidth), '#');
 }
 
 class ShardCommands : CommandGroup {
 public:
-    ShardCommands(CLI::App& app, int& code)
-        : CommandGroup(app, code, "shards", "See, plan and move shards, and stop moves") {
+    ShardCommands(CLI::App& app, int& exit_code)
+        : CommandGroup(app, exit_code, "shards", "See, plan and move shards, and stop moves") {
         group_->footer(
             "Examples:\n  pinedoor shards plan fleet.toml\n"
             "  pinedoor shards -s deploy/pinedoor.toml --discovery 10.0.0.5:7000 apply fleet.toml --dry-run\n"
@@ -57,7 +57,7 @@
         check->add_option("file", file_, "The fleet's TOML")->required();
         auto* plan =
             command("plan", "Where replicas should be, and the steps there; exit 3 if something is unmet",
-                    [this] { return this->plan_it(); });
+                    [this] { return this->run_plan(); });
         plan->add_option("file", file_, "The fleet's TOML")->required();
         plan->add_flag("--json", json_, "One JSON object");
         plan->add_flag("--exact", exact_, "The best there is, by GLPK: small fleets alone");
@@ -69,34 +69,37 @@
         apply->add_flag("--dry-run", dry_run_, "Only list the moves");
         apply->add_option("--node", nodes_,
                           "HOST:PORT of a front node: moves pause while nodes turn much away");
-        apply->add_option("--at-once", desk_.at_once, "Moves that go on")->capture_default_str();
-        apply->add_option("--at-once-box", desk_.at_once_box, "Of them from one box, and to one")
+        apply->add_option("--at-once", desk_config_.at_once, "Moves that go on")->capture_default_str();
+        apply->add_option("--at-once-box", desk_config_.at_once_box, "Of them from one box, and to one")
             ->capture_default_str();
-        apply->add_option("--at-once-zone", desk_.at_once_zone, "Of them to one zone")->capture_default_str();
-        apply->add_option("--pause-above", desk_.pause_above, "Share of multigets turned away or failed")
+        apply->add_option("--at-once-zone", desk_config_.at_once_zone, "Of them to one zone")
             ->capture_default_str();
-        apply->add_option("--resume-below", desk_.resume_below, "Likewise")->capture_default_str();
+        apply
+            ->add_option("--pause-above", desk_config_.pause_above,
+                         "Share of multigets turned away or failed")
+            ->capture_default_str();
+        apply->add_option("--resume-below", desk_config_.resume_below, "Likewise")->capture_default_str();
         apply->add_option("--lease-ms", lease_ms_, "After so long another one may carry the moves")
             ->capture_default_str()
             ->check(CLI::Range(100, 3'600'000));
         auto* split = command("split", "Note that a shard is to be split; `apply` carries it out",
-                              [this] { return this->cut(true); });
+                              [this] { return this->schedule_cut(true); });
         split->add_option("shard", shard_, "Its number")->required();
-        split->add_option("key", key_, "The first key of the upper part, hexadecimal")->required();
+        split->add_option("key", split_key_, "The first key of the upper part, hexadecimal")->required();
         auto* merge = command("merge", "Note that two shards side by side on the same boxes are to be one",
-                              [this] { return this->cut(false); });
+                              [this] { return this->schedule_cut(false); });
         merge->add_option("lower", shard_, "The number of the one")->required();
-        merge->add_option("upper", other_, "The number of the one behind it")->required();
+        merge->add_option("upper", other_shard_, "The number of the one behind it")->required();
         command("pause", "Begin no move, and go on with none that has not fenced yet",
                 [this] { return this->pause(true); });
         command("resume", "Go on", [this] { return this->pause(false); });
         auto* abort = command("abort", "Undo a move, unless it has switched; exit 3 if there is none",
                               [this] { return this->abort(); });
-        abort->add_option("move", move_, "Its number, as `history` prints it")->required();
+        abort->add_option("move", move_id_, "Its number, as `history` prints it")->required();
         auto* history =
             command("history", "All moves, and who carries them", [this] { return this->history(); });
         history->add_flag("--json", json_, "A JSON object a line");
-        history->add_flag("--open", open_, "Only those that have not ended");
+        history->add_flag("--open", open_only_, "Only those that have not ended");
         auto* heat =
             command("heat", "The hottest shards by what front nodes count", [this] { return this->heat(); });
         heat->add_option("--node", nodes_, "HOST:PORT of a front node")->required();
@@ -104,39 +107,40 @@
     }
 
     static net::Endpoint endpoint(const std::string& text, const char* option) {
-        const auto at = net::parse_endpoint(text);
-        if (!at) throw Unusable(std::string(option) + " is '" + text + "'; write an IPv4 address and a port");
-        return *at;
+        const auto endpoint = net::parse_endpoint(text);
+        if (!endpoint)
+            throw CommandError(std::string(option) + " is '" + text + "'; write an IPv4 address and a port");
+        return *endpoint;
     }
 
     std::unique_ptr<store::SqlDb> open_journal() {
-        store::StoreTerms terms;
-        if (!settings_.empty()) terms = stated::Installation::read_file(settings_).store;
+        store::StoreTerms store_config;
+        if (!settings_.empty()) store_config = stated::Installation::read_file(settings_).store;
         if (!sqlite_.empty()) {
-            terms.kind = store::Kind::kSqlite;
-            terms.sqlite_file = sqlite_;
+            store_config.kind = store::Kind::kSqlite;
+            store_config.sqlite_file = sqlite_;
         }
-        if (terms.kind == store::Kind::kNone)
-            throw Unusable(
+        if (store_config.kind == store::Kind::kNone)
+            throw CommandError(
                 "no store is named for the journal; give --settings FILE with [store] kind, or --sqlite");
-        auto db = store::open_db(terms);
+        auto db = store::open_db(store_config);
         if (db->kind() == "postgres" && store::schema_version(*db) == 0)
-            throw Unusable("the store is empty; run `pinedoor store init`");
+            throw CommandError("the store is empty; run `pinedoor store init`");
         store::MoveJournal(*db).init();
         return db;
     }
 
     int show() {
         BoxNames names;
-        const auto seen = see_fleet(endpoint(discovery_, "--discovery"), path_, names, 2'000);
+        const auto fleet = fetch_fleet(endpoint(discovery_, "--discovery"), path_, names, 2'000);
         if (json_) {
-            std::printf("%s\n", print_map(seen.map, names).c_str());
-            return kDone;
+            std::printf("%s\n", print_map(fleet.map, names).c_str());
+            return kSuccess;
         }
         std::printf("version %llu, %zu shards\n%-8s %-17s %-17s %6s  %s\n",
-                    static_cast<unsigned long long>(seen.map.version()), seen.map.size(), "shard", "first",
+                    static_cast<unsigned long long>(fleet.map.version()), fleet.map.size(), "shard", "first",
                     "last", "epoch", "boxes, the owner first");
-        for (const auto& shard : seen.map.shards()) {
+        for (const auto& shard : fleet.map.shards()) {
             auto text = names.name(shard.owner());
             for (const auto& each : shard.replicas) {
                 if (each.role == Role::kReader) text += ' ' + names.name(each.box);
@@ -145,7 +149,7 @@
                         print_key(shard.first).c_str(), print_key(shard.last).c_str(),
                         static_cast<unsigned long long>(shard.epoch), text.c_str());
         }
-        return kDone;
+        return kSuccess;
     }
 
     int check() {
@@ -153,10 +157,10 @@
             const auto file = stated::read_fleet_file(file_);
             std::printf("%s: good, %zu boxes, %zu shards\n", file_.c_str(), file.fleet.boxes.size(),
                         file.fleet.shards.size());
-            return kDone;
+            return kSuccess;
         } catch (const stated::BadStated& error) {
             std::printf("%s\n", error.what());
-            return kAmiss;
+            return kProblemFound;
         }
     }
 
@@ -165,15 +169,15 @@
 #ifdef PINEDOOR_HAS_GLPK
         std::string why;
         const auto best = exact_target(file.fleet, seconds_, why);
-        if (!best) throw Unusable(why);
+        if (!best) throw CommandError(why);
         if (!best->proven) std::fprintf(stderr, "pinedoor: the time ran out: not proven to be the best\n");
         return order_steps(file.fleet, best->target);
 #else
-        throw Unusable("this pinedoor was built without GLPK; install libglpk-dev and build it again");
+        throw CommandError("this pinedoor was built without GLPK; install libglpk-dev and build it again");
 #endif
     }
 
-    std::string words(const PlanStep& step, const BoxNames& names) const {
+    std::string describe(const PlanStep& step, const BoxNames& names) const {
         const auto shard = "shard " + std::to_string(step.shard);
         switch (step.kind) {
             case PlanStep::Kind::kCopy:
@@ -185,60 +189,61 @@
         return {};
     }
 
-    int plan_it() {
+    int run_plan() {
         const auto file = stated::read_fleet_file(file_);
-        const auto made = make_plan(file);
-        const auto code = made.unmet.empty() ? kDone : kAmiss;
+        const auto result = make_plan(file);
+        const auto exit_code = result.unmet.empty() ? kSuccess : kProblemFound;
         std::vector<std::vector<Replica>> now;
         for (const auto& need : file.fleet.shards) now.push_back(need.now);
-        const auto before = loads(file.fleet, now), after = loads(file.fleet, made.target);
+        const auto before = loads(file.fleet, now), after = loads(file.fleet, result.target);
         if (json_) {
             Json json;
-            json["fullest_before"] = made.fullest_before;
-            json["fullest_after"] = made.fullest_after;
-            json["copies"] = made.copies;
-            json["moved"] = made.bytes_moved;
-            json["unmet"] = made.unmet;
+            json["fullest_before"] = result.fullest_before;
+            json["fullest_after"] = result.fullest_after;
+            json["copies"] = result.copies;
+            json["moved"] = result.bytes_moved;
+            json["unmet"] = result.unmet;
             json["boxes"] = Json::array();
             for (std::size_t b = 0; b < before.size(); ++b)
                 json["boxes"].push_back({{"name", file.names.name(file.fleet.boxes[b].id)},
                                          {"before", before[b]},
                                          {"after", after[b]}});
             json["waves"] = Json::array();
-            for (const auto& wave : made.waves) {
+            for (const auto& wave : result.waves) {
                 auto& list = json["waves"].emplace_back(Json::array());
-                for (const auto& step : wave) list.push_back(words(step, file.names));
+                for (const auto& step : wave) list.push_back(describe(step, file.names));
             }
             std::printf("%s\n", json.dump().c_str());
-            return code;
+            return exit_code;
         }
         std::printf("fullest box %.3f -> %.3f of its capacity; %zu copies, %.6g moved, %zu waves\n",
-                    made.fullest_before, made.fullest_after, made.copies, made.bytes_moved,
-                    made.waves.size());
-        const double most = std::max(made.fullest_before, made.fullest_after);
+                    result.fullest_before, result.fullest_after, result.copies, result.bytes_moved,
+                    result.waves.size());
+        const double fullest = std::max(result.fullest_before, result.fullest_after);
         for (std::size_t b = 0; b < before.size(); ++b) {
             std::printf("%-16s before %6.3f %s\n%-16s after  %6.3f %s\n",
                         file.names.name(file.fleet.boxes[b].id).c_str(), before[b],
-                        bar(before[b], most).c_str(), "", after[b], bar(after[b], most).c_str());
+                        bar(before[b], fullest).c_str(), "", after[b], bar(after[b], fullest).c_str());
         }
-        for (std::size_t w = 0; w < made.waves.size(); ++w) {
-            for (const auto& step : made.waves[w])
-                std::printf("wave %zu: %s\n", w + 1, words(step, file.names).c_str());
+        for (std::size_t w = 0; w < result.waves.size(); ++w) {
+            for (const auto& step : result.waves[w])
+                std::printf("wave %zu: %s\n", w + 1, describe(step, file.names).c_str());
         }
-        for (const auto& each : made.unmet) std::printf("unmet: %s\n", each.c_str());
-        return code;
+        for (const auto& each : result.unmet) std::printf("unmet: %s\n", each.c_str());
+        return exit_code;
     }
 
     // The moves that the plan takes, under the map as it is. The file must say what the map says.
-    std::vector<store::JournalMove> moves_of(const stated::FleetFile& file, const FleetSeen& seen,
+    std::vector<store::JournalMove> moves_of(const stated::FleetFile& file, const FleetView& fleet,
                                              BoxNames& names) {
-        const auto made = make_plan(file);
-        if (!made.unmet.empty()) throw Unusable("the plan leaves something unmet: " + made.unmet.front());
+        const auto result = make_plan(file);
+        if (!result.unmet.empty())
+            throw CommandError("the plan leaves something unmet: " + result.unmet.front());
         std::map<ShardId, std::size_t> first_wave;
-        for (std::size_t w = made.waves.size(); w-- > 0;) {
-            for (const auto& step : made.waves[w]) first_wave[step.shard] = w;
+        for (std::size_t w = result.waves.size(); w-- > 0;) {
+            for (const auto& step : result.waves[w]) first_wave[step.shard] = w;
         }
-        const auto renamed = [&](std::vector<Replica> replicas) {
+        const auto to_map_ids = [&](std::vector<Replica> replicas) {
             for (auto& each : replicas) each.box = *names.number(file.names.name(each.box));
             std::sort(replicas.begin(), replicas.end());
             return replicas;
@@ -246,19 +251,20 @@
         std::vector<store::JournalMove> all;
         for (std::size_t s = 0; s < file.fleet.shards.size(); ++s) {
             const auto& need = file.fleet.shards[s];
-            const auto* shard = seen.map.find(need.shard);
-            const auto now = renamed(need.now);
-            auto told = shard == nullptr ? std::vector<Replica>{} : shard->replicas;
-            std::sort(told.begin(), told.end());
-            if (told != now)
-                throw Unusable("shard " + std::to_string(need.shard) +
-                               " is not where the fleet's file says; see `shards show`");
+            const auto* shard = fleet.map.find(need.shard);
+            const auto planned_from = to_map_ids(need.now);
+            auto actual = shard == nullptr ? std::vector<Replica>{} : shard->replicas;
+            std::sort(actual.begin(), actual.end());
+            if (actual != planned_from)
+                throw CommandError("shard " + std::to_string(need.shard) +
+                                   " is not where the fleet's file says; see `shards show`");
             auto wave = first_wave.contains(need.shard) ? first_wave[need.shard] : 0;
-            for (auto& move : moves_between(need.shard, shard->epoch, now, renamed(made.target[s]))) {
+            for (auto& move :
+                 moves_between(need.shard, shard->epoch, planned_from, to_map_ids(result.target[s]))) {
                 move.wave = wave++;
                 move.from = names.name(move.move.from);
                 move.to = names.name(move.move.to);
-                move.map = seen.map.version();
+                move.map = fleet.map.version();
                 all.push_back(std::move(move));
             }
         }
@@ -268,25 +274,26 @@
     }
 
     int apply() {
-        if (const auto fault = MoveDesk::fault_of(desk_); !fault.empty()) throw Unusable(fault);
-        CarrierTerms terms;
-        terms.discovery = endpoint(discovery_, "--discovery");
-        terms.path = path_;
-        terms.desk = desk_;
-        terms.lease = lease_ms_ * 10;
-        for (const auto& node : nodes_) terms.nodes.push_back(endpoint(node, "--node"));
+        if (const auto fault = MoveDesk::fault_of(desk_config_); !fault.empty()) throw CommandError(fault);
+        CarrierTerms config;
+        config.discovery = endpoint(discovery_, "--discovery");
+        config.path = path_;
+        config.desk = desk_config_;
+        config.lease = lease_ms_ * 10;
+        for (const auto& node : nodes_) config.nodes.push_back(endpoint(node, "--node"));
         char host[256] = {};
         gethostname(host, sizeof host - 1);
-        terms.who = std::string(host) + '/' + std::to_string(getpid());
+        config.who = std::string(host) + '/' + std::to_string(getpid());
         const auto db = dry_run_ ? nullptr : open_journal();
         if (!file_.empty()) {
             BoxNames names;
-            const auto seen = see_fleet(terms.discovery, path_, names, 2'000);
-            auto moves = moves_of(stated::read_fleet_file(file_), seen, names);
+            const auto fleet = fetch_fleet(config.discovery, path_, names, 2'000);
+            auto moves = moves_of(stated::read_fleet_file(file_), fleet, names);
             if (db) {
                 store::MoveJournal journal(*db);
                 if (!journal.moves(true).empty())
-                    throw Unusable("moves of an earlier plan have not ended; see `shards history --open`");
+                    throw CommandError(
+                        "moves of an earlier plan have not ended; see `shards history --open`");
                 moves = journal.add(std::move(moves));
             }
             for (const auto& each : moves)
@@ -295,66 +302,67 @@
                             each.to.empty() ? "-" : each.to.c_str());
             std::fflush(stdout);
         }
-        if (!db) return kDone;
-        ShardCarrier carrier(*db, terms, [](const std::string& line) {
+        if (!db) return kSuccess;
+        ShardCarrier carrier(*db, config, [](const std::string& line) {
             std::printf("%s\n", line.c_str());
             std::fflush(stdout);
         });
-        return carrier.run() ? kDone : kAmiss;
+        return carrier.run() ? kSuccess : kProblemFound;
     }
 
     // Whether the map allows it is tried on the map as it is.
-    int cut(bool split) {
+    int schedule_cut(bool split) {
         BoxNames names;
-        const auto seen = see_fleet(endpoint(discovery_, "--discovery"), path_, names, 2'000);
+        const auto fleet = fetch_fleet(endpoint(discovery_, "--discovery"), path_, names, 2'000);
         const auto db = open_journal();
         store::MoveJournal journal(*db);
         ShardId next = 0;
-        for (const auto& shard : seen.map.shards()) next = std::max(next, shard.id);
+        for (const auto& shard : fleet.map.shards()) next = std::max(next, shard.id);
         for (const auto& each : journal.moves(false))
             next = std::max({next, each.move.cut.lower, each.move.cut.upper});
-        store::JournalMove made;
-        made.move.shard = shard_;
-        made.move.kind = split ? MoveKind::kSplit : MoveKind::kMerge;
-        made.move.cut.other = split ? 0 : other_;
-        made.move.cut.lower = next + 1;
-        made.move.cut.upper = split ? next + 2 : 0;
-        const auto key = read_key(key_);
-        if (split && !key) throw Unusable("'" + key_ + "' is no key; write up to 16 hexadecimal digits");
-        made.move.cut.at = key.value_or(0);
-        const Step step =
-            split ? Step(Split{shard_, *key, next + 1, next + 2}) : Step(Merge{shard_, other_, next + 1});
-        const auto tried = seen.map.after(step);
-        if (const auto* refused = std::get_if<ShardMap::Refused>(&tried)) throw Unusable(refused->why);
-        const auto* shard = seen.map.find(shard_);
-        made.move.from = shard->owner();
-        made.move.epoch = shard->epoch;
-        made.from = names.name(shard->owner());
-        made.map = seen.map.version();
+        store::JournalMove requested;
+        requested.move.shard = shard_;
+        requested.move.kind = split ? MoveKind::kSplit : MoveKind::kMerge;
+        requested.move.cut.other = split ? 0 : other_shard_;
+        requested.move.cut.lower = next + 1;
+        requested.move.cut.upper = split ? next + 2 : 0;
+        const auto key = read_key(split_key_);
+        if (split && !key)
+            throw CommandError("'" + split_key_ + "' is no key; write up to 16 hexadecimal digits");
+        requested.move.cut.at = key.value_or(0);
+        const Step step = split ? Step(Split{shard_, *key, next + 1, next + 2})
+                                : Step(Merge{shard_, other_shard_, next + 1});
+        const auto tried = fleet.map.after(step);
+        if (const auto* refused = std::get_if<ShardMap::Refused>(&tried)) throw CommandError(refused->why);
+        const auto* shard = fleet.map.find(shard_);
+        requested.move.from = shard->owner();
+        requested.move.epoch = shard->epoch;
+        requested.from = names.name(shard->owner());
+        requested.map = fleet.map.version();
         // Behind what waits: it may be about the same shard.
-        for (const auto& each : journal.moves(true)) made.wave = std::max(made.wave, each.wave + 1);
-        const auto added = journal.add({made});
+        for (const auto& each : journal.moves(true)) requested.wave = std::max(requested.wave, each.wave + 1);
+        const auto added = journal.add({requested});
         std::printf("move %llu: %s\n", static_cast<unsigned long long>(added.front().move.id),
                     print(step).c_str());
-        return kDone;
+        return kSuccess;
     }
 
     int pause(bool paused) {
         const auto db = open_journal();
         store::MoveJournal(*db).pause(paused);
         std::printf("%s\n", paused ? "paused" : "resumed");
-        return kDone;
+        return kSuccess;
     }
 
     int abort() {
         const auto db = open_journal();
-        if (!store::MoveJournal(*db).wish(move_, "abort")) {
-            std::printf("there is no move %llu that goes on\n", static_cast<unsigned long long>(move_));
-            return kAmiss;
+        if (!store::MoveJournal(*db).wish(move_id_, "abort")) {
+            std::printf("there is no move %llu that goes on\n", static_cast<unsigned long long>(move_id_));
+            return kProblemFound;
         }
         std::printf("move %llu is to be undone; whoever carries it says how that went\n",
-                    static_cast<unsigned long long>(move_));
-        return kDone;
+                    static_cast<unsigned long long>(move_id_));
+        return kSuccess;
     }
 
     int history() {
@@ -364,7 +372,7 @@
         if (!json_)
             std::printf("%s%s\n", holder.empty() ? "nobody carries moves" : ("carried by " + holder).c_str(),
                         journal.paused() ? ", paused" : "");
-        for (const auto& each : journal.moves(open_)) {
+        for (const auto& each : journal.moves(open_only_)) {
             if (json_) {
                 std::printf("%s\n", Json{{"move", each.move.id},
                                          {"kind", name_of(each.move.kind)},
@@ -388,16 +396,16 @@
                         each.wish.empty() ? "" : ", wished: ", each.wish.c_str(),
                         each.note.empty() ? "" : (", " + each.note).c_str());
         }
-        return kDone;
+        return kSuccess;
     }
 
     int heat() {
         std::map<std::uint64_t, std::uint64_t> load;
         std::uint64_t proposals = 0;
         for (const auto& node : nodes_) {
-            const auto answer = ask_http(endpoint(node, "--node"), "GET", "/counters", "", 2'000);
-            if (!answer || answer->status != 200) throw Unusable("no counters from " + node);
-            std::istringstream in(answer->body);
+            const auto response = ask_http(endpoint(node, "--node"), "GET", "/counters", "", 2'000);
+            if (!response || response->status != 200) throw CommandError("no counters from " + node);
+            std::istringstream in(response->body);
             std::uint64_t value = 0;
             constexpr std::string_view kName = "heat_shard_";
             for (std::string name; in >> name >> value;) {
@@ -421,23 +429,23 @@
         if (!json_)
             std::printf("%llu proposals so far; the nodes' logs name them (placement_proposed)\n",
                         static_cast<unsigned long long>(proposals));
-        return kDone;
+        return kSuccess;
     }
 
     std::string settings_, sqlite_, discovery_, path_ = "/discovery/shards", file_;
     std::vector<std::string> nodes_;
-    bool json_ = false, exact_ = false, dry_run_ = false, open_ = false;
+    bool json_ = false, exact_ = false, dry_run_ = false, open_only_ = false;
     int seconds_ = 30;
     std::int64_t lease_ms_ = 10'000;
-    std::uint64_t move_ = 0, shard_ = 0, other_ = 0;
-    std::string key_;
-    DeskTerms desk_;
+    std::uint64_t move_id_ = 0, shard_ = 0, other_shard_ = 0;
+    std::string split_key_;
+    DeskTerms desk_config_;
 };
 
 }  // namespace
 
-void add_shard_commands(CLI::App& app, int& code) {
-    auto commands = std::make_shared<ShardCommands>(app, code);
+void add_shard_commands(CLI::App& app, int& exit_code) {
+    auto commands = std::make_shared<ShardCommands>(app, exit_code);
     // Lives as long as the words are parsed: CLI11 keeps pointers to what it fills.
     app.get_subcommand("shards")->parse_complete_callback([commands] {});
 }
--- a/src/tool/shard_commands.hpp
+++ b/src/tool/shard_commands.hpp
@@ -6,6 +6,6 @@
 namespace pinedoor::tool {
 
 // Adds the commands; the one that was named leaves its exit code in `code` when the words are parsed.
-void add_shard_commands(CLI::App& app, int& code);
+void add_shard_commands(CLI::App& app, int& exit_code);
 
 }  // namespace pinedoor::tool
--- a/src/tool/store_commands.cpp
+++ b/src/tool/store_commands.cpp
@@ -27,17 +27,18 @@
 using store::Time;
 using Json = nlohmann::ordered_json;
 
-constexpr std::size_t kPage = 500;
-constexpr Time kSecond = 10'000;
+constexpr std::size_t kPageSize = 500;
+constexpr Time kTicksPerSecond = 10'000;
 
 std::string print_time(Time time) {
     if (time == 0) return "-";
-    const std::time_t seconds = time / kSecond;
+    const std::time_t seconds = time / kTicksPerSecond;
     std::tm parts{};
     gmtime_r(&seconds, &parts);
     std::array<char, 32> text{};
     std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%S", &parts);
-    return std::string(text.data()) + '.' + std::to_string(1000 + time % kSecond / 10).substr(1) + 'Z';
+    return std::string(text.data()) + '.' + std::to_string(1000 + time % kTicksPerSecond / 10).substr(1) +
+           'Z';
 }
 
 // "2026-12-01T19:00:00Z", any part of it from the right left out, or so long ago: "90s", "15m", "2h", "7d".
@@ -52,15 +53,15 @@
     if (std::sscanf(text.c_str(), "%lld%c%n", &count, &unit, &used) == 2 &&
         static_cast<std::size_t>(used) == text.size() && count >= 0) {
         for (const auto& [letter, seconds] : {std::pair{'s', 1}, {'m', 60}, {'h', 3'600}, {'d', 86'400}}) {
-            if (unit == letter) return now - count * seconds * kSecond;
+            if (unit == letter) return now - count * seconds * kTicksPerSecond;
         }
     }
     for (const char* form : {"%Y-%m-%dT%H:%M:%SZ", "%Y-%m-%dT%H:%M:%S", "%Y-%m-%dT%H:%M", "%Y-%m-%d"}) {
         std::tm parts{};
         const char* end = strptime(text.c_str(), form, &parts);
-        if (end != nullptr && *end == '\0') return static_cast<Time>(timegm(&parts)) * kSecond;
+        if (end != nullptr && *end == '\0') return static_cast<Time>(timegm(&parts)) * kTicksPerSecond;
     }
-    throw Unusable("'" + text + "' is no time; write 2026-12-01T19:00:00Z, or 15m for so long ago");
+    throw CommandError("'" + text + "' is no time; write 2026-12-01T19:00:00Z, or 15m for so long ago");
 }
 
 std::string text_for_json(const std::string& text) {
@@ -112,13 +113,14 @@
 }
 
 // Calls `each` for every record that the filter takes, however many, page by page.
-void for_each(SqlDb& db, Filter filter, Time lease, const std::function<bool(const Record&)>& each) {
-    const auto most = filter.max_records;
-    for (std::size_t seen = 0; seen < most;) {
-        filter.max_records = std::min(kPage, most - seen);
+void for_each_record(SqlDb& db, Filter filter, Time lease,
+                     const std::function<bool(const Record&)>& on_record) {
+    const auto max_records = filter.max_records;
+    for (std::size_t seen = 0; seen < max_records;) {
+        filter.max_records = std::min(kPageSize, max_records - seen);
         const auto page = list_records(db, filter, lease);
         for (const auto& record : page) {
-            if (!each(record)) return;
+            if (!on_record(record)) return;
         }
         if (page.size() < filter.max_records) return;
         seen += page.size();
@@ -129,8 +131,8 @@
 
 class Commands : CommandGroup {
 public:
-    Commands(CLI::App& app, int& code)
-        : CommandGroup(app, code, "store", "Ask the store of record, and settle what is in doubt") {
+    Commands(CLI::App& app, int& exit_code)
+        : CommandGroup(app, exit_code, "store", "Ask the store of record, and settle what is in doubt") {
         group_->add_option("-s,--settings", settings_, "Our TOML, which tells where the store is")
             ->envname("PINEDOOR_SETTINGS");
         group_->add_option("--sqlite", sqlite_, "A SQLite file, instead of what the settings tell");
@@ -144,49 +146,50 @@
     }
 
 private:
-    const store::StoreTerms& terms() {
-        if (terms_) return *terms_;
-        terms_.emplace();
-        if (!settings_.empty()) *terms_ = stated::Installation::read_file(settings_).store;
+    const store::StoreTerms& store_config() {
+        if (store_config_) return *store_config_;
+        store_config_.emplace();
+        if (!settings_.empty()) *store_config_ = stated::Installation::read_file(settings_).store;
         if (!sqlite_.empty()) {
-            terms_->kind = store::Kind::kSqlite;
-            terms_->sqlite_file = sqlite_;
+            store_config_->kind = store::Kind::kSqlite;
+            store_config_->sqlite_file = sqlite_;
         }
         if (!postgres_.empty()) {
-            terms_->kind = store::Kind::kPostgres;
-            terms_->postgres.conninfo = postgres_;
+            store_config_->kind = store::Kind::kPostgres;
+            store_config_->postgres.conninfo = postgres_;
         }
-        if (terms_->kind == store::Kind::kNone)
-            throw Unusable(
+        if (store_config_->kind == store::Kind::kNone)
+            throw CommandError(
                 "no store is named; give --settings FILE with [store] kind, --sqlite or --postgres");
-        return *terms_;
+        return *store_config_;
     }
 
-    std::unique_ptr<SqlDb> open(bool must_fit = true) {
-        if (terms().kind == store::Kind::kSqlite && must_fit &&
-            !std::filesystem::exists(terms().sqlite_path()))
-            throw Unusable("there is no '" + terms().sqlite_path() + "'; run `pinedoor store init`");
-        auto db = store::open_db(terms());
-        if (must_fit) check_schema(*db);
+    std::unique_ptr<SqlDb> open(bool require_schema = true) {
+        if (store_config().kind == store::Kind::kSqlite && require_schema &&
+            !std::filesystem::exists(store_config().sqlite_path()))
+            throw CommandError("there is no '" + store_config().sqlite_path() +
+                               "'; run `pinedoor store init`");
+        auto db = store::open_db(store_config());
+        if (require_schema) check_schema(*db);
         return db;
     }
 
-    void add_filter(CLI::App* to) {
-        to->add_option("--state", state_,
-                       "answered, answered-in-part, refused, failed, in-doubt or under-way");
-        to->add_option("--tenant", tenant_, "Of this tenant only");
-        to->add_option("--client", filter_.request_name, "The client's own name of it (X-Txn)");
-        to->add_option("--op-type", filter_.op_type, "Of this op type only");
-        to->add_option("--key", filter_.key, "With this Idempotency-Key only");
-        to->add_option("--since", since_, "Asked then or later: 2026-12-01T19:00:00Z, or 15m ago");
-        to->add_option("--until", until_, "Asked before then");
-        to->add_option("--most", filter_.max_records, "So many at most")->capture_default_str();
+    void add_filter(CLI::App* command) {
+        command->add_option("--state", state_,
+                            "answered, answered-in-part, refused, failed, in-doubt or under-way");
+        command->add_option("--tenant", tenant_, "Of this tenant only");
+        command->add_option("--client", filter_.request_name, "The client's own name of it (X-Txn)");
+        command->add_option("--op-type", filter_.op_type, "Of this op type only");
+        command->add_option("--key", filter_.key, "With this Idempotency-Key only");
+        command->add_option("--since", since_, "Asked then or later: 2026-12-01T19:00:00Z, or 15m ago");
+        command->add_option("--until", until_, "Asked before then");
+        command->add_option("--most", filter_.max_records, "So many at most")->capture_default_str();
     }
 
     Filter filter() {
         auto filter = filter_;
         if (!state_.empty() && !store::is_record_state(state_)) {
-            throw Unusable(
+            throw CommandError(
                 "--state is '" + state_ +
                 "'; it must be answered, answered-in-part, refused, failed, in-doubt or under-way");
         }
@@ -246,11 +249,11 @@
     int migrate(bool init) {
         const auto db = open(false);
         const int before = store::schema_version(*db);
-        if (!init && before == 0) throw Unusable("the store is empty; run `pinedoor store init`");
+        if (!init && before == 0) throw CommandError("the store is empty; run `pinedoor store init`");
         if (init && before != 0) check_schema(*db);
         const auto steps = store::migrate(*db);
         std::printf("schema %d\n", steps.empty() ? before : steps.back());
-        return kDone;
+        return kSuccess;
     }
 
     int show() {
@@ -269,7 +272,7 @@
         }
         if (json_) {
             std::cout << json.dump(-1, ' ', false, Json::error_handler_t::replace) << '\n';
-            return kDone;
+            return kSuccess;
         }
         for (const auto& [name, value] : json.items()) {
             if (value.is_array()) continue;
@@ -281,11 +284,11 @@
                         printable(each.resolved_by).c_str(), each.new_state.c_str(),
                         printable(each.reason).c_str());
         }
-        return kDone;
+        return kSuccess;
     }
 
     int show_all(SqlDb& db) {
-        const auto found = summary(db, terms().lease);
+        const auto found = summary(db, store_config().lease);
         Json json{{"schema", found.schema}, {"records", Json::object()}, {"nodes", Json::array()}};
         for (const auto& [state, count] : found.by_state) json["records"][state] = count;
         for (const auto& each : found.processes) {
@@ -298,7 +301,7 @@
         }
         if (json_) {
             std::cout << json.dump(-1, ' ', false, Json::error_handler_t::replace) << '\n';
-            return kDone;
+            return kSuccess;
         }
         std::printf("schema %d\n", found.schema);
         for (const auto& [state, count] : found.by_state)
@@ -311,22 +314,22 @@
                                            : "gone",
                         print_time(each.last_seen).c_str());
         }
-        return kDone;
+        return kSuccess;
     }
 
     Record find(SqlDb& db) {
-        Filter one;
-        one.id = store::parse_id(record_);
-        if (!one.id) throw Unusable("'" + record_ + "' names no record; write NODE/INCARNATION/NUMBER");
-        const auto found = store::list_records(db, one, terms().lease);
-        if (found.empty()) throw Unusable("there is no record " + record_);
+        Filter by_id;
+        by_id.id = store::parse_id(record_);
+        if (!by_id.id) throw CommandError("'" + record_ + "' names no record; write NODE/INCARNATION/NUMBER");
+        const auto found = store::list_records(db, by_id, store_config().lease);
+        if (found.empty()) throw CommandError("there is no record " + record_);
         return found[0];
     }
 
     int list() {
-        const auto chosen = filter();
+        const auto record_filter = filter();
         const auto db = open();
-        for_each(*db, chosen, terms().lease, [this](const Record& record) {
+        for_each_record(*db, record_filter, store_config().lease, [this](const Record& record) {
             if (json_)
                 std::cout << to_json(record, false).dump(-1, ' ', false, Json::error_handler_t::replace)
                           << '\n';
@@ -334,19 +337,20 @@
                 print_row(record);
             return true;
         });
-        return kDone;
+        return kSuccess;
     }
 
     int resolve() {
-        const auto fate = store::parse_outcome_kind(fate_);
+        const auto outcome_kind = store::parse_outcome_kind(fate_);
         const auto id = store::parse_id(record_);
-        if (!fate) throw Unusable("'" + fate_ + "' is no fate; write answered, refused or failed");
-        if (!id) throw Unusable("'" + record_ + "' names no record; write NODE/INCARNATION/NUMBER");
+        if (!outcome_kind)
+            throw CommandError("'" + fate_ + "' is no fate; write answered, refused or failed");
+        if (!id) throw CommandError("'" + record_ + "' names no record; write NODE/INCARNATION/NUMBER");
         const auto db = open();
-        switch (store::resolve(*db, *id, *fate, who_, why_, terms().lease)) {
+        switch (store::resolve(*db, *id, *outcome_kind, who_, why_, store_config().lease)) {
             case store::ResolveResult::kResolved:
                 std::printf("%s is %s\n", record_.c_str(), fate_.c_str());
-                return kDone;
+                return kSuccess;
             case store::ResolveResult::kNotFound:
                 std::fprintf(stderr, "pinedoor: there is no record %s\n", record_.c_str());
                 break;
@@ -354,18 +358,18 @@
                 std::fprintf(stderr, "pinedoor: %s is not in doubt: see `store show`\n", record_.c_str());
                 break;
         }
-        return kAmiss;
+        return kProblemFound;
     }
 
     int export_all() {
-        auto chosen = filter();
-        if (chosen.max_records == Filter{}.max_records) chosen.max_records = SIZE_MAX;
+        auto record_filter = filter();
+        if (record_filter.max_records == Filter{}.max_records) record_filter.max_records = SIZE_MAX;
         const auto db = open();
         const bool csv = format_ == "csv";
         if (csv)
             std::cout << "record,state,op_type,tenant,client,key,asked,not_after,ended,parts,part_fates,note,"
                          "answer\n";
-        for_each(*db, chosen, terms().lease, [csv](const Record& r) {
+        for_each_record(*db, record_filter, store_config().lease, [csv](const Record& r) {
             if (!csv) {
                 std::cout << to_json(r, true).dump(-1, ' ', false, Json::error_handler_t::replace) << '\n';
                 return true;
@@ -380,25 +384,25 @@
             std::cout << line << '\n';
             return true;
         });
-        return kDone;
+        return kSuccess;
     }
 
     int prune() {
         const auto before = read_time(until_);
         const auto db = open();
         std::size_t deleted = 0;
-        for (std::size_t step = step_; step == step_;) {
-            step = store::prune(*db, before, step_);
-            deleted += step;
+        for (std::size_t batch = step_; batch == step_;) {
+            batch = store::prune(*db, before, step_);
+            deleted += batch;
         }
         std::printf("%zu records deleted\n", deleted);
-        return kDone;
+        return kSuccess;
     }
 
     store::SqliteDb& sqlite(SqlDb& db) {
         auto* found = dynamic_cast<store::SqliteDb*>(&db);
         if (found == nullptr)
-            throw Unusable(
+            throw CommandError(
                 "this is a PostgreSQL store: its own tools copy it; `store export` writes the records out");
         return *found;
     }
@@ -406,66 +410,68 @@
     int back_up() {
         const auto db = open();
         if (std::filesystem::exists(path_))
-            throw Unusable("'" + path_ + "' is there already; name another file");
+            throw CommandError("'" + path_ + "' is there already; name another file");
         sqlite(*db).back_up(path_);
         std::printf("%s\n", path_.c_str());
-        return kDone;
+        return kSuccess;
     }
 
     int restore() {
-        if (!std::filesystem::exists(path_)) throw Unusable("there is no '" + path_ + "'");
+        if (!std::filesystem::exists(path_)) throw CommandError("there is no '" + path_ + "'");
         store::SqliteDb copy(path_);
         check_schema(copy);
-        if (const auto amiss = copy.check_integrity(); !amiss.empty())
-            throw Unusable("'" + path_ + "' is damaged: " + amiss.front());
+        if (const auto problems = copy.check_integrity(); !problems.empty())
+            throw CommandError("'" + path_ + "' is damaged: " + problems.front());
         if (add_) {
             const auto db = open();
-            const auto taken = store::restore_copy(*db, copy, step_);
-            std::printf("%zu records, %zu outcomes, %zu keys added\n", taken.records, taken.outcomes,
-                        taken.keys);
-            if (taken.conflicting_keys > 0)
+            const auto result = store::restore_copy(*db, copy, step_);
+            std::printf("%zu records, %zu outcomes, %zu keys added\n", result.records, result.outcomes,
+                        result.keys);
+            if (result.conflicting_keys > 0)
                 std::printf("%zu keys are held by other records by now, and were left\n",
-                            taken.conflicting_keys);
-            return kDone;
+                            result.conflicting_keys);
+            return kSuccess;
         }
-        if (terms().kind != store::Kind::kSqlite)
-            throw Unusable("a PostgreSQL store is not replaced by a copy; write --add to add what it lacks");
-        const auto to = terms().sqlite_path();
-        if (std::filesystem::exists(to)) {
-            throw Unusable("'" + to +
-                           "' is there; write --add to add what it lacks, or stop the front node and move it "
-                           "away first, with its -wal and -shm");
+        if (store_config().kind != store::Kind::kSqlite)
+            throw CommandError(
+                "a PostgreSQL store is not replaced by a copy; write --add to add what it lacks");
+        const auto target_path = store_config().sqlite_path();
+        if (std::filesystem::exists(target_path)) {
+            throw CommandError(
+                "'" + target_path +
+                "' is there; write --add to add what it lacks, or stop the front node and move it "
+                "away first, with its -wal and -shm");
         }
-        copy.back_up(to);
-        std::printf("%s\n", to.c_str());
-        return kDone;
+        copy.back_up(target_path);
+        std::printf("%s\n", target_path.c_str());
+        return kSuccess;
     }
 
     int verify() {
         const auto db = open();
-        auto amiss = find_inconsistencies(*db);
+        auto problems = find_inconsistencies(*db);
         if (auto* file = dynamic_cast<store::SqliteDb*>(db.get()))
-            for (auto& each : file->check_integrity()) amiss.push_back("the file: " + each);
-        if (json_) std::cout << Json{{"amiss", amiss}}.dump() << '\n';
-        for (const auto& each : amiss) {
+            for (auto& each : file->check_integrity()) problems.push_back("the file: " + each);
+        if (json_) std::cout << Json{{"amiss", problems}}.dump() << '\n';
+        for (const auto& each : problems) {
             if (!json_) std::printf("%s\n", each.c_str());
         }
-        if (!json_ && amiss.empty()) std::printf("nothing amiss\n");
-        return amiss.empty() ? kDone : kAmiss;
+        if (!json_ && problems.empty()) std::printf("nothing amiss\n");
+        return problems.empty() ? kSuccess : kProblemFound;
     }
 
     int follow() {
         const auto db = open();
         const auto began = std::chrono::steady_clock::now();
         std::map<std::string, std::string> states;  // of what is still shown as open
-        Filter chosen;
-        chosen.since = read_time("0s");
-        chosen.max_records = SIZE_MAX;
+        Filter record_filter;
+        record_filter.since = read_time("0s");
+        record_filter.max_records = SIZE_MAX;
         for (;;) {
             Time oldest_open = read_time("0s");
             std::map<std::string, std::string> next;
-            for_each(
-                *db, chosen, terms().lease, [&](const Record& record) {
+            for_each_record(
+                *db, record_filter, store_config().lease, [&](const Record& record) {
                     const auto id = format_id(record.id);
                     const auto before = states.find(id);
                     if (before == states.end() || before->second != record.state) {
@@ -485,10 +491,10 @@
             std::fflush(stdout);
             states = std::move(next);
             // Looks back a little: what was asked a moment ago may be written a moment from now.
-            chosen.since = std::max(chosen.since, std::min(oldest_open, read_time("10s")));
+            record_filter.since = std::max(record_filter.since, std::min(oldest_open, read_time("10s")));
             if (seconds_ > 0 &&
                 std::chrono::steady_clock::now() - began >= std::chrono::duration<double>(seconds_))
-                return kDone;
+                return kSuccess;
             std::this_thread::sleep_for(std::chrono::milliseconds(200));
         }
     }
@@ -501,14 +507,14 @@
     double seconds_ = 0;
     bool json_ = false;
     bool add_ = false;
-    std::optional<store::StoreTerms> terms_;
+    std::optional<store::StoreTerms> store_config_;
 };
 
 }  // namespace
 
-void add_store_commands(CLI::App& app, int& code) {
+void add_store_commands(CLI::App& app, int& exit_code) {
     // Lives as long as the words are parsed: CLI11 keeps pointers to what it fills.
-    auto commands = std::make_shared<Commands>(app, code);
+    auto commands = std::make_shared<Commands>(app, exit_code);
     app.parse_complete_callback([commands] {});
 }
 
--- a/tests/tool_test.cpp
+++ b/tests/tool_test.cpp
@@ -22,7 +22,7 @@
     std::string path = scratch() + "/pinedoor-tool-XXXXXX";
 };
 
-std::string run(const std::string& words) {
+std::string run_command(const std::string& words) {
     std::string text;
     auto* const pipe = popen((std::string(PINEDOOR_PROGRAM) + ' ' + words + " 2>&1").c_str(), "r");
     for (char bytes[4096]; const auto count = fread(bytes, 1, sizeof bytes, pipe);) text.append(bytes, count);
@@ -30,7 +30,7 @@
     return code == 0 ? text : text + "exit " + std::to_string(code) + '\n';
 }
 
-std::string fault_of(const std::string& toml) {
+std::string error_of(const std::string& toml) {
     try {
         Installation::from_text(toml, "f.toml");
         return "none";
@@ -40,26 +40,26 @@
 }
 
 TEST_CASE("settings: each fault is told with file, line, key and the mend") {
-    CHECK(fault_of("") == "none");
-    CHECK(fault_of("[store]\nkind = \"sqlite\"\nfolder = \"/x\"\n") == "none");
-    CHECK(fault_of("[sotre]\n") == "f.toml:1: sotre is unknown; did you mean store?");
-    CHECK(fault_of("[store]\nkind = \"oracle\"\n") ==
+    CHECK(error_of("") == "none");
+    CHECK(error_of("[store]\nkind = \"sqlite\"\nfolder = \"/x\"\n") == "none");
+    CHECK(error_of("[sotre]\n") == "f.toml:1: sotre is unknown; did you mean store?");
+    CHECK(error_of("[store]\nkind = \"oracle\"\n") ==
           "f.toml:2: store.kind is 'oracle'; it must be one of none, sqlite, postgres");
-    CHECK(fault_of("[store]\nkind = 3\n") == "f.toml:2: store.kind is no text; put it in quotes");
-    CHECK(fault_of("\n[store]\nkind = \"sqlite\"\n") ==
+    CHECK(error_of("[store]\nkind = 3\n") == "f.toml:2: store.kind is no text; put it in quotes");
+    CHECK(error_of("\n[store]\nkind = \"sqlite\"\n") ==
           "f.toml:2: store.folder is missing; write a folder of this node alone, on a disk that lasts");
-    CHECK(fault_of("[store.write]\nanswer_share = 1.5\n") ==
+    CHECK(error_of("[store.write]\nanswer_share = 1.5\n") ==
           "f.toml:2: store.write.answer_share is 1.5; it must lie from 0 to 1");
-    CHECK(fault_of("[store.write]\nmost_batch = 2.5\n") ==
+    CHECK(error_of("[store.write]\nmost_batch = 2.5\n") ==
           "f.toml:2: store.write.most_batch is no whole number");
-    CHECK(fault_of("[store.write]\nreopen_from_ms = 50\nreopen_to_ms = 40\n") ==
+    CHECK(error_of("[store.write]\nreopen_from_ms = 50\nreopen_to_ms = 40\n") ==
           "f.toml:3: store.write.reopen_to_ms is under reopen_from_ms");
-    CHECK(fault_of("[store]\nop_types = [1]\n") ==
+    CHECK(error_of("[store]\nop_types = [1]\n") ==
           "f.toml:2: store.op_types holds something that is no text; put each in quotes");
-    CHECK(fault_of("[store]\nkind = \"postgres\"\nfolder = \"/x\"\n[store.postgres]\n") ==
+    CHECK(error_of("[store]\nkind = \"postgres\"\nfolder = \"/x\"\n[store.postgres]\n") ==
           "f.toml:4: store.postgres.conninfo is missing; write where the database is, as libpq takes it");
-    CHECK(fault_of("store = 1\n") == "f.toml:1: store is no table; write [store]");
-    CHECK(fault_of("[store\n").starts_with("f.toml:1: no TOML: "));
+    CHECK(error_of("store = 1\n") == "f.toml:1: store is no table; write [store]");
+    CHECK(error_of("[store\n").starts_with("f.toml:1: no TOML: "));
     const auto read = Installation::from_text(
         "[store]\nkind = \"sqlite\"\nfolder = \"/x\"\nlease_ms = 700\n[store.write]\ngather_ms = 1.5\n", "f");
     CHECK(read.store.lease == 7'000);
@@ -69,25 +69,25 @@
 
 TEST_CASE("the command line: help, version, checks, and exit codes for words and files that cannot be used") {
     const Folder folder;
-    CHECK(run("--version").starts_with("pinedoor "));
-    CHECK(run("--help").find("Examples:") != std::string::npos);
-    CHECK(run("sevre").ends_with("exit 2\n"));
-    CHECK(run("store").ends_with("exit 2\n"));
-    CHECK(run("check " + folder.path + "/none.toml").ends_with("name a file that exists\nexit 3\n"));
+    CHECK(run_command("--version").starts_with("pinedoor "));
+    CHECK(run_command("--help").find("Examples:") != std::string::npos);
+    CHECK(run_command("sevre").ends_with("exit 2\n"));
+    CHECK(run_command("store").ends_with("exit 2\n"));
+    CHECK(run_command("check " + folder.path + "/none.toml").ends_with("name a file that exists\nexit 3\n"));
     std::ofstream(folder.path + "/good.toml") << "[log]\nformat = \"json\"\n";
-    CHECK(run("check " + folder.path + "/good.toml") == folder.path + "/good.toml: good\n");
-    CHECK(run("serve -s " + folder.path + "/none.toml").ends_with("exit 1\n"));
-    CHECK(run("store list")
+    CHECK(run_command("check " + folder.path + "/good.toml") == folder.path + "/good.toml: good\n");
+    CHECK(run_command("serve -s " + folder.path + "/none.toml").ends_with("exit 1\n"));
+    CHECK(run_command("store list")
               .ends_with("give --settings FILE with [store] kind, --sqlite or --postgres\nexit 1\n"));
-    CHECK(run("store --sqlite " + folder.path + "/none.db list")
+    CHECK(run_command("store --sqlite " + folder.path + "/none.db list")
               .ends_with("run `pinedoor store init`\nexit 1\n"));
 }
 
 TEST_CASE("an older store is migrated by hand, keeps what it holds, and a newer one is refused") {
     const Folder folder;
     const auto store = "store --sqlite " + folder.path + "/r.db ";
-    CHECK(run(store + "init") == "schema 2\n");
-    CHECK(run(store + "init") == "schema 2\n");
+    CHECK(run_command(store + "init") == "schema 2\n");
+    CHECK(run_command(store + "init") == "schema 2\n");
     store::Intent intent;
     intent.id = {"n", 1, 1};
     intent.op_type = "once";
@@ -101,19 +101,19 @@
         db.run("DROP TABLE history");
         db.run("UPDATE pinedoor_meta SET schema_version = 1");
     }
-    CHECK(run(store + "list").ends_with("run `pinedoor store migrate`\nexit 1\n"));
-    CHECK(run(store + "migrate") == "schema 2\n");
-    CHECK(run(store + "list") ==
+    CHECK(run_command(store + "list").ends_with("run `pinedoor store migrate`\nexit 1\n"));
+    CHECK(run_command(store + "migrate") == "schema 2\n");
+    CHECK(run_command(store + "list") ==
           "2025-10-09T08:53:20.000Z in-doubt           n/1/1                    once                         "
           " \n");
     store::SqliteDb(folder.path + "/r.db").run("UPDATE pinedoor_meta SET schema_version = 3");
-    CHECK(run(store + "migrate").ends_with("run a newer pinedoor\nexit 1\n"));
+    CHECK(run_command(store + "migrate").ends_with("run a newer pinedoor\nexit 1\n"));
 }
 
 TEST_CASE("export, backup while it is written, restore, prune and verify") {
     const Folder folder;
     const auto store = "store --sqlite " + folder.path + "/r.db ";
-    run(store + "init");
+    run_command(store + "init");
     store::SqliteDb db(folder.path + "/r.db");
     const store::Time day = 864'000'000;
     const store::Time now = store::number_of(db.run("SELECT pinedoor_now()")[0][0]);
@@ -137,38 +137,40 @@
         store::write_entries(db, entries, 1'000);
     }
     const auto lines = [](const std::string& text) { return std::count(text.begin(), text.end(), '\n'); };
-    CHECK(lines(run(store + "export")) == 600);
-    const auto csv = run(store + "export --format csv --tenant 'a,\"b\"'");
+    CHECK(lines(run_command(store + "export")) == 600);
+    const auto csv = run_command(store + "export --format csv --tenant 'a,\"b\"'");
     CHECK(lines(csv) == 2);
     CHECK(csv.find("n/1/1,answered,once,\"a,\"\"b\"\"\",") != std::string::npos);
-    CHECK(lines(run(store + "list --since 2d --most 1000")) == 100);
-    CHECK(lines(run(store + "list --until 2d --most 17")) == 17);
-    CHECK(lines(run(store + "list --op-type once --client t9")) == 1);
-    CHECK(run(store + "list --since yesterday").ends_with("exit 1\n"));
-    CHECK(run(store + "list --state odd").ends_with("in-doubt or under-way\nexit 1\n"));
-    CHECK(run(store + "backup " + folder.path + "/copy.db") == folder.path + "/copy.db\n");
-    CHECK(run(store + "backup " + folder.path + "/copy.db").ends_with("name another file\nexit 1\n"));
-    CHECK(run(store + "prune --before 30d --step 100") == "499 records deleted\n");  // what is in doubt stays
-    CHECK(run(store + "list").find("in-doubt           n/1/7 ") != std::string::npos);
-    CHECK(run(store + "verify") == "nothing amiss\n");
-    CHECK(run(store + "restore " + folder.path + "/copy.db")
+    CHECK(lines(run_command(store + "list --since 2d --most 1000")) == 100);
+    CHECK(lines(run_command(store + "list --until 2d --most 17")) == 17);
+    CHECK(lines(run_command(store + "list --op-type once --client t9")) == 1);
+    CHECK(run_command(store + "list --since yesterday").ends_with("exit 1\n"));
+    CHECK(run_command(store + "list --state odd").ends_with("in-doubt or under-way\nexit 1\n"));
+    CHECK(run_command(store + "backup " + folder.path + "/copy.db") == folder.path + "/copy.db\n");
+    CHECK(run_command(store + "backup " + folder.path + "/copy.db").ends_with("name another file\nexit 1\n"));
+    CHECK(run_command(store + "prune --before 30d --step 100") ==
+          "499 records deleted\n");  // what is in doubt stays
+    CHECK(run_command(store + "list").find("in-doubt           n/1/7 ") != std::string::npos);
+    CHECK(run_command(store + "verify") == "nothing amiss\n");
+    CHECK(run_command(store + "restore " + folder.path + "/copy.db")
               .find("is there; write --add to add what it lacks") != std::string::npos);
     const auto other = "store --sqlite " + folder.path + "/other.db ";
-    CHECK(run(other + "restore " + folder.path + "/copy.db") == folder.path + "/other.db\n");
-    CHECK(lines(run(other + "export")) == 600);
+    CHECK(run_command(other + "restore " + folder.path + "/copy.db") == folder.path + "/other.db\n");
+    CHECK(lines(run_command(other + "export")) == 600);
     db.run("UPDATE claims SET state = 0 WHERE ikey = 'k600'");
-    CHECK(run(store + "verify") == "1 keys that are open though their record has an outcome\nexit 3\n");
-    CHECK(run(store + "verify --json") ==
+    CHECK(run_command(store + "verify") ==
+          "1 keys that are open though their record has an outcome\nexit 3\n");
+    CHECK(run_command(store + "verify --json") ==
           "{\"amiss\":[\"1 keys that are open though their record has an outcome\"]}\nexit 3\n");
     std::ofstream(folder.path + "/bad.db") << "no database";
-    CHECK(run(other + "restore " + folder.path + "/bad.db").ends_with("exit 1\n"));
+    CHECK(run_command(other + "restore " + folder.path + "/bad.db").ends_with("exit 1\n"));
 }
 
 TEST_CASE("restore --add puts back what a store has lost, and leaves what it has learnt since") {
     const Folder folder;
     const auto file = folder.path + "/r.db", copy = folder.path + "/copy.db";
     const auto store = "store --sqlite " + file + " ";
-    run(store + "init");
+    run_command(store + "init");
     store::SqliteDb db(file);
     const auto write = [&db](std::uint64_t number, const std::string& key, std::optional<store::Fate> fate) {
         store::Intent intent;
@@ -188,8 +190,8 @@
     };
     for (std::uint64_t i = 1; i <= 20; ++i) write(i, "k" + std::to_string(i), store::Fate::kAnswered);
     write(21, "doubt", std::nullopt);
-    run(store + "resolve n/1/21 failed --who ann --why seen");
-    run(store + "backup " + copy);
+    run_command(store + "resolve n/1/21 failed --who ann --why seen");
+    run_command(store + "backup " + copy);
     // Lost: 1 to 3 whole, the outcomes of 4 and 5. Since then: k1 is held by another, 6 is failed.
     db.run("DELETE FROM records WHERE number <= 3");
     db.run("DELETE FROM claims WHERE number <= 3");
@@ -198,24 +200,24 @@
     db.run("UPDATE claims SET state = 0 WHERE number IN (4, 5)");
     db.run("UPDATE records SET fate = 4 WHERE number = 6");
     write(30, "k1", std::nullopt);
-    const auto told = run(store + "restore --add " + copy);
-    CHECK(told ==
+    const auto output = run_command(store + "restore --add " + copy);
+    CHECK(output ==
           "3 records, 2 outcomes, 2 keys added\n1 keys are held by other records by now, and were left\n");
-    CHECK(run(store + "verify") == "nothing amiss\n");
+    CHECK(run_command(store + "verify") == "nothing amiss\n");
     CHECK(store::number_of(db.run("SELECT count(*) FROM records WHERE fate = 1")[0][0]) == 19);
     CHECK(store::number_of(db.run("SELECT fate FROM records WHERE number = 6")[0][0]) == 4);
     CHECK(store::number_of(db.run("SELECT number FROM claims WHERE ikey = 'k1'")[0][0]) == 30);
-    CHECK(run(store + "show n/1/21").find("by ann as failed: seen") != std::string::npos);
-    CHECK(run(store + "restore --add " + copy) ==
+    CHECK(run_command(store + "show n/1/21").find("by ann as failed: seen") != std::string::npos);
+    CHECK(run_command(store + "restore --add " + copy) ==
           "0 records, 0 outcomes, 0 keys added\n1 keys are held by other records by now, and were left\n");
 }
 
 TEST_CASE("follow prints what comes and how it ends") {
     const Folder folder;
     const auto store = "store --sqlite " + folder.path + "/r.db ";
-    run(store + "init");
+    run_command(store + "init");
     std::string seen;
-    std::thread following([&] { seen = run(store + "follow --for 1.5"); });
+    std::thread following([&] { seen = run_command(store + "follow --for 1.5"); });
     usleep(300'000);
     store::SqliteDb db(folder.path + "/r.db");
     store::Intent intent;
