--- a/src/tool/caller.cpp
+++ b/src/tool/caller.cpp
@@ -17,7 +17,7 @@
 
 constexpr std::size_t kMaxResponseBytes = std::size_t{64} << 20U;
 
-// A connection whose every wait is bounded.
+// Opens a connection on which connect, send and receive each time out after `timeout_ms`.
 net::Fd connect_to(net::Endpoint endpoint, int timeout_ms) {
     net::Fd fd(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const timeval limit{timeout_ms / 1'000, timeout_ms % 1'000 * 1'000};
@@ -91,7 +91,7 @@
             const bool valid = scan.letter == 'M' && (verdict == "yes" || verdict == "no");
             received_.erase(0, scan.size);
             if (!valid) break;
-            if (request_id != number) continue;  // of a request that was given up
+            if (request_id != number) continue;  // the response to an abandoned request
             response.accepted = verdict == "yes";
             return response;
         }
--- a/src/tool/caller.hpp
+++ b/src/tool/caller.hpp
@@ -1,4 +1,4 @@
-// Asks over HTTP, or a box by frames, and waits for the answer: for commands, which have nothing else to do.
+// Blocking clients for the commands: HTTP requests, and requests to a box by frames.
 #pragma once
 
 #include <optional>
@@ -12,12 +12,13 @@
     int status = 0;
     std::string body;
 };
-// None: there was no answer within so long.
+// Returns nullopt if there is no response within the timeout.
 std::optional<HttpResponse> ask_http(net::Endpoint endpoint, const std::string& method,
                                      const std::string& target, const std::string& body, int timeout_ms);
 
-// One connection to a box, which is made anew when it breaks. A request is the letter M, a number, and words;
-// the answer the same number, yes or no, and a number (docs/placement.md, "What the mover asks of a box").
+// A connection to a box, reopened after it breaks. A request is the letter M, a request number and the words
+// of the command; the response is the same number, yes or no, and a number (docs/placement.md, "What the
+// mover asks of a box").
 class BoxConnection {
 public:
     explicit BoxConnection(net::Endpoint endpoint) : endpoint_(endpoint) {}
--- a/src/tool/command_group.hpp
+++ b/src/tool/command_group.hpp
@@ -1,5 +1,5 @@
-// A word with commands under it: `pinedoor store list`. The command that was named leaves its exit code in
-// `code` when the words are parsed.
+// A group of subcommands, as in `pinedoor store list`. Parsing the command line runs the chosen command and
+// stores its exit code in `exit_code`.
 #pragma once
 
 #include <CLI/CLI.hpp>
--- a/src/tool/command_line.cpp
+++ b/src/tool/command_line.cpp
@@ -38,20 +38,20 @@
     app.set_version_flag("--version", "pinedoor " PINEDOOR_VERSION);
     app.require_subcommand(0, 1);
     app.footer(
-        "Without a command it serves.\n\nExamples:\n"
+        "The default command is serve.\n\nExamples:\n"
         "  ROUTER_CONFIG=/run/balancer/config.json pinedoor\n"
         "  pinedoor serve --settings deploy/pinedoor.toml --log-format json\n"
         "  pinedoor check deploy/pinedoor.toml\n"
         "  pinedoor store --settings deploy/pinedoor.toml list --state in-doubt --json\n\n"
-        "Exit codes: 0 done; 1 the configuration or the store cannot be used; 2 the words are not\n"
-        "understood; 3 the command found something amiss, or nothing to act on.");
+        "Exit codes: 0 success; 1 the configuration or the store cannot be used; 2 the command line is\n"
+        "invalid; 3 the command found a problem, or nothing to act on.");
     int exit_code = kSuccess;
     ServeOptions serve_options;
     auto* serve_command =
-        app.add_subcommand("serve", "Serve as a front node until SIGTERM; what pinedoor alone does");
+        app.add_subcommand("serve", "Serve as a front node until SIGTERM; the default command");
     serve_command
         ->add_option("-s,--settings", serve_options.settings_path,
-                     "Our TOML; without it all that it turns on is off")
+                     "The settings (TOML); without them every feature that they enable is off")
         ->envname("PINEDOOR_SETTINGS");
     serve_command->add_option("--log-format", serve_options.log_format, "pairs (key=value) or json")
         ->check(CLI::IsMember({"pairs", "json"}));
@@ -59,8 +59,9 @@
         ->check(CLI::IsMember({"debug", "info", "warning", "error"}));
     std::string checked_file;
     auto* check_command =
-        app.add_subcommand("check", "Say whether a configuration can be used; exit 3 if not");
-    check_command->add_option("file", checked_file, "Our TOML (*.toml) or the platform's JSON")->required();
+        app.add_subcommand("check", "Check whether a configuration can be used; exit 3 if not");
+    check_command->add_option("file", checked_file, "The settings (*.toml) or the platform's JSON")
+        ->required();
     add_store_commands(app, exit_code);
     add_shard_commands(app, exit_code);
     add_peer_commands(app, exit_code);
--- a/src/tool/command_line.hpp
+++ b/src/tool/command_line.hpp
@@ -1,8 +1,8 @@
-// The command line: reads the words, and hands over to the command that they name.
+// The command line: parses the arguments and runs the command that they name.
 //
-// Exit codes of every command: 0 done; 1 the configuration or the store cannot be used, said in one line on
-// standard error that names the fault and the mend; 2 the words are not understood; 3 the command ran and
-// found what it looks for amiss (`check`, `store verify`), or nothing by that name (`store resolve`).
+// Exit codes of every command: 0 success; 1 the configuration or the store cannot be used, with one line on
+// standard error that names the fault and the remedy; 2 the command line is invalid; 3 the command ran and
+// found a problem (`check`, `store verify`) or no such item (`store resolve`).
 #pragma once
 
 #include <stdexcept>
@@ -11,7 +11,8 @@
 
 enum ExitCode : int { kSuccess = 0, kFailure = 1, kUsageError = 2, kProblemFound = 3 };
 
-struct CommandError : std::runtime_error {  // told to the user as it is; ends the command with kUnusable
+// The message is shown to the user; the command ends with kFailure.
+struct CommandError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
--- a/src/tool/peer_commands.cpp
+++ b/src/tool/peer_commands.cpp
@@ -12,14 +12,14 @@
 namespace pinedoor::tool {
 namespace {
 
-// What is asked of a running node over its local socket.
+// Commands that query a running node over its local socket.
 class NodeCommands : public CommandGroup {
 public:
     NodeCommands(CLI::App& app, int& exit_code, const char* name, const char* description)
         : CommandGroup(app, exit_code, name, description) {
-        group_->add_option("-s,--settings", settings_, "Our TOML, which names peers.control")
+        group_->add_option("-s,--settings", settings_, "The settings (TOML) with peers.control")
             ->envname("PINEDOOR_SETTINGS");
-        group_->add_option("--control", control_, "The local socket itself");
+        group_->add_option("--control", control_, "Path of the local socket");
     }
 
 protected:
@@ -45,15 +45,16 @@
 class PeerCommands : public NodeCommands {
 public:
     PeerCommands(CLI::App& app, int& exit_code)
-        : NodeCommands(app, exit_code, "peers", "Whom a running front node knows, over its local socket") {
+        : NodeCommands(app, exit_code, "peers",
+                       "Query the membership of a running front node over its local socket") {
         command("list", "The members: name, standing, address, zone, incarnation",
                 [this] { return send_command("list"); });
-        command("show", "Counters; with a name what is known of that member", [this] {
+        command("show", "Counters, or with a name the state of that member", [this] {
             return send_command(name_.empty() ? "show" : "show " + name_);
         })->add_option("name", name_);
-        command("facts", "What members say beside who is there: origin, topic, age, words",
+        command("facts", "What members publish: origin, topic, age, text",
                 [this] { return send_command("facts"); });
-        command("leave", "Tells the others that this node is no member any more; it serves on",
+        command("leave", "Leave the membership; the node keeps serving",
                 [this] { return send_command("leave"); });
     }
 
@@ -65,12 +66,12 @@
 public:
     FleetCommands(CLI::App& app, int& exit_code)
         : NodeCommands(app, exit_code, "fleet",
-                       "What holds for the whole fleet, as a running front node has it") {
-        command("limits", "Each limit: what this node may use, who lends it, what passed and was turned away",
+                       "Query a running front node for the state of the whole fleet") {
+        command("limits", "Each limit: this node's share, its lender, and multigets admitted and rejected",
                 [this] { return send_command("limits"); });
-        command("verdicts", "The servers that front nodes have aside together, and those that are cold",
+        command("verdicts", "Servers that the front nodes have set aside jointly, and cold servers",
                 [this] { return send_command("verdicts"); });
-        command("why", "Who says what of a server, and what comes of it",
+        command("why", "The reports of the front nodes on a server, and the result",
                 [this] { return send_command("why " + server_); })
             ->add_option("server", server_, "Its name in discovery's list")
             ->required();
@@ -84,7 +85,7 @@
 
 void add_peer_commands(CLI::App& app, int& exit_code) {
     auto commands = std::make_shared<PeerCommands>(app, exit_code);
-    // Lives as long as the words are parsed: CLI11 keeps pointers to what it fills.
+    // Keeps the commands alive while arguments are parsed, because CLI11 holds pointers to their members.
     app.get_subcommand("peers")->parse_complete_callback([commands] {});
     auto fleet = std::make_shared<FleetCommands>(app, exit_code);
     app.get_subcommand("fleet")->parse_complete_callback([fleet] {});
--- a/src/tool/peer_commands.hpp
+++ b/src/tool/peer_commands.hpp
@@ -1,11 +1,11 @@
-// `pinedoor peers ...`: whom a running front node knows, over its local socket.
+// `pinedoor peers ...` and `pinedoor fleet ...`: query a running front node over its local socket.
 #pragma once
 
 #include <CLI/CLI.hpp>
 
 namespace pinedoor::tool {
 
-// Adds the commands; the one that was named leaves its exit code in `code` when the words are parsed.
+// Adds the commands. Parsing the command line stores the chosen command's exit code in `exit_code`.
 void add_peer_commands(CLI::App& app, int& exit_code);
 
 }  // namespace pinedoor::tool
--- a/src/tool/serve.cpp
+++ b/src/tool/serve.cpp
@@ -23,7 +23,7 @@
     sigaddset(&signals, SIGINT);
     sigaddset(&signals, SIGHUP);
     sigprocmask(SIG_BLOCK, &signals, nullptr);
-    std::signal(SIGPIPE, SIG_IGN);  // a log that nobody reads any more is no reason to end
+    std::signal(SIGPIPE, SIG_IGN);  // a closed log must not end the process
     return net::Fd(signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC));
 }
 
--- a/src/tool/serve.hpp
+++ b/src/tool/serve.hpp
@@ -1,4 +1,4 @@
-// `pinedoor serve`: one front node until it is told to stop.
+// `pinedoor serve`: runs one front node until it is stopped by a signal.
 #pragma once
 
 #include <string>
@@ -6,8 +6,8 @@
 namespace pinedoor::tool {
 
 struct ServeOptions {
-    std::string settings_path;  // path of our TOML; empty: none
-    std::string log_format;     // empty: as the TOML says
+    std::string settings_path;  // path of the TOML settings; empty: none
+    std::string log_format;     // empty: as in the settings
     std::string log_level;
 };
 
--- a/src/tool/shard_carrier.cpp
+++ b/src/tool/shard_carrier.cpp
@@ -18,8 +18,8 @@
 namespace {
 
 constexpr int kPollIntervalMs = 5;
-constexpr Time kRequestCheckInterval = 1'000;  // between two looks at what operators wish
-constexpr Time kRenewalsPerLease = 3;          // a lease is renewed after this share of it
+constexpr Time kRequestCheckInterval = 1'000;  // between checks for operators' requests, 0.1 ms
+constexpr Time kRenewalsPerLease = 3;          // renewals within one lease duration
 
 bool is_cut(MoveKind kind) { return kind == MoveKind::kSplit || kind == MoveKind::kMerge; }
 
@@ -35,7 +35,7 @@
     if (whole == nullptr) {
         const auto* unreadable = std::get_if<Unreadable>(&news);
         throw CommandError("the map at " + net::to_text(discovery) + path + " cannot be used: " +
-                           (unreadable == nullptr ? "it is no whole one" : unreadable->why));
+                           (unreadable == nullptr ? "it is not a complete map" : unreadable->why));
     }
     if (const auto fault = ShardMap::fault_of(whole->shards); !fault.empty())
         throw CommandError("the map at " + net::to_text(discovery) + path + " cannot be used: " + fault);
@@ -44,7 +44,7 @@
     if (!list || list->status != 200) throw CommandError("no list of servers at " + net::to_text(discovery));
     const auto json = nlohmann::json::parse(list->body, nullptr, false);
     if (!json.is_object() || !json.contains("members"))
-        throw CommandError("the list of servers cannot be read");
+        throw CommandError("cannot parse the list of servers");
     for (const auto& member : json["members"]) {
         if (!member.is_object() || !member.value("id", "").size()) continue;
         if (const auto endpoint = net::parse_endpoint(member.value("host_port", "")))
@@ -69,7 +69,7 @@
     for (const auto& each : after) {
         if (!is_on(before, each.box)) added.push_back(each.box);
     }
-    // What is copied comes first and what goes last, so that a shard is never held by fewer than before.
+    // Copies come first and removals last, so that a shard never has fewer replicas than before.
     const auto owner = owner_of(before), next = owner_of(after);
     const bool owner_removed = owner != next && std::erase(removed, owner) > 0;
     const bool owner_added = owner != next && std::erase(added, next) > 0;
@@ -163,13 +163,13 @@
         journal_.note(id, "the shard is not in the map any more");
         active.aborted = true;
     }
-    // Before anything is asked of it: a move may come to its end within one call.
+    // The abort comes before any request to a box, because a move may finish within one call.
     if (active.aborted) handle_event(active, AbortAsked{});
     if (active.mover->move().step != MoveStep::kUndo && !active.mover->ended())
         run_actions(active, active.mover->start(now()));
 }
 
-// In order; what is answered at once brings further actions behind those.
+// Runs the actions in order; an action that completes at once may append further ones.
 void ShardCarrier::run_actions(ActiveMove& active, const Actions& actions) {
     std::deque<Action> to_do(actions.begin(), actions.end());
     while (!to_do.empty() && active.mover) {
@@ -196,7 +196,8 @@
             handle_event(found->second, AbortAsked{});
             continue;
         }
-        // Something may have been asked of a box before: it is undone there, whatever the bounds say.
+        // A box may have got a request already, so the move is undone there even if the limits on concurrent
+        // moves are reached.
         scheduler_.drop(each.move.id);
         start_move(each.move.id);
     }
@@ -209,7 +210,8 @@
     }
 }
 
-// How much of what came since the last look was turned away or failed, over all nodes that answer.
+// Computes the share of multigets that were rejected or failed since the last check, over all nodes that
+// respond.
 void ShardCarrier::check_pressure() {
     if (config_.nodes.empty() || now() < next_pressure_check_) return;
     next_pressure_check_ = now() + config_.pressure_interval_ms * 10;
@@ -238,7 +240,7 @@
     if (change == MoveDesk::Did::kResumed) report_("resumed");
 }
 
-// True: the box has agreed, and `number` is what it told.
+// Returns true if the box accepts; `value` is then the number it returned.
 bool ShardCarrier::request_box(const ActiveMove& active, const std::string& box, const char* verb,
                                std::uint64_t& value, std::uint64_t upto, Epoch epoch) {
     const auto& move = active.mover->move();
@@ -289,7 +291,7 @@
     return true;
 }
 
-// The parents are not in the map any more: all that held them hold the children.
+// The parents are no longer in the map; every box that held them holds the children.
 bool ShardCarrier::drop_parents(const ActiveMove& active) {
     const auto& move = active.journaled.move;
     const auto after = children(active);
@@ -347,7 +349,7 @@
         handle_event(active, Reached{value});
 }
 
-// What is still to be published of it; empty: it is in the map.
+// Returns the map changes that are still to be published; empty if the map has them all.
 std::vector<Step> ShardCarrier::unpublished_steps(const ActiveMove& active) const {
     const auto& move = active.journaled.move;
     const auto* shard = fleet_.map.find(move.shard);
@@ -376,7 +378,7 @@
         const auto response =
             ask_http(config_.discovery, "POST", config_.path, text, config_.request_timeout_ms);
         crash_points_.pass("published");
-        // Whatever was answered, the map tells whether it is in.
+        // Whatever the response, the map shows whether the change was applied.
         if (response) refresh_fleet();
         if (!unpublished_steps(active).empty()) return;
         report_("map version " + std::to_string(fleet_.map.version()) + ": move " +
@@ -385,7 +387,7 @@
     handle_event(active, Published{});
 }
 
-// The epoch of the map, to all that hold the shard by it.
+// Sends the map's epoch to all boxes that hold the shard according to the map.
 void ShardCarrier::execute(ActiveMove& active, const AskOwn&) {
     if (!unpublished_steps(active).empty()) return;
     const bool cut = is_cut(active.journaled.move.kind);
@@ -397,7 +399,7 @@
         if (shard == nullptr) return;
         for (const auto& each : shard->replicas) {
             const auto& box = names_.name(each.box);
-            // Whoever has the parents' data has the children's.
+            // Every box that has the parents' data has the children's.
             if (cut) all = request_box(active, box, "copy", *shard, value) && all;
             all = request_box(active, box, each.role == Role::kOwner ? "own" : "read", *shard, value) && all;
         }
@@ -422,7 +424,7 @@
     }
     const bool keeps = from ? kind == MoveKind::kPass || kind == MoveKind::kCopy
                             : kind == MoveKind::kPass || kind == MoveKind::kRemove;
-    // A box that keeps its data must still know that the move is over.
+    // A box that keeps its data must still be told that the move has ended.
     const char* verb = keeps ? "unfence" : "drop";
     const auto& box = from ? active.journaled.from : active.journaled.to;
     const auto* shard = fleet_.map.find(active.journaled.move.shard);
--- a/src/tool/shard_carrier.hpp
+++ b/src/tool/shard_carrier.hpp
@@ -1,6 +1,7 @@
-// Carries moves out: does what each Mover and the MoveDesk decide, one request after the other. It reads the
-// map and the list at discovery, asks boxes, publishes steps, and keeps every step in the journal before
-// anything is asked that belongs to it. Killed at any point, the next one goes on from the journal.
+// Executes shard moves: performs the actions that each Mover and the MoveDesk decide, one request at a time.
+// It reads the map and the server list at discovery, sends requests to boxes, publishes map changes, and
+// saves every step in the journal before it sends the requests of that step. If it is killed at any point,
+// the next run continues from the journal.
 #pragma once
 
 #include <functional>
@@ -22,25 +23,27 @@
 struct CarrierTerms {
     net::Endpoint discovery;
     std::string path = "/discovery/shards";
-    std::vector<net::Endpoint> nodes;  // whose counters tell the fleet's pressure; none: it is not looked at
-    std::string who;                   // names this process in the lease
+    // Nodes whose counters are used to detect overload of the fleet; empty: no detection.
+    std::vector<net::Endpoint> nodes;
+    std::string who;  // identifies this process in the lease
     std::int64_t lease = 100'000;
-    int request_timeout_ms = 500;      // of one request
-    int pressure_interval_ms = 1'000;  // between two looks at the pressure
+    int request_timeout_ms = 500;      // timeout of one request
+    int pressure_interval_ms = 1'000;  // between two overload checks
     placement::MoveTerms move;
     placement::DeskTerms desk;
 };
 
-// The map at discovery, with the boxes' addresses by the list. Throws Unusable if there is none.
+// The map at discovery, and the addresses of the boxes from the server list. Throws CommandError if either is
+// missing.
 struct FleetView {
     placement::ShardMap map;
     std::map<std::string, net::Endpoint> boxes;
-    std::map<std::string, std::string> zones;  // of boxes
+    std::map<std::string, std::string> zones;  // by box name
 };
 FleetView fetch_fleet(net::Endpoint discovery, const std::string& path, placement::BoxNames& names,
                       int timeout_ms);
 
-// What `before` turned into `after` takes, one move for each replica that changes.
+// Returns the moves that change the replicas from `before` to `after`, one for each changed replica.
 std::vector<store::JournalMove> moves_between(placement::ShardId shard, placement::Epoch epoch,
                                               const std::vector<placement::Replica>& before,
                                               const std::vector<placement::Replica>& after);
@@ -49,8 +52,8 @@
 public:
     ShardCarrier(store::SqlDb& db, CarrierTerms config, std::function<void(const std::string&)> report);
 
-    // Until every move of the journal has ended, or none may begin. True: all were done. Throws Unusable if
-    // another one carries moves, or discovery is not there.
+    // Runs until every move of the journal has ended or no further one may start. Returns true if all
+    // completed. Throws CommandError if another process holds the lease or discovery is unreachable.
     bool run();
 
 private:
@@ -72,7 +75,8 @@
                      std::uint64_t upto = 0, placement::Epoch epoch = 0);
     bool request_box(const ActiveMove& active, const std::string& box, const char* verb,
                      const placement::Shard& shard, std::uint64_t& value, std::uint64_t upto = 0);
-    // Of a split or a merge: what was, and what is once it is published; null where it is not so.
+    // Of a split or merge: the shards before and after publication; null where the map does not have the
+    // shard.
     std::vector<const placement::Shard*> parents(const ActiveMove& active) const;
     std::vector<const placement::Shard*> children(const ActiveMove& active) const;
     bool request_owner_of_parents(const ActiveMove& active, const char* verb, std::uint64_t& value);
@@ -102,7 +106,7 @@
     FleetView fleet_;
     std::map<std::string, BoxConnection> connections_;
     std::map<placement::MoveId, ActiveMove> active_moves_;
-    std::vector<placement::MoveId> finished_;  // to be forgotten once nothing of them is under way
+    std::vector<placement::MoveId> finished_;  // removed after the current iteration
     placement::Time next_pressure_check_ = 0;
     placement::Time next_request_check_ = 0;
     std::uint64_t last_taken_ = 0, last_refused_ = 0;
--- a/src/tool/shard_commands.cpp
+++ b/src/tool/shard_commands.cpp
@@ -39,69 +39,72 @@
             "  pinedoor shards -s deploy/pinedoor.toml --discovery 10.0.0.5:7000 apply fleet.toml --dry-run\n"
             "  pinedoor shards -s deploy/pinedoor.toml abort 17\n"
             "  pinedoor shards heat --node 10.0.0.7:8080 --node 10.0.0.8:8080");
-        group_->add_option("-s,--settings", settings_, "Our TOML, which tells where the journal is")
+        group_
+            ->add_option("-s,--settings", settings_,
+                         "The settings (TOML) that name the store with the journal")
             ->envname("PINEDOOR_SETTINGS");
         group_->add_option("--sqlite", sqlite_,
-                           "A SQLite file for the journal, instead of the settings' store");
+                           "A SQLite file for the journal, instead of the store in the settings");
         group_->add_option("--discovery", discovery_, "HOST:PORT of discovery, an IPv4 address");
-        group_->add_option("--path", path_, "Of the map at discovery")->capture_default_str();
+        group_->add_option("--path", path_, "Path of the map at discovery")->capture_default_str();
         add_all();
     }
 
 private:
     void add_all() {
-        auto* show = command("show", "The map as discovery tells it", [this] { return this->show(); });
+        auto* show = command("show", "Show the map published by discovery", [this] { return this->show(); });
         show->add_flag("--json", json_, "The map as one JSON object");
-        auto* check = command("check", "Say whether a fleet's file can be used; exit 3 if not",
+        auto* check = command("check", "Check whether a fleet file can be used; exit 3 if not",
                               [this] { return this->check(); });
         check->add_option("file", file_, "The fleet's TOML")->required();
-        auto* plan =
-            command("plan", "Where replicas should be, and the steps there; exit 3 if something is unmet",
-                    [this] { return this->run_plan(); });
+        auto* plan = command(
+            "plan", "Plan the placement of replicas and the steps to it; exit 3 if a requirement is unmet",
+            [this] { return this->run_plan(); });
         plan->add_option("file", file_, "The fleet's TOML")->required();
         plan->add_flag("--json", json_, "One JSON object");
-        plan->add_flag("--exact", exact_, "The best there is, by GLPK: small fleets alone");
+        plan->add_flag("--exact", exact_, "The optimum, computed with GLPK; for small fleets only");
         plan->add_option("--seconds", seconds_, "For --exact")->capture_default_str();
         auto* apply =
-            command("apply", "Plan, and carry the moves out; without a file, go on with those that wait",
+            command("apply", "Plan and execute the moves; without a file, continue the pending ones",
                     [this] { return this->apply(); });
         apply->add_option("file", file_, "The fleet's TOML");
         apply->add_flag("--dry-run", dry_run_, "Only list the moves");
         apply->add_option("--node", nodes_,
-                          "HOST:PORT of a front node: moves pause while nodes turn much away");
-        apply->add_option("--at-once", desk_config_.at_once, "Moves that go on")->capture_default_str();
-        apply->add_option("--at-once-box", desk_config_.at_once_box, "Of them from one box, and to one")
+                          "HOST:PORT of a front node: moves pause while nodes reject many multigets");
+        apply->add_option("--at-once", desk_config_.at_once, "Maximum number of concurrent moves")
             ->capture_default_str();
-        apply->add_option("--at-once-zone", desk_config_.at_once_zone, "Of them to one zone")
+        apply->add_option("--at-once-box", desk_config_.at_once_box, "Maximum from one box, and to one box")
             ->capture_default_str();
-        apply
-            ->add_option("--pause-above", desk_config_.pause_above,
-                         "Share of multigets turned away or failed")
+        apply->add_option("--at-once-zone", desk_config_.at_once_zone, "Maximum to one zone")
+            ->capture_default_str();
+        apply->add_option("--pause-above", desk_config_.pause_above, "Share of multigets rejected or failed")
             ->capture_default_str();
-        apply->add_option("--resume-below", desk_config_.resume_below, "Likewise")->capture_default_str();
-        apply->add_option("--lease-ms", lease_ms_, "After so long another one may carry the moves")
+        apply->add_option("--resume-below", desk_config_.resume_below, "The same, to resume")
+            ->capture_default_str();
+        apply
+            ->add_option("--lease-ms", lease_ms_, "Lease duration, after which another process may take over")
             ->capture_default_str()
             ->check(CLI::Range(100, 3'600'000));
-        auto* split = command("split", "Note that a shard is to be split; `apply` carries it out",
+        auto* split = command("split", "Schedule the split of a shard; `apply` executes it",
                               [this] { return this->schedule_cut(true); });
         split->add_option("shard", shard_, "Its number")->required();
         split->add_option("key", split_key_, "The first key of the upper part, hexadecimal")->required();
-        auto* merge = command("merge", "Note that two shards side by side on the same boxes are to be one",
+        auto* merge = command("merge", "Schedule the merge of two adjacent shards on the same boxes",
                               [this] { return this->schedule_cut(false); });
-        merge->add_option("lower", shard_, "The number of the one")->required();
-        merge->add_option("upper", other_shard_, "The number of the one behind it")->required();
-        command("pause", "Begin no move, and go on with none that has not fenced yet",
+        merge->add_option("lower", shard_, "Number of the lower shard")->required();
+        merge->add_option("upper", other_shard_, "Number of the upper shard")->required();
+        command("pause", "Start no move, and hold those that have not fenced yet",
                 [this] { return this->pause(true); });
-        command("resume", "Go on", [this] { return this->pause(false); });
+        command("resume", "Resume the moves", [this] { return this->pause(false); });
         auto* abort = command("abort", "Undo a move, unless it has switched; exit 3 if there is none",
                               [this] { return this->abort(); });
         abort->add_option("move", move_id_, "Its number, as `history` prints it")->required();
-        auto* history =
-            command("history", "All moves, and who carries them", [this] { return this->history(); });
+        auto* history = command("history", "List all moves, and the process that executes them",
+                                [this] { return this->history(); });
         history->add_flag("--json", json_, "A JSON object a line");
         history->add_flag("--open", open_only_, "Only those that have not ended");
-        auto* heat =
-            command("heat", "The hottest shards by what front nodes count", [this] { return this->heat(); });
+        auto* heat = command("heat", "List the hottest shards by the counters of front nodes",
+                             [this] { return this->heat(); });
         heat->add_option("--node", nodes_, "HOST:PORT of a front node")->required();
         heat->add_flag("--json", json_, "A JSON object a line");
     }
@@ -233,7 +236,7 @@
         return exit_code;
     }
 
-    // The moves that the plan takes, under the map as it is. The file must say what the map says.
+    // The moves of the plan, based on the current map. The fleet file must agree with the map.
     std::vector<store::JournalMove> moves_of(const stated::FleetFile& file, const FleetView& fleet,
                                              BoxNames& names) {
         const auto result = make_plan(file);
@@ -310,7 +313,7 @@
         return carrier.run() ? kSuccess : kProblemFound;
     }
 
-    // Whether the map allows it is tried on the map as it is.
+    // Whether the map allows the change is checked against the current map.
     int schedule_cut(bool split) {
         BoxNames names;
         const auto fleet = fetch_fleet(endpoint(discovery_, "--discovery"), path_, names, 2'000);
@@ -339,7 +342,7 @@
         requested.move.epoch = shard->epoch;
         requested.from = names.name(shard->owner());
         requested.map = fleet.map.version();
-        // Behind what waits: it may be about the same shard.
+        // Scheduled after all pending moves, which may concern the same shard.
         for (const auto& each : journal.moves(true)) requested.wave = std::max(requested.wave, each.wave + 1);
         const auto added = journal.add({requested});
         std::printf("move %llu: %s\n", static_cast<unsigned long long>(added.front().move.id),
@@ -446,7 +449,7 @@
 
 void add_shard_commands(CLI::App& app, int& exit_code) {
     auto commands = std::make_shared<ShardCommands>(app, exit_code);
-    // Lives as long as the words are parsed: CLI11 keeps pointers to what it fills.
+    // Keeps the commands alive while arguments are parsed, because CLI11 holds pointers to their members.
     app.get_subcommand("shards")->parse_complete_callback([commands] {});
 }
 
--- a/src/tool/shard_commands.hpp
+++ b/src/tool/shard_commands.hpp
@@ -1,11 +1,11 @@
-// `pinedoor shards ...`: see the map, plan where replicas should be, carry moves out, and stop them.
+// `pinedoor shards ...`: show the map, plan the placement of replicas, execute moves, and stop them.
 #pragma once
 
 #include <CLI/CLI.hpp>
 
 namespace pinedoor::tool {
 
-// Adds the commands; the one that was named leaves its exit code in `code` when the words are parsed.
+// Adds the commands. Parsing the command line stores the chosen command's exit code in `exit_code`.
 void add_shard_commands(CLI::App& app, int& exit_code);
 
 }  // namespace pinedoor::tool
--- a/src/tool/store_commands.cpp
+++ b/src/tool/store_commands.cpp
@@ -41,7 +41,7 @@
            'Z';
 }
 
-// "2026-12-01T19:00:00Z", any part of it from the right left out, or so long ago: "90s", "15m", "2h", "7d".
+// Parses "2026-12-01T19:00:00Z", also shortened from the right, or an age: "90s", "15m", "2h", "7d".
 Time read_time(const std::string& text) {
     const auto now = std::chrono::duration_cast<std::chrono::microseconds>(
                          std::chrono::system_clock::now().time_since_epoch())
@@ -61,11 +61,11 @@
         const char* end = strptime(text.c_str(), form, &parts);
         if (end != nullptr && *end == '\0') return static_cast<Time>(timegm(&parts)) * kTicksPerSecond;
     }
-    throw CommandError("'" + text + "' is no time; write 2026-12-01T19:00:00Z, or 15m for so long ago");
+    throw CommandError("'" + text + "' is not a time; write 2026-12-01T19:00:00Z, or an age such as 15m");
 }
 
 std::string text_for_json(const std::string& text) {
-    // What came from clients may be any bytes; JSON is UTF-8.
+    // Texts from clients may be any bytes, but JSON must be UTF-8.
     return Json(text).dump(-1, ' ', false, Json::error_handler_t::replace);
 }
 
@@ -112,7 +112,7 @@
                 record.note.empty() ? "" : "  ", printable(record.note).c_str());
 }
 
-// Calls `each` for every record that the filter takes, however many, page by page.
+// Calls `on_record` for every record that matches the filter, reading page by page, until it returns false.
 void for_each_record(SqlDb& db, Filter filter, Time lease,
                      const std::function<bool(const Record&)>& on_record) {
     const auto max_records = filter.max_records;
@@ -132,11 +132,12 @@
 class Commands : CommandGroup {
 public:
     Commands(CLI::App& app, int& exit_code)
-        : CommandGroup(app, exit_code, "store", "Ask the store of record, and settle what is in doubt") {
-        group_->add_option("-s,--settings", settings_, "Our TOML, which tells where the store is")
+        : CommandGroup(app, exit_code, "store", "Query the store of record, and resolve records in doubt") {
+        group_->add_option("-s,--settings", settings_, "The settings (TOML) that name the store")
             ->envname("PINEDOOR_SETTINGS");
-        group_->add_option("--sqlite", sqlite_, "A SQLite file, instead of what the settings tell");
-        group_->add_option("--postgres", postgres_, "A database as libpq takes it, instead of the settings'");
+        group_->add_option("--sqlite", sqlite_, "A SQLite file, instead of the store in the settings");
+        group_->add_option("--postgres", postgres_,
+                           "A libpq connection string, instead of the store in the settings");
         group_->footer(
             "Examples:\n  pinedoor store -s deploy/pinedoor.toml list --state in-doubt --since 2h\n"
             "  pinedoor store --sqlite records.db show n3/17/204\n"
@@ -160,7 +161,7 @@
         }
         if (store_config_->kind == store::Kind::kNone)
             throw CommandError(
-                "no store is named; give --settings FILE with [store] kind, --sqlite or --postgres");
+                "no store is configured; give --settings FILE with [store] kind, --sqlite or --postgres");
         return *store_config_;
     }
 
@@ -178,12 +179,13 @@
         command->add_option("--state", state_,
                             "answered, answered-in-part, refused, failed, in-doubt or under-way");
         command->add_option("--tenant", tenant_, "Of this tenant only");
-        command->add_option("--client", filter_.request_name, "The client's own name of it (X-Txn)");
+        command->add_option("--client", filter_.request_name, "The client's name for the multiget (X-Txn)");
         command->add_option("--op-type", filter_.op_type, "Of this op type only");
         command->add_option("--key", filter_.key, "With this Idempotency-Key only");
-        command->add_option("--since", since_, "Asked then or later: 2026-12-01T19:00:00Z, or 15m ago");
-        command->add_option("--until", until_, "Asked before then");
-        command->add_option("--most", filter_.max_records, "So many at most")->capture_default_str();
+        command->add_option("--since", since_, "Requested at or after: 2026-12-01T19:00:00Z, or 15m ago");
+        command->add_option("--until", until_, "Requested before");
+        command->add_option("--most", filter_.max_records, "Maximum number of records")
+            ->capture_default_str();
     }
 
     Filter filter() {
@@ -201,49 +203,48 @@
     }
 
     void add_all() {
-        command("init", "Make the tables; a store that has them is left as it is",
+        command("init", "Create the tables; an initialized store is left unchanged",
                 [this] { return migrate(true); });
         command("migrate", "Bring an older store to this program's schema",
                 [this] { return migrate(false); });
-        auto* show = command("show", "Show one record whole, or what the store holds",
-                             [this] { return this->show(); });
+        auto* show =
+            command("show", "Show one record, or a summary of the store", [this] { return this->show(); });
         show->add_option("record", record_, "NODE/INCARNATION/NUMBER, as `list` prints it");
         show->add_flag("--json", json_, "One JSON object");
         auto* list = command("list", "List records, oldest first", [this] { return this->list(); });
         add_filter(list);
         list->add_flag("--json", json_, "One JSON object a line");
         auto* resolve =
-            command("resolve", "Settle a record that is in doubt", [this] { return this->resolve(); });
+            command("resolve", "Resolve a record that is in doubt", [this] { return this->resolve(); });
         resolve->add_option("record", record_, "NODE/INCARNATION/NUMBER")->required();
         resolve->add_option("fate", fate_, "answered, refused (its key is free again) or failed")->required();
-        resolve->add_option("--who", who_, "Who settles it")->required();
-        resolve->add_option("--why", why_, "What shows it")->required();
+        resolve->add_option("--who", who_, "Who resolves it")->required();
+        resolve->add_option("--why", why_, "The evidence")->required();
         auto* exported =
-            command("export", "Write records out, answers included", [this] { return export_all(); });
+            command("export", "Export records, including answers", [this] { return export_all(); });
         add_filter(exported);
         exported->add_option("--format", format_, "csv or jsonl")->check(CLI::IsMember({"csv", "jsonl"}));
         auto* prune =
             command("prune", "Delete old records that have an outcome", [this] { return this->prune(); });
-        prune->add_option("--before", until_, "Those asked before then: a time, or 30d ago")->required();
-        prune->add_option("--step", step_, "So many in one transaction")->capture_default_str();
+        prune->add_option("--before", until_, "Requested before: a time, or 30d ago")->required();
+        prune->add_option("--step", step_, "Records per transaction")->capture_default_str();
         auto* backup =
             command("backup", "Copy a SQLite store while nodes write", [this] { return back_up(); });
-        backup->add_option("file", path_, "The copy, which must not be there")->required();
-        auto* restore = command(
-            "restore", "Put a copy in place of a SQLite store that is gone, or add what a store lacks",
-            [this] { return this->restore(); });
+        backup->add_option("file", path_, "The copy; the file must not exist")->required();
+        auto* restore = command("restore", "Replace a lost SQLite store by a copy, or add what a store lacks",
+                                [this] { return this->restore(); });
         restore->add_option("file", path_, "The copy")->required();
         restore->add_flag(
             "--add", add_,
             "Add what the store lacks, SQLite or PostgreSQL, also while nodes write; nothing is "
             "overwritten");
-        auto* verify = command("verify", "Look for what cannot be; exit 3 if there is any",
+        auto* verify = command("verify", "Check for inconsistencies; exit 3 if there are any",
                                [this] { return this->verify(); });
         verify->add_flag("--json", json_, "One JSON object");
         auto* follow =
-            command("follow", "Print records as they come and end", [this] { return this->follow(); });
+            command("follow", "Print records as they are created and end", [this] { return this->follow(); });
         follow->add_flag("--json", json_, "One JSON object a line");
-        follow->add_option("--for", seconds_, "So many seconds; 0: until interrupted");
+        follow->add_option("--for", seconds_, "Seconds to run; 0: until interrupted");
     }
 
     int migrate(bool init) {
@@ -320,7 +321,8 @@
     Record find(SqlDb& db) {
         Filter by_id;
         by_id.id = store::parse_id(record_);
-        if (!by_id.id) throw CommandError("'" + record_ + "' names no record; write NODE/INCARNATION/NUMBER");
+        if (!by_id.id)
+            throw CommandError("'" + record_ + "' is not a record id; write NODE/INCARNATION/NUMBER");
         const auto found = store::list_records(db, by_id, store_config().lease);
         if (found.empty()) throw CommandError("there is no record " + record_);
         return found[0];
@@ -344,8 +346,8 @@
         const auto outcome_kind = store::parse_outcome_kind(fate_);
         const auto id = store::parse_id(record_);
         if (!outcome_kind)
-            throw CommandError("'" + fate_ + "' is no fate; write answered, refused or failed");
-        if (!id) throw CommandError("'" + record_ + "' names no record; write NODE/INCARNATION/NUMBER");
+            throw CommandError("'" + fate_ + "' is not an outcome; write answered, refused or failed");
+        if (!id) throw CommandError("'" + record_ + "' is not a record id; write NODE/INCARNATION/NUMBER");
         const auto db = open();
         switch (store::resolve(*db, *id, *outcome_kind, who_, why_, store_config().lease)) {
             case store::ResolveResult::kResolved:
@@ -463,7 +465,7 @@
     int follow() {
         const auto db = open();
         const auto began = std::chrono::steady_clock::now();
-        std::map<std::string, std::string> states;  // of what is still shown as open
+        std::map<std::string, std::string> states;  // states at the last poll
         Filter record_filter;
         record_filter.since = read_time("0s");
         record_filter.max_records = SIZE_MAX;
@@ -490,7 +492,7 @@
             std::cout.flush();
             std::fflush(stdout);
             states = std::move(next);
-            // Looks back a little: what was asked a moment ago may be written a moment from now.
+            // Looks back 10 s, because a record may be written some time after its request.
             record_filter.since = std::max(record_filter.since, std::min(oldest_open, read_time("10s")));
             if (seconds_ > 0 &&
                 std::chrono::steady_clock::now() - began >= std::chrono::duration<double>(seconds_))
@@ -513,7 +515,7 @@
 }  // namespace
 
 void add_store_commands(CLI::App& app, int& exit_code) {
-    // Lives as long as the words are parsed: CLI11 keeps pointers to what it fills.
+    // Keeps the commands alive while arguments are parsed, because CLI11 holds pointers to their members.
     auto commands = std::make_shared<Commands>(app, exit_code);
     app.parse_complete_callback([commands] {});
 }
--- a/src/tool/store_commands.hpp
+++ b/src/tool/store_commands.hpp
@@ -1,11 +1,11 @@
-// `pinedoor store ...`: what an operator asks of the store of record and settles in it, also while nodes run.
+// `pinedoor store ...`: operator access to the store of record, also while nodes run.
 #pragma once
 
 #include <CLI/CLI.hpp>
 
 namespace pinedoor::tool {
 
-// Adds the commands; the one that was named leaves its exit code in `code` when the words are parsed.
+// Adds the commands. Parsing the command line stores the chosen command's exit code in `exit_code`.
 void add_store_commands(CLI::App& app, int& exit_code);
 
 }  // namespace pinedoor::tool
--- a/tests/tool_test.cpp
+++ b/tests/tool_test.cpp
@@ -1,4 +1,4 @@
-// The command line, the settings in TOML, and the log's two forms.
+// Tests of the command line, the settings in TOML, and both formats of the log.
 #include <doctest/doctest.h>
 
 #include <cstdio>
@@ -39,7 +39,7 @@
     }
 }
 
-TEST_CASE("settings: each fault is told with file, line, key and the mend") {
+TEST_CASE("settings: each error names file, line, key and remedy") {
     CHECK(error_of("") == "none");
     CHECK(error_of("[store]\nkind = \"sqlite\"\nfolder = \"/x\"\n") == "none");
     CHECK(error_of("[sotre]\n") == "f.toml:1: sotre is unknown; did you mean store?");
@@ -67,7 +67,7 @@
     CHECK(read.store.sqlite_path() == "/x/records.db");
 }
 
-TEST_CASE("the command line: help, version, checks, and exit codes for words and files that cannot be used") {
+TEST_CASE("the command line: help, version, checks, and exit codes for invalid arguments and files") {
     const Folder folder;
     CHECK(run_command("--version").starts_with("pinedoor "));
     CHECK(run_command("--help").find("Examples:") != std::string::npos);
@@ -83,7 +83,7 @@
               .ends_with("run `pinedoor store init`\nexit 1\n"));
 }
 
-TEST_CASE("an older store is migrated by hand, keeps what it holds, and a newer one is refused") {
+TEST_CASE("an older store is migrated by the operator and keeps its records, and a newer one is rejected") {
     const Folder folder;
     const auto store = "store --sqlite " + folder.path + "/r.db ";
     CHECK(run_command(store + "init") == "schema 2\n");
@@ -110,7 +110,7 @@
     CHECK(run_command(store + "migrate").ends_with("run a newer pinedoor\nexit 1\n"));
 }
 
-TEST_CASE("export, backup while it is written, restore, prune and verify") {
+TEST_CASE("export, backup during writes, restore, prune and verify") {
     const Folder folder;
     const auto store = "store --sqlite " + folder.path + "/r.db ";
     run_command(store + "init");
@@ -149,7 +149,7 @@
     CHECK(run_command(store + "backup " + folder.path + "/copy.db") == folder.path + "/copy.db\n");
     CHECK(run_command(store + "backup " + folder.path + "/copy.db").ends_with("name another file\nexit 1\n"));
     CHECK(run_command(store + "prune --before 30d --step 100") ==
-          "499 records deleted\n");  // what is in doubt stays
+          "499 records deleted\n");  // records in doubt are kept
     CHECK(run_command(store + "list").find("in-doubt           n/1/7 ") != std::string::npos);
     CHECK(run_command(store + "verify") == "nothing amiss\n");
     CHECK(run_command(store + "restore " + folder.path + "/copy.db")
@@ -166,7 +166,7 @@
     CHECK(run_command(other + "restore " + folder.path + "/bad.db").ends_with("exit 1\n"));
 }
 
-TEST_CASE("restore --add puts back what a store has lost, and leaves what it has learnt since") {
+TEST_CASE("restore --add restores what a store has lost and keeps what changed since the copy") {
     const Folder folder;
     const auto file = folder.path + "/r.db", copy = folder.path + "/copy.db";
     const auto store = "store --sqlite " + file + " ";
@@ -192,7 +192,8 @@
     write(21, "doubt", std::nullopt);
     run_command(store + "resolve n/1/21 failed --who ann --why seen");
     run_command(store + "backup " + copy);
-    // Lost: 1 to 3 whole, the outcomes of 4 and 5. Since then: k1 is held by another, 6 is failed.
+    // Lost: records 1 to 3, and the outcomes of 4 and 5. Changed since: k1 is held by another record, 6 has
+    // failed.
     db.run("DELETE FROM records WHERE number <= 3");
     db.run("DELETE FROM claims WHERE number <= 3");
     db.run("DELETE FROM history");
@@ -212,7 +213,7 @@
           "0 records, 0 outcomes, 0 keys added\n1 keys are held by other records by now, and were left\n");
 }
 
-TEST_CASE("follow prints what comes and how it ends") {
+TEST_CASE("follow prints new records and their outcomes") {
     const Folder folder;
     const auto store = "store --sqlite " + folder.path + "/r.db ";
     run_command(store + "init");
@@ -234,7 +235,7 @@
 }
 
 TEST_CASE(
-    "a log line is one line of pairs or of JSON, whatever is in it, and under its level there is none") {
+    "a log event is one line of pairs or JSON whatever its content, and events below the level are dropped") {
     const Folder folder;
     const auto path = folder.path + "/log";
     net::Scheduler scheduler;
