--- a/src/store/decide.hpp
+++ b/src/store/decide.hpp
@@ -51,7 +51,7 @@
     double intent_share = 0.5;
     // Share of the client's remaining time that an answer waits for its outcome to become durable.
     double answer_share = 0.25;
-    // Delay between attempts to open, in 0.1 ms: doubles from reopen_from up to reopen_to, times a random
+    // Delay between attempts to open, in 0.1 ms: doubles up to max_reopen_delay, times a random
     // factor of 0.5 to 1.
     Time reopen_from = 500;
     Time reopen_to = 50'000;
--- a/src/store/move_journal.hpp
+++ b/src/store/move_journal.hpp
@@ -42,7 +42,7 @@
 
     // Adds all moves in one transaction and assigns their ids, in ascending order.
     std::vector<JournalMove> add(std::vector<JournalMove> moves);
-    void keep(const placement::Move& move, const std::string& owner);  // throws LostLease
+    void keep(const placement::Move& move, const std::string& owner);  // throws LeaseLost
     std::vector<JournalMove> moves(bool open_only);                    // ordered by id
     bool wish(placement::MoveId id, const std::string& request);       // false: no such open move
     void note(placement::MoveId id, const std::string& text);
--- a/src/store/record.hpp
+++ b/src/store/record.hpp
@@ -57,7 +57,7 @@
     Fate fate = Fate::kFailed;
     bool frees_key = false;  // nothing ran, so the key may be claimed again
     Time ended = 0;
-    std::string parts;   // "3r 4m 7n": each part's shard and PartFate
+    std::string parts;   // "3r 4m 7n": each part's shard and PartOutcome
     std::string note;    // the reason, if the outcome alone does not tell it
     std::string answer;  // the body sent to the client; empty: none, or not stored
     bool operator==(const Outcome&) const = default;
