--- a/src/store/decide.hpp
+++ b/src/store/decide.hpp
@@ -1,24 +1,27 @@
-// Every decision about the store of record: which entry is written where and when, when a write is settled,
-// when the store counts as slow or down, what is spilled, who is turned away and how long an answer waits. It
-// does no I/O and knows no clock, thread or log: it is handed a time and events, and returns actions.
+// Decision logic of the store of record: which entry is written where and when, how a write with an unknown
+// result is resolved, when the store counts as slow or down, what is spilled, which multigets are rejected
+// and how long an answer waits for its record. The module does no I/O and reads no clock: it receives the
+// current time and events, and returns actions.
 //
-// The store's condition, and what is done with an entry that comes then:
+// State of the store, and the destination of an entry that arrives in that state:
 //
-//   condition | how it comes about            | intent without key | intent with key    | outcome
+//   condition | entered when                  | intent without key | intent with key    | outcome
 //   ----------+-------------------------------+--------------------+--------------------+---------
 //   opening   | at the start                  | spill              | waits              | spill
 //   up        | opened, or a slow write ended | store              | store              | store
-//   slow      | a write is out for slow_after | spill              | waits              | spill
+//   slow      | a write exceeds slow_after    | spill              | waits              | spill
 //   down      | a write or opening failed     | spill              | waits              | spill
 //   up, while the spill holds entries         | spill              | waits              | spill
 //
-// An entry that waits does so within its share of the client's time; then its multiget is turned away, before
-// any send. What waits for a store that failed to open again is turned away at once. A key is never judged
-// without the store: only the store knows who else holds it.
+// A waiting intent waits for at most its share of the client's remaining time; then its multiget is rejected
+// before any send. If reopening the store fails, the intents that only the store can take are rejected at
+// once. A key is never judged without the store, because only the store knows whether another multiget holds
+// it.
 //
-// One write is out to the store at a time and one to the spill, with all that gathered meanwhile: groups grow
-// as the store gets slower. A write whose end is not known is settled by asking for its entries by name
-// before any other write; what is not there is written again, under the same name.
+// At most one write to the store and one to the spill are outstanding. Entries that arrive meanwhile form the
+// next batch, so batches grow as the store gets slower. A write whose result is unknown is reconciled before
+// any other write: the store is asked which of its entries it has, and absent ones are written again under
+// the same id.
 #pragma once
 
 #include <cstddef>
@@ -37,222 +40,259 @@
 
 namespace pinedoor::store {
 
+// Configuration of the writes to the store and the spill.
 struct WriteTerms {
-    std::size_t most_batch = 512;     // entries of one write
-    std::size_t most_waiting = 8192;  // intents in memory that are not durable; further ones are turned away
-    Time gather = 0;                  // a write is held back for so long after its first entry
-    Time slow_after = 500;            // a write that is out for longer makes the store count as slow
-    double intent_share = 0.5;        // of the time that a client has left, for its intent to become durable
-    double answer_share = 0.25;  // likewise for the outcome of an answer, before the answer goes out anyway
-    Time reopen_from = 500;      // between two tries to open, doubling up to reopen_to, each times 0.5 to 1
+    std::size_t most_batch = 512;  // max. entries per write
+    // max. entries in memory that are not durable yet; further intents are rejected
+    std::size_t most_waiting = 8192;
+    Time gather = 0;        // delay of a write after its first entry, 0.1 ms
+    Time slow_after = 500;  // a write outstanding for longer makes the store slow, 0.1 ms
+    // Share of the client's remaining time that an intent may take to become durable.
+    double intent_share = 0.5;
+    // Share of the client's remaining time that an answer waits for its outcome to become durable.
+    double answer_share = 0.25;
+    // Delay between attempts to open, in 0.1 ms: doubles up to max_reopen_delay, times a random
+    // factor of 0.5 to 1.
+    Time reopen_from = 500;
     Time reopen_to = 50'000;
-    std::size_t spill_bytes = std::size_t{64}
-                              << 20U;  // on disk, with room kept for the outcomes of what is open
-    std::size_t outcome_room = 1024;   // kept in the spill for each open multiget's outcome
+    // Max. size of the spill on disk, including the space reserved for outcomes of open multigets.
+    std::size_t spill_bytes = std::size_t{64} << 20U;
+    std::size_t outcome_room = 1024;  // bytes reserved in the spill for each open multiget's outcome
 };
 
-using Number = std::uint64_t;  // a record's, within the incarnation
-struct Ref {
-    enum class Half : std::uint8_t { kIntent, kOutcome } half = Half::kIntent;
-    Number number = 0;
-    auto operator<=>(const Ref&) const = default;
+using RecordNumber = std::uint64_t;  // of a record, within the incarnation
+// Names an entry within the incarnation.
+struct EntryRef {
+    enum class Kind : std::uint8_t { kIntent, kOutcome } kind = Kind::kIntent;
+    RecordNumber number = 0;
+    auto operator<=>(const EntryRef&) const = default;
 };
-using Batch = std::uint64_t;
+using BatchId = std::uint64_t;
 
-// What happens.
-struct Wanted {  // a multiget must not be sent before its intent is durable
-    Number number = 0;
+// --- Events, the input of the module ---
+
+// A recorded multiget has arrived; it must not be sent before its intent is durable.
+struct IntentSubmitted {
+    RecordNumber number = 0;
     bool keyed = false;
     std::size_t bytes = 0;
-    Time not_after = 0;
+    Time deadline = 0;
 };
-struct Over {  // its outcome is known; an answer is held by the carrier until Release
-    Number number = 0;
+// A multiget has ended. If it was answered, the caller holds the answer back until ReleaseAnswer.
+struct OutcomeSubmitted {
+    RecordNumber number = 0;
     std::size_t bytes = 0;
     std::size_t bytes_without_answer = 0;
     bool answered = false;
-    Time not_after = 0;
+    Time deadline = 0;
 };
-struct Opened {};
-struct OpenFailed {};
-struct Lost {};  // the connection to the store has ended, with no write out
-struct Stored {  // a write or a settlement ended well; the refs whose key somebody else holds
-    Batch batch = 0;
-    std::vector<Ref> held;
-    std::vector<Ref> absent;  // after Settle: what the store does not have
+struct StoreOpened {};
+struct StoreOpenFailed {};
+// The connection to the store was lost while no write was outstanding.
+struct ConnectionLost {};
+// A write or a reconciliation succeeded. `held_elsewhere` lists the intents whose key another record holds.
+struct WriteStored {
+    BatchId batch = 0;
+    std::vector<EntryRef> held_elsewhere;
+    std::vector<EntryRef> absent;  // after ReconcileBatch: entries that the store does not have
 };
-struct Refused {  // surely nothing of it is in the store
-    Batch batch = 0;
-    bool entries_at_fault = false;  // the store is well and will not have them
+// A write failed and certainly nothing of it was stored.
+struct WriteRejected {
+    BatchId batch = 0;
+    bool entries_rejected = false;  // the store works but rejects these entries
 };
-struct Unsure {  // it may be in, or may come in yet
-    Batch batch = 0;
+// A write has an unknown result: its entries may be stored, or may still get stored.
+struct WriteUnknown {
+    BatchId batch = 0;
 };
-struct Spilled {
-    Batch batch = 0;
-    bool good = true;
+struct SpillWritten {
+    BatchId batch = 0;
+    bool ok = true;
 };
-struct SpillHolds {  // after each change: what is there and not yet in the store
+// Reported after each change: entries in the spill that are not in the store yet.
+struct SpillLevel {
     std::size_t entries = 0;
     std::size_t bytes = 0;
 };
 struct Tick {};
-using Event =
-    std::variant<Wanted, Over, Opened, OpenFailed, Lost, Stored, Refused, Unsure, Spilled, SpillHolds, Tick>;
+using Event = std::variant<IntentSubmitted, OutcomeSubmitted, StoreOpened, StoreOpenFailed, ConnectionLost,
+                           WriteStored, WriteRejected, WriteUnknown, SpillWritten, SpillLevel, Tick>;
+
+// --- Actions, the output of the module ---
 
-// What is done about it.
-struct Open {};
-struct Write {  // to the store
-    Batch batch = 0;
-    std::vector<Ref> refs;
+struct OpenStore {};
+// Write these entries to the store.
+struct WriteBatch {
+    BatchId batch = 0;
+    std::vector<EntryRef> refs;
 };
-struct Settle {  // ask the store for them by name
-    Batch batch = 0;
-    std::vector<Ref> refs;
+// Ask the store which of these entries it has.
+struct ReconcileBatch {
+    BatchId batch = 0;
+    std::vector<EntryRef> refs;
 };
-struct Replay {  // write the spill's next entries to the store; ends like a Write
-    Batch batch = 0;
-    std::size_t most = 0;
+// Write the oldest entries of the spill to the store; ends with the same events as WriteBatch.
+struct ReplaySpill {
+    BatchId batch = 0;
+    std::size_t max_entries = 0;
 };
-struct Skip {};    // the store will not have the spill's next entry: it is set aside, kept for a person
-struct SpillOut {  // append to the spill and make it durable
-    Batch batch = 0;
-    std::vector<Ref> refs;
+// The store rejects the oldest entry of the spill: move it to the set-aside file for an operator.
+struct SetAsideSpilled {};
+// Append to the spill and make it durable.
+struct WriteSpill {
+    BatchId batch = 0;
+    std::vector<EntryRef> refs;
 };
-struct Proceed {  // the intent is durable: the multiget may be sent
-    Number number = 0;
+// The intent is durable: the multiget may be sent.
+struct Proceed {
+    RecordNumber number = 0;
 };
-enum class Why : std::uint8_t { kStoreAway, kStoreSlow, kNoRoom, kKeyHeld, kEntryRefused };
-std::string_view name_of(Why why);
-struct TurnAway {  // before any send; told at once
-    Number number = 0;
-    Why why = Why::kStoreAway;
-    bool may_be_stored = false;  // then a refusal is to be recorded as its outcome
-    Time wait = 0;               // when asking again is worth it; 0: not known
+enum class RejectReason : std::uint8_t { kStoreDown, kStoreSlow, kNoCapacity, kKeyHeld, kEntryRejected };
+std::string_view name_of(RejectReason reason);
+// Reject a multiget before any send.
+struct RejectMultiget {
+    RecordNumber number = 0;
+    RejectReason reason = RejectReason::kStoreDown;
+    bool may_be_stored = false;  // then a refusal must be recorded as its outcome
+    Time retry_after = 0;        // 0.1 ms until a retry may succeed; 0: unknown
 };
-struct Release {  // the answer may go out
-    Number number = 0;
+// The answer may be sent to the client.
+struct ReleaseAnswer {
+    RecordNumber number = 0;
     bool durable = false;
 };
-struct DropAnswer {  // the outcome must be kept without its answer: there is no room for it
-    Number number = 0;
+// Store the outcome without its answer, because the spill lacks the space for it.
+struct DropAnswer {
+    RecordNumber number = 0;
 };
-struct Forget {  // the entry is durable, or given up: its bytes are needed no more
-    Ref ref;
-    bool lost = false;  // the store will not have it: it stands nowhere
+// The entry is durable or was abandoned; its bytes can be freed.
+struct DiscardEntry {
+    EntryRef ref;
+    bool lost = false;  // the store rejected it: it is recorded nowhere
 };
-struct Wake {
+struct WakeAt {
     Time at = 0;
 };
 enum class Condition : std::uint8_t { kOpening, kUp, kSlow, kDown };
 std::string_view name_of(Condition condition);
-struct Now {  // the condition has changed
+struct ConditionChanged {
     Condition condition = Condition::kOpening;
 };
-using Action = std::variant<Open, Write, Settle, Replay, Skip, SpillOut, Proceed, TurnAway, Release,
-                            DropAnswer, Forget, Wake, Now>;
+using Action =
+    std::variant<OpenStore, WriteBatch, ReconcileBatch, ReplaySpill, SetAsideSpilled, WriteSpill, Proceed,
+                 RejectMultiget, ReleaseAnswer, DropAnswer, DiscardEntry, WakeAt, ConditionChanged>;
 
+// The state machine of the store of record; each call is one turn and returns the actions to execute.
 class Recorder {
 public:
-    Recorder(std::uint64_t seed, WriteTerms terms)
-        : terms_(terms), chance_(static_cast<std::mt19937::result_type>(seed)) {}
+    Recorder(std::uint64_t seed, WriteTerms config)
+        : config_(config), rng_(static_cast<std::mt19937::result_type>(seed)) {}
 
-    // Before start(): this process knows its incarnation, so what it spills can be named. Otherwise the store
-    // tells it, and until then every intent waits like one with a key.
-    void is_named() { named_ = true; }
+    // Call before start() if this process knows its incarnation, so that spilled entries can be named.
+    // Otherwise the store assigns the incarnation, and until then every intent waits like one with a key.
+    void set_incarnation_known() { incarnation_known_ = true; }
     std::vector<Action> start(Time now);
-    std::vector<Action> take(Time now, const Event& event);
+    std::vector<Action> handle(Time now, const Event& event);
 
     Condition condition() const { return condition_; }
-    std::size_t in_memory() const { return entries_.size(); }
-    std::size_t open() const { return open_.size(); }
-    std::uint64_t impossible() const { return impossible_; }  // events that cannot happen, passed over
+    std::size_t pending_entries() const { return entries_.size(); }
+    std::size_t open_multigets() const { return open_multigets_.size(); }
+    // Events that are impossible in the current state; they are counted and ignored.
+    std::uint64_t unexpected_events() const { return unexpected_events_; }
 
 private:
-    enum class Place : std::uint8_t { kQueued, kInWrite, kUnsettled, kNowhere };  // on its way to the store
-    enum class Spill : std::uint8_t { kNo, kQueued, kInWrite };
-    struct Held {
+    // Progress of an entry towards the store.
+    enum class StoreState : std::uint8_t { kQueued, kInWrite, kUnreconciled, kNone };
+    // Progress of an entry towards the spill.
+    enum class SpillState : std::uint8_t { kNone, kQueued, kInWrite };
+    // An entry that is not durable yet.
+    struct Pending {
         std::size_t bytes = 0;
-        bool store_only =
-            false;             // an intent with a key, or of a process without a name: the spill is no help
-        bool awaited = false;  // somebody waits for it to become durable
-        bool touched = false;  // was part of a write to the store or the spill
-        Time give_up = 0;      // when what waits for it goes on without
-        Place place = Place::kNowhere;
-        Spill spill = Spill::kNo;
+        // An intent with a key, or of a process without an incarnation: it cannot be spilled.
+        bool store_only = false;
+        bool awaited = false;          // the multiget or its answer waits for it to become durable
+        bool write_attempted = false;  // was part of a write to the store or to the spill
+        Time wait_deadline = 0;        // when the wait is given up
+        StoreState store_state = StoreState::kNone;
+        SpillState spill_state = SpillState::kNone;
     };
-    using At = std::map<Ref, Held>::iterator;
-    struct Out {  // a write
-        Batch batch = 0;
-        std::vector<Ref> refs;
+    using EntryIter = std::map<EntryRef, Pending>::iterator;
+    // The one operation of the store that is outstanding.
+    struct OutstandingWrite {
+        BatchId batch = 0;
+        std::vector<EntryRef> refs;
         Time slow_at = 0;
-        enum class Kind : std::uint8_t { kWrite, kSettle, kReplay } kind = Kind::kWrite;
+        enum class Kind : std::uint8_t { kWrite, kReconcile, kReplay } kind = Kind::kWrite;
     };
 
-    std::vector<Action> step(Time now);
-    void on(const Wanted& wanted);
-    void on(const Over& over);
-    void on(const Opened&);
-    void on(const OpenFailed&);
-    void on(const Lost&);
-    void on(const Stored& stored);
-    void on(const Refused& refused);
-    void on(const Unsure& unsure);
-    void on(const Spilled& spilled);
-    void on(const SpillHolds& holds);
+    std::vector<Action> run_turn(Time now);
+    void on(const IntentSubmitted& submitted);
+    void on(const OutcomeSubmitted& submitted);
+    void on(const StoreOpened&);
+    void on(const StoreOpenFailed&);
+    void on(const ConnectionLost&);
+    void on(const WriteStored& stored);
+    void on(const WriteRejected& rejected);
+    void on(const WriteUnknown& unknown);
+    void on(const SpillWritten& spilled);
+    void on(const SpillLevel& level);
     void on(const Tick&) {}
 
-    bool direct() const;  // plain entries go to the store
-    bool spill_usable() const { return !spill_fails_ || now_ >= spill_again_at_; }
-    std::size_t spill_room() const;
-    void place(At at);
-    void queue_for_store(At at, bool first = false);
-    void queue_for_spill(At at);
-    void durable(Ref ref);
-    void turn_away(Number number, Why why);
-    void turn_store_only_away();
-    Time advice() const;
-    void end_write(const Out& out, const Stored& stored);
-    void give_up_overdue();
-    void go_down();
-    void spill_what_waits();
-    void go(Condition condition);
-    void begin_writes();
-    void begin_spill();
-    void set_wake();
-    void drop(At at, bool lost = false);
-    std::optional<Out> take_out(Batch batch);
-    std::vector<Ref> gather_for_store();
-    Batch begin(Out::Kind kind, std::vector<Ref> refs);
-    bool can_happen(bool holds);
+    bool writes_directly() const;  // entries without a key go to the store
+    bool spill_usable() const { return !spill_failing_ || now_ >= spill_retry_at_; }
+    std::size_t spill_free_bytes() const;
+    void route(EntryIter entry);
+    void queue_for_store(EntryIter entry, bool front = false);
+    void queue_for_spill(EntryIter entry);
+    void on_durable(EntryRef ref);
+    void reject(RecordNumber number, RejectReason reason);
+    void reject_store_only();
+    Time retry_advice() const;
+    void finish_write(const OutstandingWrite& outstanding, const WriteStored& stored);
+    void expire_waits();
+    void mark_down();
+    void spill_waiting();
+    void set_condition(Condition condition);
+    void start_store_write();
+    void start_spill_write();
+    void schedule_wake();
+    void discard(EntryIter entry, bool lost = false);
+    std::optional<OutstandingWrite> take_outstanding(BatchId batch);
+    std::vector<EntryRef> next_store_batch();
+    BatchId start_store_work(OutstandingWrite::Kind kind, std::vector<EntryRef> refs);
+    bool expect(bool condition_met);
 
-    const WriteTerms terms_;
-    std::mt19937 chance_;
+    const WriteTerms config_;
+    std::mt19937 rng_;
     Time now_ = 0;
     Condition condition_ = Condition::kOpening;
-    bool named_ = false;
-    bool opening_ = false;  // an Open is out
+    bool incarnation_known_ = false;
+    bool opening_ = false;  // an OpenStore action is outstanding
     Time reopen_at_ = 0;
-    int failures_ = 0;             // of opening or writing, since the last write that ended well
-    std::map<Ref, Held> entries_;  // not durable yet
-    std::set<std::pair<Time, Ref>> waits_;
-    std::set<Number> open_;  // intents that are durable, without an outcome: each has room kept in the spill
-    std::deque<Ref> for_store_;
-    std::deque<Ref> for_spill_;
-    Time gathering_since_ = 0;
-    std::optional<Out> out_;
-    std::vector<Ref> unsettled_;
-    std::size_t singly_ = 0;  // so many entries more are written one by one, after a write with one at fault
-    std::size_t replay_singly_ = 0;  // likewise of the spill's
-    std::optional<std::pair<Batch, std::vector<Ref>>> spilling_;
-    bool spill_fails_ = false;
-    Time spill_again_at_ = 0;
+    // Failed attempts to open or write since the last successful write.
+    int consecutive_failures_ = 0;
+    std::map<EntryRef, Pending> entries_;  // not durable yet
+    std::set<std::pair<Time, EntryRef>> wait_deadlines_;
+    // Multigets with a durable intent and no outcome yet; the spill reserves space for each of their
+    // outcomes.
+    std::set<RecordNumber> open_multigets_;
+    std::deque<EntryRef> store_queue_;
+    std::deque<EntryRef> spill_queue_;
+    Time batch_started_at_ = 0;
+    std::optional<OutstandingWrite> outstanding_;
+    std::vector<EntryRef> unreconciled_;
+    // Number of entries still to be written one at a time, to find the one that made a batch fail.
+    std::size_t single_writes_left_ = 0;
+    std::size_t single_replays_left_ = 0;  // the same for entries of the spill
+    std::optional<std::pair<BatchId, std::vector<EntryRef>>> spill_write_;
+    bool spill_failing_ = false;
+    Time spill_retry_at_ = 0;
     std::size_t spill_entries_ = 0;
     std::size_t spill_bytes_ = 0;
-    std::size_t spill_pending_ = 0;  // bytes queued for the spill or being written to it
-    Batch last_batch_ = 0;
-    Time woken_at_ = 0;
-    std::uint64_t impossible_ = 0;
+    std::size_t spill_pending_bytes_ = 0;  // bytes queued for the spill or being written to it
+    BatchId last_batch_ = 0;
+    Time scheduled_wake_ = 0;
+    std::uint64_t unexpected_events_ = 0;
     std::vector<Action> actions_;
 };
 
--- a/src/tool/caller.hpp
+++ b/src/tool/caller.hpp
@@ -1,4 +1,4 @@
-// Asks over HTTP, or a box by frames, and waits for the answer: for commands, which have nothing else to do.
+// Blocking clients for the commands: HTTP requests, and requests to a box by frames.
 #pragma once
 
 #include <optional>
@@ -8,30 +8,31 @@
 
 namespace pinedoor::tool {
 
-struct HttpAnswer {
+struct HttpResponse {
     int status = 0;
     std::string body;
 };
-// None: there was no answer within so long.
-std::optional<HttpAnswer> ask_http(net::Endpoint at, const std::string& method, const std::string& target,
-                                   const std::string& body, int most_ms);
+// Returns nullopt if there is no response within the timeout.
+std::optional<HttpResponse> ask_http(net::Endpoint endpoint, const std::string& method,
+                                     const std::string& target, const std::string& body, int timeout_ms);
 
-// One connection to a box, which is made anew when it breaks. A request is the letter M, a number, and words;
-// the answer the same number, yes or no, and a number (docs/placement.md, "What the mover asks of a box").
-class BoxLink {
+// A connection to a box, reopened after it breaks. A request is the letter M, a request number and the words
+// of the command; the response is the same number, yes or no, and a number (docs/placement.md, "What the
+// mover asks of a box").
+class BoxConnection {
 public:
-    explicit BoxLink(net::Endpoint at) : at_(at) {}
-    struct Answer {
-        bool yes = false;
-        std::uint64_t number = 0;
+    explicit BoxConnection(net::Endpoint endpoint) : endpoint_(endpoint) {}
+    struct Response {
+        bool accepted = false;
+        std::uint64_t value = 0;
     };
-    std::optional<Answer> ask(const std::string& words, int most_ms);
+    std::optional<Response> request(const std::string& command, int timeout_ms);
 
 private:
-    const net::Endpoint at_;
+    const net::Endpoint endpoint_;
     net::Fd fd_;
-    std::string held_;
-    std::uint64_t last_ = 0;
+    std::string received_;
+    std::uint64_t last_request_id_ = 0;
 };
 
 }  // namespace pinedoor::tool
