--- a/src/fleet/about.cpp
+++ b/src/fleet/about.cpp
@@ -17,53 +17,57 @@
 }
 
 std::map<std::string, double> read_needs(const std::string& text) {
-    constexpr double kMost = 1e9;
+    constexpr double kMaxNeed = 1e9;
     std::map<std::string, double> needs;
-    std::istringstream words(text);
+    std::istringstream in(text);
     double need = 0;
-    for (std::string name; words >> name >> need && needs.size() < kMostAbout;) {
-        if (need > 0) needs[name] = std::min(need, kMost);  // not a number: left out
+    for (std::string name; in >> name >> need && needs.size() < kMostAbout;) {
+        if (need > 0) needs[name] = std::min(need, kMaxNeed);  // not a number: left out
     }
     return needs;
 }
 
 // A need that moved by a quarter is said; so is one that ended.
 std::optional<double> AboutShare::say(Time now) {
-    if (said_at_ > 0 && now - said_at_ < terms_.every) return std::nullopt;
-    const double apart = std::abs(needs_ - said_);
-    const bool moved = apart > said_ / 4 && apart > terms_.floor() / 4;
-    const bool ended = needs_ <= 0 && said_ > 0;
-    if (!moved && !ended && (said_ <= 0 || now - said_at_ < terms_.lives / 3)) return std::nullopt;
-    said_at_ = now;
-    said_ = needs_;
-    aim(now);
-    return said_;
+    if (published_at_ > 0 && now - published_at_ < terms_.publish_interval) return std::nullopt;
+    const double difference = std::abs(need_ - published_need_);
+    const bool changed = difference > published_need_ / 4 && difference > terms_.floor() / 4;
+    const bool ended = need_ <= 0 && published_need_ > 0;
+    if (!changed && !ended && (published_need_ <= 0 || now - published_at_ < terms_.record_lifetime / 3))
+        return std::nullopt;
+    published_at_ = now;
+    published_need_ = need_;
+    update_target(now);
+    return published_need_;
 }
 
 void AboutShare::hear(Time now, const std::vector<double>& others, std::size_t members, bool ready) {
-    others_ = others;
-    members_ = std::max<std::size_t>(1, members);
+    other_needs_ = others;
+    member_count_ = std::max<std::size_t>(1, members);
     ready_ = ready;
-    aim(now);
+    update_target(now);
 }
 
-void AboutShare::aim(Time now) {
-    const double seen = std::min(1.0, static_cast<double>(members_) / std::max(1, terms_.nodes));
+void AboutShare::update_target(Time now) {
+    const double live_fraction =
+        std::min(1.0, static_cast<double>(member_count_) / std::max(1, terms_.node_count));
     double share = 0;
-    if (ready_ && members_ > 1) {
-        auto needs = others_;
-        needs.push_back(said_);
-        share = max_min(terms_.limit * (1 - terms_.floors) * seen, needs).back();
+    if (ready_ && member_count_ > 1) {
+        auto needs = other_needs_;
+        needs.push_back(published_need_);
+        share = max_min(terms_.limit * (1 - terms_.floor_share) * live_fraction, needs).back();
     }
-    if (!aims_.empty() && aims_.back().second == share) return;
-    aims_.emplace_back(now, share);
+    if (!targets_.empty() && targets_.back().second == share) return;
+    targets_.emplace_back(now, share);
 }
 
 double AboutShare::may_use(Time now) {
-    while (aims_.size() > 1 && aims_[1].first + terms_.late <= now) aims_.pop_front();
-    double least = aims_.empty() || aims_.front().first + terms_.late > now ? 0 : aims_.front().second;
-    for (const auto& [at, share] : aims_) least = std::min(least, share);
-    return terms_.floor() + least;
+    while (targets_.size() > 1 && targets_[1].first + terms_.propagation_delay <= now) targets_.pop_front();
+    double smallest = targets_.empty() || targets_.front().first + terms_.propagation_delay > now
+                          ? 0
+                          : targets_.front().second;
+    for (const auto& [since, share] : targets_) smallest = std::min(smallest, share);
+    return terms_.floor() + smallest;
 }
 
 }  // namespace pinedoor::fleet
--- a/src/fleet/about.hpp
+++ b/src/fleet/about.hpp
@@ -30,14 +30,15 @@
 
 using peers::Time;
 
-struct AboutTerms {
+struct ApproximateLimitTerms {
     double limit = 0;
-    double floors = 0.1;  // share of it that is divided evenly for good
-    int nodes = 1;        // front nodes that there should be
-    Time late = 20'000;
-    Time every = 5'000;      // between two words of a need, at least
-    Time lives = 1'200'000;  // a word: longer than it takes to find a member dead; said anew at a third
-    double floor() const { return limit * floors / nodes; }
+    double floor_share = 0.1;  // share of it that is divided evenly for good
+    int node_count = 1;        // front nodes that there should be
+    Time propagation_delay = 20'000;
+    Time publish_interval = 5'000;  // between two words of a need, at smallest
+    Time record_lifetime =
+        1'200'000;  // a word: longer than it takes to find a member dead; said anew at a third
+    double floor() const { return limit * floor_share / node_count; }
 };
 
 inline constexpr const char* kNeedsTopic = "needs";
@@ -47,9 +48,9 @@
 
 class AboutShare {
 public:
-    explicit AboutShare(AboutTerms terms) : terms_(terms) {}
+    explicit AboutShare(ApproximateLimitTerms terms) : terms_(terms) {}
 
-    void need(double amount) { needs_ = amount; }  // of this node, now
+    void need(double amount) { need_ = amount; }  // of this node, now
     // What to say to all from now on, if it is time.
     std::optional<double> say(Time now);
     // What the other members said last, and how many there are with this node; `ready`: it holds what they
@@ -57,19 +58,20 @@
     void hear(Time now, const std::vector<double>& others, std::size_t members, bool ready);
     double may_use(Time now);
 
-    double said() const { return said_; }
-    Time lives() const { return terms_.lives; }
+    double said() const { return published_need_; }
+    Time lives() const { return terms_.record_lifetime; }
 
 private:
-    void aim(Time now);
+    void update_target(Time now);
 
-    const AboutTerms terms_;
-    double needs_ = 0, said_ = 0;
-    Time said_at_ = 0;
-    std::vector<double> others_;
-    std::size_t members_ = 1;
+    const ApproximateLimitTerms terms_;
+    double need_ = 0, published_need_ = 0;
+    Time published_at_ = 0;
+    std::vector<double> other_needs_;
+    std::size_t member_count_ = 1;
     bool ready_ = false;
-    std::deque<std::pair<Time, double>> aims_;  // from when on each held; the first one reaches back `late`
+    std::deque<std::pair<Time, double>>
+        targets_;  // from when on each held; the first one reaches back `late`
 };
 
 }  // namespace pinedoor::fleet
--- a/src/fleet/terms.hpp
+++ b/src/fleet/terms.hpp
@@ -49,12 +49,12 @@
     LeaseTerms leases(const LimitTerms& limit, int nodes) const {
         return {limit.per_second, floors, nodes, voters, vote, lease, renew, drift};
     }
-    AboutTerms about(const LimitTerms& limit, int nodes) const {
-        AboutTerms terms;
+    ApproximateLimitTerms about(const LimitTerms& limit, int nodes) const {
+        ApproximateLimitTerms terms;
         terms.limit = limit.per_second;
-        terms.floors = floors;
-        terms.nodes = nodes;
-        terms.late = late;
+        terms.floor_share = floors;
+        terms.node_count = nodes;
+        terms.propagation_delay = late;
         return terms;
     }
 };
--- a/tests/fleet/about_test.cpp
+++ b/tests/fleet/about_test.cpp
@@ -21,9 +21,10 @@
 constexpr double kLimit = 1'000;
 constexpr int kNodes = 20;
 
-struct Fleet {
-    Fleet(AboutTerms terms, unsigned seed, peers::Time slowest_word)
-        : chance(seed), slowest(slowest_word), said(kNodes, std::vector<double>(kNodes)), cut(kNodes, 0) {
+struct SimulatedFleet {
+    SimulatedFleet(ApproximateLimitTerms terms, unsigned seed, peers::Time max_message_delay)
+        : rng(seed), max_delay(max_message_delay), received(kNodes, std::vector<double>(kNodes)),
+          partition(kNodes, 0) {
         for (int i = 0; i < kNodes; ++i) nodes.push_back(std::make_unique<AboutShare>(terms));
     }
     // Needs as they are now; what is said comes to each other one after a time of its own.
@@ -32,138 +33,140 @@
         for (int i = 0; i < kNodes; ++i) {
             auto& node = *nodes[static_cast<std::size_t>(i)];
             node.need(needs[static_cast<std::size_t>(i)]);
-            if (const auto word = node.say(now)) {
+            if (const auto need = node.say(now)) {
                 for (int j = 0; j < kNodes; ++j) {
-                    const auto takes =
-                        static_cast<peers::Time>(chance() % static_cast<unsigned>(slowest + 1));
-                    if (j != i) words.push_back({now + takes, i, j, *word});
+                    const auto delay = static_cast<peers::Time>(rng() % static_cast<unsigned>(max_delay + 1));
+                    if (j != i) messages.push_back({now + delay, i, j, *need});
                 }
             }
         }
-        std::stable_sort(words.begin(), words.end(),
-                         [](const Word& a, const Word& b) { return a.at < b.at; });
-        while (!words.empty() && words.front().at <= now) {
-            const auto word = words.front();
-            words.erase(words.begin());
-            if (cut[static_cast<std::size_t>(word.from)] == cut[static_cast<std::size_t>(word.to)])
-                said[static_cast<std::size_t>(word.to)][static_cast<std::size_t>(word.from)] = word.need;
+        std::stable_sort(messages.begin(), messages.end(),
+                         [](const Message& a, const Message& b) { return a.arrives_at < b.arrives_at; });
+        while (!messages.empty() && messages.front().arrives_at <= now) {
+            const auto message = messages.front();
+            messages.erase(messages.begin());
+            if (partition[static_cast<std::size_t>(message.from)] ==
+                partition[static_cast<std::size_t>(message.to)])
+                received[static_cast<std::size_t>(message.to)][static_cast<std::size_t>(message.from)] =
+                    message.need;
         }
         in_use = 0;
         used = 0;
         for (int i = 0; i < kNodes; ++i) {
-            const auto at = static_cast<std::size_t>(i);
+            const auto self = static_cast<std::size_t>(i);
             std::vector<double> others;
             std::size_t members = 0;
             for (std::size_t j = 0; j < kNodes; ++j) {
-                if (found_apart && cut[j] != cut[at]) continue;
+                if (partition_detected && partition[j] != partition[self]) continue;
                 ++members;
-                if (j != at) others.push_back(said[at][j]);
+                if (j != self) others.push_back(received[self][j]);
             }
-            nodes[at]->hear(now, others, members, true);
-            const double share = nodes[at]->may_use(now);
+            nodes[self]->hear(now, others, members, true);
+            const double share = nodes[self]->may_use(now);
             in_use += share;
-            used += std::min(share, needs[at]);
+            used += std::min(share, needs[self]);
         }
     }
-    struct Word {
-        peers::Time at = 0;
+    struct Message {
+        peers::Time arrives_at = 0;
         int from = 0, to = 0;
         double need = 0;
     };
-    std::mt19937 chance;
-    peers::Time slowest, now = 0;
+    std::mt19937 rng;
+    peers::Time max_delay, now = 0;
     std::vector<std::unique_ptr<AboutShare>> nodes;
-    std::vector<std::vector<double>> said;
-    std::vector<int> cut;  // which side
-    bool found_apart = false;
-    std::vector<Word> words;
+    std::vector<std::vector<double>> received;
+    std::vector<int> partition;  // which side
+    bool partition_detected = false;
+    std::vector<Message> messages;
     double in_use = 0, used = 0;
 };
 
-AboutTerms terms(peers::Time late = 2 * kSecond) {
-    AboutTerms made;
+ApproximateLimitTerms terms(peers::Time propagation_delay = 2 * kSecond) {
+    ApproximateLimitTerms made;
     made.limit = kLimit;
-    made.nodes = kNodes;
-    made.late = late;
+    made.node_count = kNodes;
+    made.propagation_delay = propagation_delay;
     return made;
 }
 
 // What is over, added up over a run in which a few nodes' needs change at random, as parts of the limit for a
 // second.
-struct Run {
-    double most_in_use = 0, over_seconds = 0, least_used = 1e9;
+struct RunResult {
+    double max_in_use = 0, excess_seconds = 0, min_used = 1e9;
     int changes = 0;
 };
-Run run(AboutTerms with, unsigned seed, peers::Time slowest) {
-    Fleet fleet(with, seed, slowest);
-    Run run;
+RunResult run(ApproximateLimitTerms limit_terms, unsigned seed, peers::Time max_delay) {
+    SimulatedFleet fleet(limit_terms, seed, max_delay);
+    RunResult result;
     std::vector<double> needs(kNodes, 0);
-    std::mt19937 chance(seed + 1);
+    std::mt19937 rng(seed + 1);
     for (int step = 0; step < 4'000; ++step) {
         if (step % 120 == 0) {
-            auto& one = needs[chance() % kNodes];
-            one = one > 0 ? 0
-                          : kLimit * static_cast<double>(
-                                         1 + chance() % 10);  // from nothing to ten times the limit, or back
-            ++run.changes;
+            auto& need = needs[rng() % kNodes];
+            need = need > 0 ? 0
+                            : kLimit * static_cast<double>(
+                                           1 + rng() % 10);  // from nothing to ten times the limit, or back
+            ++result.changes;
         }
         fleet.step(needs);
-        run.most_in_use = std::max(run.most_in_use, fleet.in_use);
-        run.over_seconds += std::max(0.0, fleet.in_use / kLimit - 1) * kStep / kSecond;
-        double asked = 0;
-        for (const double each : needs) asked += each;
-        if (step % 120 == 119 && asked > kLimit) run.least_used = std::min(run.least_used, fleet.used);
+        result.max_in_use = std::max(result.max_in_use, fleet.in_use);
+        result.excess_seconds += std::max(0.0, fleet.in_use / kLimit - 1) * kStep / kSecond;
+        double total_need = 0;
+        for (const double each : needs) total_need += each;
+        if (step % 120 == 119 && total_need > kLimit) result.min_used = std::min(result.min_used, fleet.used);
     }
-    return run;
+    return result;
 }
 
 TEST_CASE("what reaches all in time puts the shares over by nothing, and they are used whole once it has") {
     for (unsigned seed = 1; seed <= 20; ++seed) {
-        const auto seen = run(terms(), seed, kSecond * 2 - kStep);
-        CHECK(seen.most_in_use <= kLimit + 1e-6);
-        CHECK(seen.least_used >= 0.9 * kLimit);
+        const auto result = run(terms(), seed, kSecond * 2 - kStep);
+        CHECK(result.max_in_use <= kLimit + 1e-6);
+        CHECK(result.min_used >= 0.9 * kLimit);
     }
 }
 
 TEST_CASE(
     "what takes longer puts them over by the limit for as long as it was late, each time, and no more") {
     for (unsigned seed = 1; seed <= 20; ++seed) {
-        const auto seen = run(terms(kSecond), seed, 4 * kSecond);
-        CHECK(seen.over_seconds > 0);  // or this test shows nothing
-        CHECK(seen.over_seconds <= seen.changes * 3.0);
+        const auto result = run(terms(kSecond), seed, 4 * kSecond);
+        CHECK(result.excess_seconds > 0);  // or this test shows nothing
+        CHECK(result.excess_seconds <= result.changes * 3.0);
     }
 }
 
 TEST_CASE("planted: a share that rises at once is found over though all is heard in time") {
-    CHECK(run(terms(0), 1, kSecond).over_seconds > 0);
+    CHECK(run(terms(0), 1, kSecond).excess_seconds > 0);
 }
 
 TEST_CASE(
     "halves cut for 30 s, needs moving to one side: each side has its members' part, and together the "
     "limit") {
-    Fleet fleet(terms(), 3, kSecond / 2);
+    SimulatedFleet fleet(terms(), 3, kSecond / 2);
     std::vector<double> needs(kNodes, kLimit / 5);
     const auto run = [&](peers::Time length) {
-        double most = 0;
+        double max_in_use = 0;
         for (const auto until = fleet.now + length; fleet.now < until;) {
             fleet.step(needs);
-            most = std::max(most, fleet.in_use);
+            max_in_use = std::max(max_in_use, fleet.in_use);
         }
-        return most;
+        return max_in_use;
     };
     run(10 * kSecond);
     CHECK(fleet.used == doctest::Approx(kLimit));
-    for (std::size_t i = 0; i < kNodes / 2; ++i) fleet.cut[i] = 1;
+    for (std::size_t i = 0; i < kNodes / 2; ++i) fleet.partition[i] = 1;
     for (std::size_t i = 0; i < kNodes / 2; ++i)
         needs[i] = 2 * kLimit, needs[i + kNodes / 2] = 0;  // all on one side
     CHECK(run(10 * kSecond) <= kLimit + 1e-6);             // nobody has found the others gone
-    fleet.found_apart = true;
+    fleet.partition_detected = true;
     CHECK(run(20 * kSecond) <= kLimit + 1e-6);
     CHECK(fleet.used >= 0.45 * kLimit);  // its half
-    fleet.found_apart = false;
-    std::fill(fleet.cut.begin(), fleet.cut.end(), 0);
+    fleet.partition_detected = false;
+    std::fill(fleet.partition.begin(), fleet.partition.end(), 0);
     for (std::size_t i = 0; i < kNodes; ++i) {
-        for (std::size_t j = 0; j < kNodes; ++j) fleet.said[i][j] = fleet.nodes[j]->said();  // comparisons
+        for (std::size_t j = 0; j < kNodes; ++j)
+            fleet.received[i][j] = fleet.nodes[j]->said();  // comparisons
     }
     CHECK(run(10 * kSecond) <= kLimit + 1e-6);
     CHECK(fleet.used >= 0.9 * kLimit);
@@ -172,26 +175,26 @@
 TEST_CASE(
     "one that has just started, or is alone, has its floor; what it said is said again in time, and taken "
     "back") {
-    AboutShare one(terms());
-    one.need(500);
-    CHECK(one.say(kSecond) == 500);
-    CHECK(one.may_use(kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));
-    one.hear(2 * kSecond, {}, 1, true);
-    CHECK(one.may_use(10 * kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));
-    one.hear(10 * kSecond, {300}, 20, false);
-    CHECK(one.may_use(20 * kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));
-    one.hear(20 * kSecond, {300}, 20, true);
-    CHECK(one.may_use(21 * kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));  // not yet
-    CHECK(one.may_use(22 * kSecond) == doctest::Approx(500 + kLimit * 0.1 / kNodes));
-    one.hear(23 * kSecond, {900}, 20, true);
-    CHECK(one.may_use(23 * kSecond) == doctest::Approx(450 + kLimit * 0.1 / kNodes));  // at once
-    one.need(520);
-    CHECK(!one.say(24 * kSecond));  // no more than a quarter
-    CHECK(one.say(42 * kSecond) == 520);
-    one.need(0);
-    CHECK(!one.say(42 * kSecond + 100));
-    CHECK(one.say(43 * kSecond) == 0);
-    CHECK(!one.say(100 * kSecond));
+    AboutShare share(terms());
+    share.need(500);
+    CHECK(share.say(kSecond) == 500);
+    CHECK(share.may_use(kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));
+    share.hear(2 * kSecond, {}, 1, true);
+    CHECK(share.may_use(10 * kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));
+    share.hear(10 * kSecond, {300}, 20, false);
+    CHECK(share.may_use(20 * kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));
+    share.hear(20 * kSecond, {300}, 20, true);
+    CHECK(share.may_use(21 * kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));  // not yet
+    CHECK(share.may_use(22 * kSecond) == doctest::Approx(500 + kLimit * 0.1 / kNodes));
+    share.hear(23 * kSecond, {900}, 20, true);
+    CHECK(share.may_use(23 * kSecond) == doctest::Approx(450 + kLimit * 0.1 / kNodes));  // at once
+    share.need(520);
+    CHECK(!share.say(24 * kSecond));  // no more than a quarter
+    CHECK(share.say(42 * kSecond) == 520);
+    share.need(0);
+    CHECK(!share.say(42 * kSecond + 100));
+    CHECK(share.say(43 * kSecond) == 0);
+    CHECK(!share.say(100 * kSecond));
 }
 
 TEST_CASE("needs are read as they were written; rubbish is left out") {
