--- a/src/fleet/at_servers.cpp
+++ b/src/fleet/at_servers.cpp
@@ -7,38 +7,39 @@
 namespace pinedoor::fleet {
 
 bool ConnectionPace::may_open(Time now, std::uint64_t server, double share) {
-    auto& at = servers_.try_emplace(server, At{Bucket(limit_, 1), {}}).first->second;
-    at.demand.came(now);
-    if (at.bucket.refill(now, share) < 1) {
-        ++put_off_;
+    auto& entry = servers_.try_emplace(server, Server{Bucket(limit_, 1), {}}).first->second;
+    entry.demand.came(now);
+    if (entry.bucket.refill(now, share) < 1) {
+        ++deferred_;
         return false;
     }
-    at.bucket.take(1);
+    entry.bucket.take(1);
     return true;
 }
 
 bool ConnectionPace::has_room(Time now, std::uint64_t server, double share) {
-    const auto at = servers_.find(server);
-    return at == servers_.end() || at->second.bucket.refill(now, share) >= 1;
+    const auto found = servers_.find(server);
+    return found == servers_.end() || found->second.bucket.refill(now, share) >= 1;
 }
 
 double ConnectionPace::need(Time now, double share) {
-    double most = 0;
-    for (auto at = servers_.begin(); at != servers_.end();) {
-        const double need = at->second.demand.need(now);
-        most = std::max(most, need);
+    double max_need = 0;
+    for (auto it = servers_.begin(); it != servers_.end();) {
+        const double need = it->second.demand.need(now);
+        max_need = std::max(max_need, need);
         // One that would begin anew with no more than it has is not kept.
-        const bool idle = need <= 0 && at->second.bucket.refill(now, share) >= 1;
-        at = idle ? servers_.erase(at) : std::next(at);
+        const bool idle = need <= 0 && it->second.bucket.refill(now, share) >= 1;
+        it = idle ? servers_.erase(it) : std::next(it);
     }
-    return most;
+    return max_need;
 }
 
-void PartsOut::see(Time now, int most) {
-    constexpr double kHalf = 10'000;
-    const double since = at_ == 0 ? 0 : static_cast<double>(now - at_);
-    at_ = now;
-    most_ = std::max(static_cast<double>(most), most_ * std::exp2(-std::max(0.0, since) / kHalf));
+void PartsOut::see(Time now, int max_parts_out) {
+    constexpr double kHalfLife = 10'000;
+    const double since = observed_at_ == 0 ? 0 : static_cast<double>(now - observed_at_);
+    observed_at_ = now;
+    peak_ =
+        std::max(static_cast<double>(max_parts_out), peak_ * std::exp2(-std::max(0.0, since) / kHalfLife));
 }
 
 }  // namespace pinedoor::fleet
--- a/src/fleet/at_servers.hpp
+++ b/src/fleet/at_servers.hpp
@@ -24,28 +24,28 @@
     bool may_open(Time now, std::uint64_t server, double share);
     bool has_room(Time now, std::uint64_t server, double share);  // and takes nothing
     double need(Time now, double share);                          // at the server that needs most
-    std::uint64_t put_off() const { return put_off_; }
+    std::uint64_t put_off() const { return deferred_; }
 
 private:
-    struct At {
+    struct Server {
         Bucket bucket;
         Demand demand;
     };
     const LimitTerms limit_;
-    std::map<std::uint64_t, At> servers_;
-    std::uint64_t put_off_ = 0;
+    std::map<std::uint64_t, Server> servers_;
+    std::uint64_t deferred_ = 0;
 };
 
 // Parts out. The most at one server of late, and half as much again to grow into; one more, since nobody sees
 // what a share kept from going out.
 class PartsOut {
 public:
-    void see(Time now, int most);
-    double need() const { return 1.5 * most_ + 1; }
+    void see(Time now, int max_parts_out);
+    double need() const { return 1.5 * peak_ + 1; }
 
 private:
-    double most_ = 0;  // it falls by half in a second
-    Time at_ = 0;
+    double peak_ = 0;  // it falls by half in a second
+    Time observed_at_ = 0;
 };
 
 }  // namespace pinedoor::fleet
--- a/src/fleet/gate.cpp
+++ b/src/fleet/gate.cpp
@@ -8,57 +8,58 @@
 namespace {
 
 constexpr double kSecond = 10'000;
-constexpr double kMemory = 2;  // seconds that a rate is taken over, about
-constexpr double kGrow = 1.5;
-constexpr double kLikely = 4;  // that would have come in a silence: e^-4 of such silences are chance
+constexpr double kAveragingSeconds = 2;  // seconds that a rate is taken over, about
+constexpr double kHeadroomFactor = 1.5;
+constexpr double kExpectedArrivals =
+    4;  // that would have come in a silence: e^-4 of such silences are chance
 
 // An exponential mean over about kMemory seconds, which falls while nothing comes.
-double fades(Time& at, Time now) {
-    const double since = at == 0 ? 0 : static_cast<double>(now - at) / kSecond;
-    at = now;
-    return std::exp(-std::max(0.0, since) / kMemory);
+double decay_factor(Time& updated_at, Time now) {
+    const double since = updated_at == 0 ? 0 : static_cast<double>(now - updated_at) / kSecond;
+    updated_at = now;
+    return std::exp(-std::max(0.0, since) / kAveragingSeconds);
 }
 
 }  // namespace
 
-double Bucket::most(double share) const {
+double Bucket::capacity(double share) const {
     return std::max(1.0, per_second_ > 0 ? burst_ * share / per_second_ : 0);
 }
 
 // What was saved until now was saved at the share of then: guards against a node that nothing came to, whose
 // share grows, and which would have the burst of what it grew by at once, though another has just used it.
 double Bucket::refill(Time now, double share) {
-    const double since = filled_at_ == 0 ? 0 : static_cast<double>(now - filled_at_) / kSecond;
-    if (filled_at_ == 0) share_ = share;
-    filled_at_ = now;
-    saved_ = std::min(most(share_), saved_ + std::max(0.0, since) * share_);
+    const double since = refilled_at_ == 0 ? 0 : static_cast<double>(now - refilled_at_) / kSecond;
+    if (refilled_at_ == 0) share_ = share;
+    refilled_at_ = now;
+    tokens_ = std::min(capacity(share_), tokens_ + std::max(0.0, since) * share_);
     // A share that shrank takes its part of the burst along.
-    saved_ = std::min(most(share), saved_);
+    tokens_ = std::min(capacity(share), tokens_);
     share_ = share;
-    return saved_;
+    return tokens_;
 }
 
 void Demand::came(Time now, double count) {
-    rate_ = rate_ * fades(rate_at_, now) + count / kMemory;
-    came_at_ = now;
+    rate_ = rate_ * decay_factor(rate_updated_at_, now) + count / kAveragingSeconds;
+    last_arrival_at_ = now;
 }
 
 double Demand::need(Time now) {
-    rate_ *= fades(rate_at_, now);
+    rate_ *= decay_factor(rate_updated_at_, now);
     // Guards against a tenant that went on to another node: by the mean alone this one would hold a part of
     // the limit for seconds. At more than so many a second something would have come by now, in 49 of 50 such
     // silences.
-    const double silent = static_cast<double>(now - came_at_) / kSecond;
-    const double rate = silent > 0 ? std::min(rate_, kLikely / silent) : rate_;
-    return rate < 0.01 ? 0 : kGrow * rate + 1;
+    const double silent_seconds = static_cast<double>(now - last_arrival_at_) / kSecond;
+    const double rate = silent_seconds > 0 ? std::min(rate_, kExpectedArrivals / silent_seconds) : rate_;
+    return rate < 0.01 ? 0 : kHeadroomFactor * rate + 1;
 }
 
 bool Gate::pass(Time now, double share) {
     demand_.came(now);
-    away_lately_ *= fades(away_at_, now);
+    rejected_rate_ *= decay_factor(rejected_rate_updated_at_, now);
     if (bucket_.refill(now, share) < 1) {
-        ++turned_away_;
-        away_lately_ += 1 / kMemory;
+        ++rejected_;
+        rejected_rate_ += 1 / kAveragingSeconds;
         return false;
     }
     bucket_.take(1);
@@ -66,11 +67,11 @@
     return true;
 }
 
-Time Gate::wait(double share, Time most) {
-    const double each = 1 / std::max(share, 1e-3);  // seconds
-    const double all = std::max(1.0, away_lately_) * each * kSecond;
-    const auto until = std::clamp<Time>(static_cast<Time>(all), 1, std::max<Time>(1, most));
-    return until - static_cast<Time>(chance_() % static_cast<std::uint64_t>(until / 2 + 1));
+Time Gate::wait(double share, Time max_wait) {
+    const double seconds_per_token = 1 / std::max(share, 1e-3);  // seconds
+    const double backlog = std::max(1.0, rejected_rate_) * seconds_per_token * kSecond;
+    const auto delay = std::clamp<Time>(static_cast<Time>(backlog), 1, std::max<Time>(1, max_wait));
+    return delay - static_cast<Time>(random_() % static_cast<std::uint64_t>(delay / 2 + 1));
 }
 
 }  // namespace pinedoor::fleet
--- a/src/fleet/gate.hpp
+++ b/src/fleet/gate.hpp
@@ -20,18 +20,18 @@
 class Bucket {
 public:
     // `saved`: at its begin. 0 where what an earlier life of the node saved may be in use still.
-    explicit Bucket(const LimitTerms& limit, double saved = 0)
-        : per_second_(limit.per_second), burst_(limit.burst), saved_(saved) {}
+    explicit Bucket(const LimitTerms& limit, double initial_tokens = 0)
+        : per_second_(limit.per_second), burst_(limit.burst), tokens_(initial_tokens) {}
 
     double refill(Time now, double share);  // what may pass now
-    void take(double count) { saved_ -= count; }
+    void take(double count) { tokens_ -= count; }
 
 private:
-    double most(double share) const;  // that may be saved at such a share
+    double capacity(double share) const;  // that may be saved at such a share
 
     double per_second_, burst_;
-    double saved_;
-    Time filled_at_ = 0;
+    double tokens_;
+    Time refilled_at_ = 0;
     double share_ = 0;  // since then
 };
 
@@ -45,43 +45,44 @@
 
 private:
     double rate_ = 0;
-    Time rate_at_ = 0;
-    Time came_at_ = 0;  // last
+    Time rate_updated_at_ = 0;
+    Time last_arrival_at_ = 0;  // last
 };
 
 class Gate {
 public:
-    Gate(const LimitTerms& limit, std::uint64_t seed) : bucket_(limit), chance_(seed) {}
+    Gate(const LimitTerms& limit, std::uint64_t seed) : bucket_(limit), random_(seed) {}
 
     // Whether one more may pass, at a share of so many a second; if not, after how long to return: between
     // half of and the whole time until as many as are turned away now could pass.
     bool pass(Time now, double share);
     bool has_room(Time now, double share) { return bucket_.refill(now, share) >= 1; }  // and takes nothing
-    Time wait(double share, Time most);
+    Time wait(double share, Time max_wait);
     double need(Time now) { return demand_.need(now); }
 
     std::uint64_t passed() const { return passed_; }
-    std::uint64_t turned_away() const { return turned_away_; }
+    std::uint64_t turned_away() const { return rejected_; }
 
 private:
     Bucket bucket_;
     Demand demand_;
-    std::mt19937_64 chance_;
-    std::uint64_t passed_ = 0, turned_away_ = 0;
-    double away_lately_ = 0;  // a second
-    Time away_at_ = 0;
+    std::mt19937_64 random_;
+    std::uint64_t passed_ = 0, rejected_ = 0;
+    double rejected_rate_ = 0;  // a second
+    Time rejected_rate_updated_at_ = 0;
 };
 
 // What several limits speak of passes them all, or takes from none. Guards the others under a limit against
 // one of them that is over a limit of its own: what that one turned away had used up the shared one before.
 // `asks` takes from a limit with room, and lets a full one count what it turned away. Returns those that are
 // full; none: it passed.
-template <class Limit, class HasRoom, class Asks>
-std::vector<Limit> turned_away_by(const std::vector<Limit>& all, HasRoom has_room, Asks asks) {
+template <class Limit, class HasCapacity, class Acquire>
+std::vector<Limit> turned_away_by(const std::vector<Limit>& limits, HasCapacity has_capacity,
+                                  Acquire acquire) {
     std::vector<Limit> full;
-    std::copy_if(all.begin(), all.end(), std::back_inserter(full),
-                 [&](const auto& each) { return !has_room(each); });
-    for (const auto& each : full.empty() ? all : full) asks(each);
+    std::copy_if(limits.begin(), limits.end(), std::back_inserter(full),
+                 [&](const auto& each) { return !has_capacity(each); });
+    for (const auto& each : full.empty() ? limits : full) acquire(each);
     return full;
 }
 
--- a/tests/fleet/gate_test.cpp
+++ b/tests/fleet/gate_test.cpp
@@ -32,15 +32,15 @@
     while (gate.pass(now, 25)) ++burst;
     CHECK(burst == 5);  // its quarter
     CHECK(gate.need(now + 100 * kSecond) == 0);
-    Time least = kSecond, most = 0;
+    Time min_wait = kSecond, max_wait = 0;
     for (int i = 0; i < 100; ++i) {
         const auto wait = gate.wait(2, 5'000);
-        least = std::min(least, wait);
-        most = std::max(most, wait);
+        min_wait = std::min(min_wait, wait);
+        max_wait = std::max(max_wait, wait);
     }
-    CHECK(most <= 5'000);
-    CHECK(least >= 2'500);
-    CHECK(most - least > 1'000);
+    CHECK(max_wait <= 5'000);
+    CHECK(min_wait >= 2'500);
+    CHECK(max_wait - min_wait > 1'000);
 }
 
 TEST_CASE("a share that grows begins with nothing saved for what it grew by, however long nothing came") {
@@ -49,18 +49,18 @@
     terms.burst = 20;
     fleet::Gate gate(terms, 7);
     Time now = kSecond;
-    const auto at_once = [&](double share) {
+    const auto pass_all = [&](double share) {
         int passed = 0;
         while (gate.pass(now, share)) ++passed;
         return passed;
     };
-    at_once(1);
+    pass_all(1);
     now += 100 * kSecond;
-    CHECK(at_once(100) == 1);  // saved at a share of 1; it was 20
+    CHECK(pass_all(100) == 1);  // saved at a share of 1; it was 20
     now += kSecond / 10;
-    CHECK(at_once(100) == 10);
+    CHECK(pass_all(100) == 10);
     now += 100 * kSecond;
-    CHECK(at_once(10) == 2);
+    CHECK(pass_all(10) == 2);
 }
 
 // Two tenants under one limit of 100 a second; one of them, limited to 10, asks for 900. They used up the
@@ -68,35 +68,35 @@
 TEST_CASE(
     "what one limit turns away takes nothing of another: a tenant over its own leaves the shared one to "
     "others") {
-    fleet::LimitTerms all, own;
-    all.per_second = 100;
-    all.burst = 20;
-    own.per_second = 10;
-    fleet::Gate shared(all, 7), of_greedy(own, 8);
-    int passed = 0, greedy = 0;
+    fleet::LimitTerms shared_terms, greedy_terms;
+    shared_terms.per_second = 100;
+    shared_terms.burst = 20;
+    greedy_terms.per_second = 10;
+    fleet::Gate shared(shared_terms, 7), greedy_only(greedy_terms, 8);
+    int passed = 0, greedy_passed = 0;
     Time now = kSecond;
     const auto share = [&](fleet::Gate* each) { return each == &shared ? 100.0 : 10.0; };
-    const auto full = [&](const std::vector<fleet::Gate*>& gates) {
+    const auto full_limits = [&](const std::vector<fleet::Gate*>& gates) {
         return fleet::turned_away_by(
             gates, [&](auto* each) { return each->has_room(now, share(each)); },
             [&](auto* each) { each->pass(now, share(each)); });
     };
     for (int i = 0; i < 10'000; ++i, now += 10) {  // 10 s
         if (i % 12 == 0)
-            passed += full({&shared}).empty() ? 1 : 0;
+            passed += full_limits({&shared}).empty() ? 1 : 0;
         else
-            greedy += full({&shared, &of_greedy}).empty() ? 1 : 0;
+            greedy_passed += full_limits({&shared, &greedy_only}).empty() ? 1 : 0;
     }
     CHECK(passed > 790);
-    CHECK(greedy > 85);
-    CHECK(greedy < 105);
+    CHECK(greedy_passed > 85);
+    CHECK(greedy_passed < 105);
     CHECK(shared.need(now) < 200);  // what it could not use is not asked for
-    CHECK(of_greedy.need(now) > 1'000);
-    CHECK(full({&shared, &of_greedy}) == std::vector<fleet::Gate*>{&of_greedy});
-    fleet::ConnectionPace pace(all);
-    for (int i = 0; i < 10; ++i) CHECK(pace.has_room(now, 1, 1));
-    CHECK(pace.may_open(now, 1, 1));
-    CHECK(!pace.has_room(now, 1, 1));
+    CHECK(greedy_only.need(now) > 1'000);
+    CHECK(full_limits({&shared, &greedy_only}) == std::vector<fleet::Gate*>{&greedy_only});
+    fleet::ConnectionPace limiter(shared_terms);
+    for (int i = 0; i < 10; ++i) CHECK(limiter.has_room(now, 1, 1));
+    CHECK(limiter.may_open(now, 1, 1));
+    CHECK(!limiter.has_room(now, 1, 1));
 }
 
 TEST_CASE("what a node needs goes by what comes, and ends soon after it") {
@@ -117,45 +117,45 @@
     fleet::LimitTerms terms;
     terms.per_second = 8;
     terms.burst = 4;
-    fleet::ConnectionPace pace(terms);
+    fleet::ConnectionPace limiter(terms);
     Time now = kSecond;
-    CHECK(pace.may_open(now, 1, 2));
-    CHECK(!pace.may_open(now, 1, 2));
-    CHECK(pace.may_open(now, 2, 2));  // another server
+    CHECK(limiter.may_open(now, 1, 2));
+    CHECK(!limiter.may_open(now, 1, 2));
+    CHECK(limiter.may_open(now, 2, 2));  // another server
     int opened = 0;
     for (int i = 0; i < 1'000;
          ++i, now += 100) {  // 10 s of tries at one server, another look at all each time
-        opened += pace.may_open(now, 1, 2) ? 1 : 0;
-        pace.need(now, 2);
+        opened += limiter.may_open(now, 1, 2) ? 1 : 0;
+        limiter.need(now, 2);
     }
     CHECK(opened >= 18);
     CHECK(opened <= 20);
-    CHECK(pace.need(now, 2) > 100);
+    CHECK(limiter.need(now, 2) > 100);
     now += 60 * kSecond;
-    CHECK(pace.need(now, 2) == 0);  // and forgotten, with one saved as at a start
-    CHECK(pace.may_open(now, 1, 2));
-    CHECK(!pace.may_open(now, 1, 2));
+    CHECK(limiter.need(now, 2) == 0);  // and forgotten, with one saved as at a start
+    CHECK(limiter.may_open(now, 1, 2));
+    CHECK(!limiter.may_open(now, 1, 2));
 }
 
 TEST_CASE(
     "a node asks for half more parts out than it had at the server where it had most, and lets go of them "
     "soon") {
-    fleet::PartsOut parts;
-    CHECK(parts.need() == 1);
-    parts.see(kSecond, 20);
-    CHECK(parts.need() == 31);
-    parts.see(2 * kSecond, 0);
-    CHECK(parts.need() == 16);
-    for (int i = 0; i < 20; ++i) parts.see((3 + i) * kSecond, 0);
-    CHECK(parts.need() < 1.01);
+    fleet::PartsOut parts_out;
+    CHECK(parts_out.need() == 1);
+    parts_out.see(kSecond, 20);
+    CHECK(parts_out.need() == 31);
+    parts_out.see(2 * kSecond, 0);
+    CHECK(parts_out.need() == 16);
+    for (int i = 0; i < 20; ++i) parts_out.see((3 + i) * kSecond, 0);
+    CHECK(parts_out.need() < 1.01);
 }
 
 TEST_CASE(
     "the module's share: one part at each server whatever it says, nothing by a share that is over, all "
     "without one") {
-    const FleetShare none;
-    CHECK(none.room(kSecond, 1'000'000) > 0);
-    CHECK(none.allows(kSecond, 1e18));
+    const FleetShare unlimited;
+    CHECK(unlimited.room(kSecond, 1'000'000) > 0);
+    CHECK(unlimited.allows(kSecond, 1e18));
     FleetShare share;
     share.parts_out = 3;
     share.further = 10;
@@ -174,11 +174,11 @@
 TEST_CASE("limits of each kind are read; what cannot be is named by its key") {
     const auto read = [](const std::string& limit, bool peers = true) -> std::string {
         try {
-            const auto made = stated::Installation::from_text(
+            const auto installation = stated::Installation::from_text(
                 std::string(peers ? "[peers]\non = true\nlisten = \"127.0.0.1:7946\"\n" : "") +
                     "[fleet]\non = true\nvoters = [\"a\"]\n[[fleet.limits]]\nname = \"x\"\n" + limit,
                 "f.toml");
-            return fleet::name_of(made.fleet.limits.at(0).of);
+            return fleet::name_of(installation.fleet.limits.at(0).of);
         } catch (const stated::BadStated& error) {
             return error.what();
         }
