--- a/src/fleet/server_words.hpp
+++ b/src/fleet/server_words.hpp
@@ -33,17 +33,17 @@
     std::string name;
     bool doubted = false;
     Time failed = 0, answered = 0;
-    Time cold_for = -1;       // since it began anew; -1: it is warm
-    std::uint64_t parts = 0;  // sent to it while cold, since this node's start
-    bool is_bad() const { return doubted && failed > 0 && failed >= answered; }
-    bool is_good() const { return answered > failed; }
+    Time cold_duration = -1;       // since it began anew; -1: it is warm
+    std::uint64_t parts_sent = 0;  // sent to it while cold, since this node's start
+    bool looks_faulty() const { return doubted && failed > 0 && failed >= answered; }
+    bool looks_healthy() const { return answered > failed; }
 };
 
 struct ServerSaid {  // by one member
     enum class Opinion { kNone, kBad, kGood } opinion = Opinion::kNone;
-    Time seen_ago = 0;
-    Time cold_for = -1;
-    double taken = 0;  // parts a second
+    Time evidence_age = 0;
+    Time cold_duration = -1;
+    double parts_per_second = 0;  // parts a second
 };
 
 struct ServerTold {  // by all together
@@ -56,25 +56,25 @@
 };
 
 struct WordTerms {
-    Time soon = 1'000;     // between two words, if something else is said of a server
-    Time every = 10'000;   // between two words else, at least
-    Time renew = 20'000;   // between two words that differ in when something was seen
-    Time lives = 150'000;  // a word; it is said anew at a third of that
+    Time min_interval = 1'000;        // between two words, if something else is said of a server
+    Time every = 10'000;              // between two words else, at least
+    Time evidence_interval = 20'000;  // between two words that differ in when something was seen
+    Time lives = 150'000;             // a word; it is said anew at a third of that
     VerdictTerms verdict;
 };
 
-std::string write_words(const std::map<std::string, ServerSaid>& said);  // as many as one fact holds
-std::map<std::string, ServerSaid> read_words(const std::string& text);   // what cannot be read is left out
+std::string write_words(const std::map<std::string, ServerSaid>& said);   // as many as one fact holds
+std::map<std::string, ServerSaid> read_reports(const std::string& text);  // what cannot be read is left out
 
 // Who said what of which server, of members only, read once for both who tells and who hears.
 struct Said {
     std::vector<std::string> voices;
-    struct OfServer {
-        std::vector<Opinion> opinions;  // of voices
-        std::vector<Time> cold_for;     // of all members
-        double taken = 0;
+    struct ServerReports {
+        std::vector<Opinion> opinions;     // of voices
+        std::vector<Time> cold_durations;  // of all members
+        double parts_per_second = 0;
     };
-    std::map<std::string, OfServer> servers;
+    std::map<std::string, ServerReports> servers;
 };
 class WordReader {
 public:
@@ -83,12 +83,12 @@
               const std::string& self);
 
 private:
-    struct Read {
+    struct ParsedRecord {
         std::string text;
-        std::map<std::string, ServerSaid> words;
+        std::map<std::string, ServerSaid> reports;
     };
     const VerdictTerms terms_;
-    std::map<std::string, Read> read_;  // by member, of those that speak now
+    std::map<std::string, ParsedRecord> parsed_;  // by member, of those that speak now
 };
 
 class ServerTeller {
@@ -98,15 +98,15 @@
     std::optional<std::string> tell(Time now, const std::vector<ServerSeen>& seen, const Said& others);
 
 private:
-    using Words = std::map<std::string, ServerSaid>;
-    ServerSaid::Opinion opinion(Time now, const ServerSeen& seen, const Said& others) const;
-    bool is_time(Time now, const Words& words) const;
+    using Reports = std::map<std::string, ServerSaid>;
+    ServerSaid::Opinion choose_opinion(Time now, const ServerSeen& seen, const Said& others) const;
+    bool is_due(Time now, const Reports& reports) const;
 
     const WordTerms terms_;
-    std::map<std::string, std::uint64_t> parts_;  // when last looked
-    Time looked_ = 0, said_at_ = 0;
-    std::map<std::string, double> taken_;
-    Words said_;
+    std::map<std::string, std::uint64_t> parts_sent_;  // when last looked
+    Time rates_updated_at_ = 0, published_at_ = 0;
+    std::map<std::string, double> parts_per_second_;
+    Reports published_;
 };
 
 class ServerHearer {
@@ -115,12 +115,12 @@
     // What is new, by server: others' words together. One that nobody speaks of any more is told once, as
     // nothing.
     std::map<std::string, ServerTold> hear(Time now, const Said& others);
-    const std::map<std::string, ServerTold>& told() const { return told_; }
+    const std::map<std::string, ServerTold>& told() const { return consensus_; }
 
 private:
     const WordTerms terms_;
     const std::string self_;
-    std::map<std::string, ServerTold> told_;
+    std::map<std::string, ServerTold> consensus_;
 };
 
 // Keys of multigets under which servers died, and for how much longer each counts.
--- a/src/fleet/verdict.hpp
+++ b/src/fleet/verdict.hpp
@@ -28,9 +28,9 @@
     int reporters = 3;     // must agree, or all voices if they are fewer
     double share = 0.125;  // of the voices, that must agree if it is more
     Time lives = 150'000;  // an opinion
-    double tries = 1;  // of the voices and this node, that try a server while it is aside, in the mean, or
-    double try_share = 0.02;  // this share of them, if that is more
-    Time try_for = 20'000;    // the same ones for so long
+    double probers = 1;  // of the voices and this node, that try a server while it is aside, in the mean, or
+    double prober_share = 0.02;  // this share of them, if that is more
+    Time probe_period = 20'000;  // the same ones for so long
 };
 
 struct Opinion {
@@ -41,22 +41,22 @@
 
 struct Verdict {
     bool aside = false;
-    Time seen = 0;                  // so many as are needed saw it fail them then or later; 0: they did not
-    std::size_t bad = 0, good = 0;  // of the opinions that count
-    bool in_doubt = false;          // the latest of all is good
+    Time evidence_at = 0;            // so many as are needed saw it fail them then or later; 0: they did not
+    std::size_t bad = 0, good = 0;   // of the opinions that count
+    bool recovery_reported = false;  // the latest of all is good
     std::size_t needed = 0;
-    bool settled(bool as_bad) const { return (as_bad ? bad : good) > needed; }  // with one to spare
+    bool has_margin(bool faulty) const { return (faulty ? bad : good) > needed; }  // with one to spare
 };
 
 // Those whose word on servers counts for `self`: names; `zones`: all members, by name.
-std::vector<std::string> voices(const VerdictTerms& terms, const std::map<std::string, int>& zones,
-                                const std::string& self);
-std::size_t needed(const VerdictTerms& terms, std::size_t voices);
-Verdict judge(const VerdictTerms& terms, Time now, std::size_t voices, std::vector<Opinion> opinions);
+std::vector<std::string> eligible_reporters(const VerdictTerms& terms,
+                                            const std::map<std::string, int>& zones, const std::string& self);
+std::size_t reports_needed(const VerdictTerms& terms, std::size_t reporter_count);
+Verdict judge(const VerdictTerms& terms, Time now, std::size_t reporter_count, std::vector<Opinion> opinions);
 
 // Whether this member is one of those that try a server while it is aside: few, and as many as another
 // verdict needs once anybody says that it is good again. Each span's are others, and nobody has to know who.
-bool tries(const VerdictTerms& terms, Time now, std::size_t voices, const Verdict& verdict,
-           const std::string& self, const std::string& server);
+bool is_prober(const VerdictTerms& terms, Time now, std::size_t reporter_count, const Verdict& verdict,
+               const std::string& self, const std::string& server);
 
 }  // namespace pinedoor::fleet
