--- a/src/fleet/about.cpp
+++ b/src/fleet/about.cpp
@@ -22,12 +22,12 @@
     std::istringstream in(text);
     double need = 0;
     for (std::string name; in >> name >> need && needs.size() < kMostAbout;) {
-        if (need > 0) needs[name] = std::min(need, kMaxNeed);  // not a number: left out
+        if (need > 0) needs[name] = std::min(need, kMaxNeed);  // false for NaN
     }
     return needs;
 }
 
-// A need that moved by a quarter is said; so is one that ended.
+// A need is published when it changed by more than a quarter, when it ended, and to renew the record.
 std::optional<double> AboutShare::say(Time now) {
     if (published_at_ > 0 && now - published_at_ < terms_.publish_interval) return std::nullopt;
     const double difference = std::abs(need_ - published_need_);
@@ -48,6 +48,7 @@
     update_target(now);
 }
 
+// Without the needs of others this node uses its floor only.
 void AboutShare::update_target(Time now) {
     const double live_fraction =
         std::min(1.0, static_cast<double>(member_count_) / std::max(1, terms_.node_count));
@@ -61,6 +62,7 @@
     targets_.emplace_back(now, share);
 }
 
+// The smallest share computed within `propagation_delay`: decreases take effect at once, increases after it.
 double AboutShare::may_use(Time now) {
     while (targets_.size() > 1 && targets_[1].first + terms_.propagation_delay <= now) targets_.pop_front();
     double smallest = targets_.empty() || targets_.front().first + terms_.propagation_delay > now
--- a/src/fleet/about.hpp
+++ b/src/fleet/about.hpp
@@ -1,19 +1,21 @@
-// Limits of the whole fleet that hold about: each node works out its share from what all say that they need,
-// without an owner, votes or a quorum. A decider for one node and one limit: what others said and a time in,
-// a share out. docs/fleet.md tells the promise.
+// Fleet-wide limits that hold approximately: each node computes its share from the needs that all members
+// publish, without an owner, votes or a quorum. Implements one node and one limit without I/O: takes the
+// published needs of others and the current time, returns this node's share. docs/fleet.md states the
+// guarantee.
 //
-// A share is max-min of the needs said, of `limit` times the members that are seen of those that there should
-// be. It falls at once when somebody else needs more; what falls to this node is used `late` after: by then
-// the others, who work out the same, have let go of it. So if whatever is said reaches all within `late`, the
-// shares never add up to more than the limit; each change that takes S longer can put them over by at most
-// the limit for S.
+// The limit is scaled by the ratio of live members to configured nodes and divided by max-min over the needs.
+// A node's share falls at once when another node needs more. An increase is used only after
+// `propagation_delay`: by then the other nodes, which compute the same division, have given it up. As long as
+// every publication reaches all members within that time, the shares never add up to more than the limit. A
+// change that takes S longer can put them over by at most the limit for the time S.
 //
-//   event                        | this node's share
-//   -----------------------------+------------------------------------------------------------------
-//   another needs more           | falls at once
-//   another needs less, or went  | rises `late` after, if it needs that
-//   a cut: others are not seen   | of the limit only the seen members' part is divided: halves have halves
-//   just started, or alone       | the floor, until this node holds what the others said
+//   event                                 | this node's share
+//   --------------------------------------+--------------------------------------------------------------------
+//   another node needs more               | falls at once
+//   another node needs less, or departed  | rises after `propagation_delay`, if this node needs it
+//   partition: others are not live        | only the live members' part of the limit is divided: half of the
+//                                         | nodes have half of the limit
+//   just started, or isolated             | the floor, until this node has received what others publish
 #pragma once
 
 #include <cstddef>
@@ -30,31 +32,33 @@
 
 using peers::Time;
 
+// Settings for one limit; times in tenths of a millisecond.
 struct ApproximateLimitTerms {
     double limit = 0;
-    double floor_share = 0.1;  // share of it that is divided evenly for good
-    int node_count = 1;        // front nodes that there should be
-    Time propagation_delay = 20'000;
-    Time publish_interval = 5'000;  // between two words of a need, at smallest
-    Time record_lifetime =
-        1'200'000;  // a word: longer than it takes to find a member dead; said anew at a third
+    double floor_share = 0.1;          // fraction of the limit that is divided evenly and permanently
+    int node_count = 1;                // configured front nodes
+    Time propagation_delay = 20'000;   // within which a published need is assumed to reach all members
+    Time publish_interval = 5'000;     // minimum between two publications of a need
+    Time record_lifetime = 1'200'000;  // exceeds the time to detect a dead member; needs are published again
+                                       // after a third of it
     double floor() const { return limit * floor_share / node_count; }
 };
 
 inline constexpr const char* kNeedsTopic = "needs";
-inline constexpr std::size_t kMostAbout = 20;  // limits of this kind: their needs stand in one fact
+inline constexpr std::size_t kMostAbout = 20;  // limits of this kind: their needs share one published record
 std::string write_needs(const std::map<std::string, double>& needs);  // by limit
 std::map<std::string, double> read_needs(const std::string& text);
 
+// This node's share of one limit.
 class AboutShare {
 public:
     explicit AboutShare(ApproximateLimitTerms terms) : terms_(terms) {}
 
     void need(double amount) { need_ = amount; }  // of this node, now
-    // What to say to all from now on, if it is time.
+    // Returns the need to publish from now on, if a publication is due.
     std::optional<double> say(Time now);
-    // What the other members said last, and how many there are with this node; `ready`: it holds what they
-    // said.
+    // Takes the latest needs published by the other members and the number of live members, this node
+    // included. `ready`: this node has received what the others publish.
     void hear(Time now, const std::vector<double>& others, std::size_t members, bool ready);
     double may_use(Time now);
 
@@ -70,8 +74,8 @@
     std::vector<double> other_needs_;
     std::size_t member_count_ = 1;
     bool ready_ = false;
-    std::deque<std::pair<Time, double>>
-        targets_;  // from when on each held; the first one reaches back `late`
+    // Computed shares and since when each holds, back to one that was valid `propagation_delay` ago.
+    std::deque<std::pair<Time, double>> targets_;
 };
 
 }  // namespace pinedoor::fleet
--- a/src/fleet/at_servers.cpp
+++ b/src/fleet/at_servers.cpp
@@ -27,7 +27,7 @@
     for (auto it = servers_.begin(); it != servers_.end();) {
         const double need = it->second.demand.need(now);
         max_need = std::max(max_need, need);
-        // One that would begin anew with no more than it has is not kept.
+        // An entry with no need and a full token equals a new one, so it is dropped.
         const bool idle = need <= 0 && it->second.bucket.refill(now, share) >= 1;
         it = idle ? servers_.erase(it) : std::next(it);
     }
--- a/src/fleet/at_servers.hpp
+++ b/src/fleet/at_servers.hpp
@@ -1,7 +1,8 @@
-// Limits that hold at each index server, at one front node. One share of a limit goes for every server: a
-// node needs as much as it uses at the one it uses most, and all shares together are within the limit, so at
-// each server all nodes are. What front nodes tell each other of such a limit does not grow with the servers.
-// Deciders: a time in, a verdict out.
+// Limits that apply at each index server, at one front node. The node's share of such a limit holds for each
+// server separately. The node reports as its need what it uses at the server where it uses most. All shares
+// together are within the limit, so at each server the use by all nodes is as well. What front nodes exchange
+// about such a limit therefore does not grow with the number of servers. Without I/O: the classes take the
+// current time and return a decision.
 #pragma once
 
 #include <cstdint>
@@ -11,19 +12,21 @@
 
 namespace pinedoor::fleet {
 
-// New connections. All nodes together open at one server, in any W seconds, at most
+// Limits the rate of new connections to each server. All nodes together open at one server, in any W seconds,
+// at most
 //   per_second * W + burst + nodes + starts of front nodes in W
-// since a bucket begins with one saved: a node that has just started must reach its servers, and has a floor
-// alone.
+// connections, since each bucket starts with one token: a node that has just started must reach its servers
+// and has nothing but its floor.
 class ConnectionPace {
 public:
     explicit ConnectionPace(const LimitTerms& limit) : limit_(limit) {}
 
-    // `server`: by its address, which stays while it leaves the list and returns. Guards against a server
-    // that flaps: it is listed as another each time, and would be met by all front nodes at once each time.
+    // `server`: derived from its address, which stays the same when it leaves the list and returns. A
+    // flapping server is listed as a different one each time; limited by that identity, all front nodes would
+    // connect to it at once each time.
     bool may_open(Time now, std::uint64_t server, double share);
-    bool has_room(Time now, std::uint64_t server, double share);  // and takes nothing
-    double need(Time now, double share);                          // at the server that needs most
+    bool has_room(Time now, std::uint64_t server, double share);  // takes no token
+    double need(Time now, double share);                          // at the server with the highest need
     std::uint64_t put_off() const { return deferred_; }
 
 private:
@@ -36,15 +39,15 @@
     std::uint64_t deferred_ = 0;
 };
 
-// Parts out. The most at one server of late, and half as much again to grow into; one more, since nobody sees
-// what a share kept from going out.
+// Need for parts out at each server: the recent peak at one server with half as much again for growth, and
+// one more, since parts that the share held back are not observed.
 class PartsOut {
 public:
     void see(Time now, int max_parts_out);
     double need() const { return 1.5 * peak_ + 1; }
 
 private:
-    double peak_ = 0;  // it falls by half in a second
+    double peak_ = 0;  // halves every second
     Time observed_at_ = 0;
 };
 
--- a/src/fleet/gate.cpp
+++ b/src/fleet/gate.cpp
@@ -8,12 +8,12 @@
 namespace {
 
 constexpr double kSecond = 10'000;
-constexpr double kAveragingSeconds = 2;  // seconds that a rate is taken over, about
+constexpr double kAveragingSeconds = 2;  // time constant of average rates
 constexpr double kHeadroomFactor = 1.5;
-constexpr double kExpectedArrivals =
-    4;  // that would have come in a silence: e^-4 of such silences are chance
+// A silence in which this many arrivals were expected occurs by chance with probability e^-4 (one in fifty).
+constexpr double kExpectedArrivals = 4;
 
-// An exponential mean over about kMemory seconds, which falls while nothing comes.
+// Factor of an exponentially weighted average for the time since `updated_at`, which it sets to now.
 double decay_factor(Time& updated_at, Time now) {
     const double since = updated_at == 0 ? 0 : static_cast<double>(now - updated_at) / kSecond;
     updated_at = now;
@@ -26,14 +26,14 @@
     return std::max(1.0, per_second_ > 0 ? burst_ * share / per_second_ : 0);
 }
 
-// What was saved until now was saved at the share of then: guards against a node that nothing came to, whose
-// share grows, and which would have the burst of what it grew by at once, though another has just used it.
+// Tokens up to now accrue at the previous share. Otherwise an idle node whose share grows would at once have
+// the burst of the added part, which the node that gave it up may just have used.
 double Bucket::refill(Time now, double share) {
     const double since = refilled_at_ == 0 ? 0 : static_cast<double>(now - refilled_at_) / kSecond;
     if (refilled_at_ == 0) share_ = share;
     refilled_at_ = now;
     tokens_ = std::min(capacity(share_), tokens_ + std::max(0.0, since) * share_);
-    // A share that shrank takes its part of the burst along.
+    // A share that shrank gives up its part of the burst.
     tokens_ = std::min(capacity(share), tokens_);
     share_ = share;
     return tokens_;
@@ -46,9 +46,9 @@
 
 double Demand::need(Time now) {
     rate_ *= decay_factor(rate_updated_at_, now);
-    // Guards against a tenant that went on to another node: by the mean alone this one would hold a part of
-    // the limit for seconds. At more than so many a second something would have come by now, in 49 of 50 such
-    // silences.
+    // Lowers the estimate early during a silence: by the average alone, a node whose tenant moved to another
+    // node would hold part of the limit for seconds. At a higher rate something would have arrived by now
+    // with a probability of 49 in 50.
     const double silent_seconds = static_cast<double>(now - last_arrival_at_) / kSecond;
     const double rate = silent_seconds > 0 ? std::min(rate_, kExpectedArrivals / silent_seconds) : rate_;
     return rate < 0.01 ? 0 : kHeadroomFactor * rate + 1;
--- a/src/fleet/gate.hpp
+++ b/src/fleet/gate.hpp
@@ -1,8 +1,9 @@
-// One limit at one node: lets through what its share allows, and tells whoever it turns away when to return.
-// A decider: a time in, a verdict out. What it lets through never adds up, over all nodes, to more than
+// Admission for one limit at one front node: lets through what the node's share allows, and tells clients
+// that are rejected when to retry. Without I/O: takes the current time, returns a decision. Over all nodes it
+// never admits more than
 //   per_second * W + burst + nodes      in any W seconds,
-// since shares add up to the limit at most (fleet/leases), each bucket holds its share of the burst and one
-// at least, and a share that grows begins with nothing saved for what it grew by.
+// since shares add up to at most the limit (fleet/leases), each bucket holds its share of the burst and at
+// least one token, and the part by which a share grew starts without saved tokens.
 #pragma once
 
 #include <algorithm>
@@ -15,48 +16,50 @@
 
 namespace pinedoor::fleet {
 
-// What may pass at a share that moves: it fills at the share, up to the share's part of the burst, one at
-// least.
+// Token bucket for a share that varies. It fills at the rate of the share, up to the share's part of the
+// burst but at least one token.
 class Bucket {
 public:
-    // `saved`: at its begin. 0 where what an earlier life of the node saved may be in use still.
+    // `initial_tokens`: 0 where tokens of an earlier incarnation of the node may still be in use.
     explicit Bucket(const LimitTerms& limit, double initial_tokens = 0)
         : per_second_(limit.per_second), burst_(limit.burst), tokens_(initial_tokens) {}
 
-    double refill(Time now, double share);  // what may pass now
+    double refill(Time now, double share);  // returns the tokens available now
     void take(double count) { tokens_ -= count; }
 
 private:
-    double capacity(double share) const;  // that may be saved at such a share
+    double capacity(double share) const;
 
     double per_second_, burst_;
     double tokens_;
     Time refilled_at_ = 0;
-    double share_ = 0;  // since then
+    double share_ = 0;  // since refilled_at_, per second
 };
 
-// What comes, passed or not: a rate a second over a few seconds, that falls while nothing comes.
+// Estimates the demand from arrivals, admitted or not: a rate per second averaged over a few seconds, which
+// decays while nothing arrives.
 class Demand {
 public:
     void came(Time now, double count = 1);
-    // What this node needs of a limit: what came of late, and half as much again to grow into; soon nothing
-    // once nothing comes.
+    // What this node needs of a limit: the recent rate with half as much again for growth. Falls to zero soon
+    // after the last arrival.
     double need(Time now);
 
 private:
     double rate_ = 0;
     Time rate_updated_at_ = 0;
-    Time last_arrival_at_ = 0;  // last
+    Time last_arrival_at_ = 0;
 };
 
 class Gate {
 public:
     Gate(const LimitTerms& limit, std::uint64_t seed) : bucket_(limit), random_(seed) {}
 
-    // Whether one more may pass, at a share of so many a second; if not, after how long to return: between
-    // half of and the whole time until as many as are turned away now could pass.
+    // Whether one more may pass now. `share`: this node's, per second.
     bool pass(Time now, double share);
-    bool has_room(Time now, double share) { return bucket_.refill(now, share) >= 1; }  // and takes nothing
+    bool has_room(Time now, double share) { return bucket_.refill(now, share) >= 1; }  // takes no token
+    // Retry delay for a rejected request: random, between half of and the full time after which as many as
+    // are rejected now could pass, but no longer than `max_wait`.
     Time wait(double share, Time max_wait);
     double need(Time now) { return demand_.need(now); }
 
@@ -68,14 +71,14 @@
     Demand demand_;
     std::mt19937_64 random_;
     std::uint64_t passed_ = 0, rejected_ = 0;
-    double rejected_rate_ = 0;  // a second
+    double rejected_rate_ = 0;  // per second
     Time rejected_rate_updated_at_ = 0;
 };
 
-// What several limits speak of passes them all, or takes from none. Guards the others under a limit against
-// one of them that is over a limit of its own: what that one turned away had used up the shared one before.
-// `asks` takes from a limit with room, and lets a full one count what it turned away. Returns those that are
-// full; none: it passed.
+// Admits a request under all of its limits or under none. Otherwise a tenant over a limit of its own would
+// use up a shared limit with requests that its own limit rejects. `acquire` takes from a limit that has
+// capacity and counts a rejection at one that has none. Returns the limits without capacity; empty if the
+// request is admitted.
 template <class Limit, class HasCapacity, class Acquire>
 std::vector<Limit> turned_away_by(const std::vector<Limit>& limits, HasCapacity has_capacity,
                                   Acquire acquire) {
--- a/src/fleet/lease_text.cpp
+++ b/src/fleet/lease_text.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t kMaxNameLength = 64;
 constexpr double kMaxAmount = 1e12;
-constexpr Time kMaxDuration = 36'000'000;  // an hour
+constexpr Time kMaxDuration = 36'000'000;  // one hour
 
 }  // namespace
 
--- a/src/fleet/leases.cpp
+++ b/src/fleet/leases.cpp
@@ -10,15 +10,17 @@
 namespace {
 
 constexpr std::size_t kMaxHolders = 4'096;
-constexpr int kMaxUnansweredRequests =
-    3;  // questions without an answer, then voters are asked in turn who the owner is
+// After this many unanswered requests the voters are asked in turn for the owner.
+constexpr int kMaxUnansweredRequests = 3;
 
+// Rendezvous hash: orders names differently for each limit.
 std::uint64_t rank(const std::string& limit, const std::string& name) {
     return XXH64(name.data(), name.size(), XXH64(limit.data(), limit.size(), 0));
 }
 
 }  // namespace
 
+// Serves the smallest needs first: each gets at most an even part of what remains.
 std::vector<double> max_min(double capacity, const std::vector<double>& needs) {
     std::vector<std::size_t> order(needs.size());
     for (std::size_t i = 0; i < order.size(); ++i) order[i] = i;
@@ -33,13 +35,14 @@
     return shares;
 }
 
-// What an earlier life of this node voted, or used, is not known: until every such vote is over it gives
-// none.
+// The votes of an earlier incarnation of this node are not stored. It grants no vote until each of them must
+// have expired.
 Leases::Leases(std::string limit, std::string self, std::uint64_t incarnation, LeaseTerms terms, Time started)
     : limit_(std::move(limit)), self_(std::move(self)), incarnation_(incarnation), terms_(std::move(terms)),
       may_vote_from_(started + terms_.grantor_duration(terms_.vote_duration)),
-      // Guards against an answer to an earlier life that comes late: a share, or a vote, that it was given
-      // would be counted from when this life asked, and end after its giver has given it to another.
+      // Request numbers differ between incarnations. Otherwise a delayed reply to an earlier incarnation
+      // could be taken for a reply to a request of this one: its share or vote would be counted from the
+      // later request and expire after the grantor has granted it to another node.
       last_request_number_((incarnation & 0x7fffffffU) << 32U) {}
 
 bool Leases::is_voter(const std::string& name) const {
@@ -65,9 +68,9 @@
     return message;
 }
 
-// Whoever owns it goes on. Else a voter whose vote is nobody's any more, the first by rendezvous hash first
-// and each further one two renewals later: a dead owner is replaced when its votes end, before anybody finds
-// it dead.
+// The owner goes on. Otherwise a voter whose own vote is free becomes a candidate: the first by rendezvous
+// hash at once, and each further one two renewals later. A dead owner is thus replaced when its votes expire,
+// without waiting for membership to find it dead.
 bool Leases::seeks_ownership(Time now) const {
     if (!is_voter(self_) || now < may_vote_from_) return false;
     if (owns(now)) return true;
@@ -80,7 +83,7 @@
     return now >= std::max(vote_ends_at_, may_vote_from_) + turn;
 }
 
-// To itself a node speaks at once.
+// Messages to this node itself are handled at once.
 void Leases::send(const std::string& to, LeaseMessage message, std::vector<SendLease>& out, Time now) {
     if (to != self_) {
         out.push_back({to, std::move(message)});
@@ -94,7 +97,7 @@
     if (was_owner_ && !owns(now)) {
         was_owner_ = false;
         ++counts_.ownership_lost;
-        holders_.clear();  // all that it lent has ended by now
+        holders_.clear();  // all granted shares have expired by now
     }
     if (held_until_ != 0 && now >= held_until_) {
         ++counts_.expired;
@@ -113,7 +116,8 @@
     return out;
 }
 
-// An answer may take longer than it is until the next question: each of the latest few may be answered yet.
+// Returns a new request number. Several requests are kept, since a reply may arrive after the next request
+// was sent.
 std::uint64_t Leases::record_request(std::map<std::uint64_t, Time>& asked, Time now) {
     constexpr std::size_t kMaxOutstanding = 32;
     if (asked.size() == kMaxOutstanding) asked.erase(asked.begin());
@@ -128,9 +132,9 @@
         seeking_since_ = 0;
     else if (seeking_since_ == 0)
         seeking_since_ = now;
-    // Two that each have some of the votes, and renew them, would hold each other up for ever: whoever has
-    // not had enough for as long as a vote lasts lets go of those it has, ever longer, and by its name not as
-    // long as the other.
+    // Two candidates that each hold and renew some of the votes would block each other for ever. A candidate
+    // without a majority for as long as a vote lasts lets its votes expire, and waits for a number of further
+    // renewals that differs by name and by attempt.
     if (seeking_since_ != 0 && now - seeking_since_ > terms_.vote_duration) {
         seeking_since_ = 0;
         const auto turns = static_cast<Time>(1 + rank(limit_, self_ + std::to_string(++backoffs_)) % 8);
@@ -175,9 +179,9 @@
             }
             break;
         case LeaseMessage::Kind::kShareGrant:
-            // Only forward: the owner counts the lease that this node last said it goes by, and all later
-            // ones.
-            if (released_) break;  // it has said that it holds nothing
+            // Moves to later leases only: the owner counts the lease that this node last reported as in use,
+            // and all later ones.
+            if (released_) break;  // the owner has been told that this node holds nothing
             if (message.request_number <= held_lease_ || !share_requests_.contains(message.request_number))
                 break;
             unanswered_requests_ = 0;
@@ -198,8 +202,9 @@
 
 LeaseMessage Leases::answer_vote_request(Time now, const LeaseMessage& ask) {
     auto vote = make_message(LeaseMessage::Kind::kVoteReply, ask.request_number);
-    // Its own vote for itself nobody else counts: it is taken back for one that goes before it, lest several
-    // that begin to seek at once each keep their own.
+    // A candidate's vote for itself is counted by no other node, so it can be withdrawn in favour of a
+    // candidate that ranks higher. Otherwise several that become candidates at once would each keep their own
+    // vote.
     const bool before = is_voter(ask.from) &&
                         std::pair(rank(limit_, ask.from), ask.from) > std::pair(rank(limit_, self_), self_);
     if (before && voted_for_ == self_ && voted_incarnation_ == incarnation_ && !owns(now)) {
@@ -232,7 +237,7 @@
     holders_.clear();
 }
 
-// So long it has more than half of the votes: the time at which so many of them last to, at least.
+// The time until which this node holds the votes of a majority.
 Time Leases::ownership_ends_at() const {
     const auto need = terms_.voters.size() / 2 + 1;
     if (votes_.size() < need) return 0;
@@ -257,8 +262,8 @@
     return sum;
 }
 
-// A holder goes by one lease at a time, but which one of the last few the owner knows only once it is told:
-// until they end, or it says so, the largest counts.
+// A holder uses one lease at a time, but the owner learns which of the latest ones only from the next
+// request. Until then, or until they expire, the largest of them counts.
 LeaseMessage Leases::grant_share(Time now, const LeaseMessage& ask) {
     std::erase_if(holders_, [&](const auto& each) {
         return each.second.max_amount(now) <= 0 && now - each.second.requested_at > 2 * terms_.lease_duration;
@@ -272,8 +277,8 @@
     std::erase_if(holder.leases, [&](const auto& each) {
         return now >= each.second.ends_at || each.first < ask.held_lease;
     });
-    // A question that came twice has one answer: of two the holder may go by either, and the owner would
-    // count the later.
+    // A duplicated request gets the same reply again: of two different replies the holder might use either,
+    // while the owner would count the later one.
     if (const auto again = holder.leases.find(ask.request_number); again != holder.leases.end()) {
         share.amount = again->second.amount;
         share.duration = again->second.duration;
@@ -289,7 +294,7 @@
     const double fair = max_min(lendable, needs)[which];
     const double free = lendable - (lent(now) - holder.max_amount(now));
     share.amount = std::clamp(fair, 0.0, std::max(0.0, free));
-    // It ends, as counted here, before the votes do.
+    // The share must expire, as counted by this node, before the votes do.
     const auto left = static_cast<double>(ownership_ends_at() - now) / (1 + 2 * terms_.max_drift) - 2;
     share.duration = std::max<Time>(0, std::min(terms_.lease_duration, static_cast<Time>(left)));
     holder.leases[ask.request_number] = {share.amount, share.duration,
@@ -304,15 +309,15 @@
     std::vector<SendLease> out;
     released_ = true;
     if (now < held_until_ && !owner_.empty()) {
-        held_until_ = 0;  // before the word goes out that it is given back
+        held_until_ = 0;  // stops using the share before the release is sent
         send(owner_, make_message(LeaseMessage::Kind::kRelease, ++last_request_number_), out, now);
     }
     return out;
 }
 
 std::string Leases::canonical_state(Time now, Time oldest, const LatestRequests& latest) const {
-    constexpr std::uint64_t kMaxDistance =
-        64;  // no answer that may come yet, nor a lease that has not ended, is so far back
+    // Replies that may still arrive and unexpired leases belong to more recent requests than this.
+    constexpr std::uint64_t kMaxDistance = 64;
     std::ostringstream out;
     const auto until = [&](Time at) { out << ' ' << std::max<Time>(0, at - now); };
     const auto number = [&](const HolderKey& who, std::uint64_t which) {
--- a/src/fleet/server_words.cpp
+++ b/src/fleet/server_words.cpp
@@ -29,7 +29,7 @@
     return present ? std::to_string(std::max<Time>(0, time) / 10) : "-";
 }
 
-// Up to the next blank; empty at the end.
+// Removes and returns the text up to the next blank; empty at the end.
 std::string_view next_token(std::string_view& rest) {
     rest.remove_prefix(std::min(rest.size(), rest.find_first_not_of(" \n\t")));
     const auto token = rest.substr(0, rest.find_first_of(" \n\t"));
@@ -44,7 +44,7 @@
     return value;
 }
 
-// Whole milliseconds of at most an hour, as tenths.
+// Reads whole milliseconds as a Time, clamped to one hour.
 std::optional<Time> read_ms(std::string_view token) {
     const auto value = read_number(token);
     if (!value) return std::nullopt;
@@ -53,8 +53,8 @@
 
 }  // namespace
 
-// Those that fail first: they cost others most. "NAME b|g|- SEEN_MS|- COLD_MS|- RATE", blank between any two
-// words.
+// One report is "NAME b|g|- EVIDENCE_AGE_MS|- COLD_MS|- PARTS_PER_SECOND "; b is faulty, g is healthy. Faulty
+// servers come first, since they cost the others most; what exceeds the size of a record is left out.
 std::string write_words(const std::map<std::string, ServerSaid>& said) {
     std::vector<std::pair<const std::string*, const ServerSaid*>> order;
     for (const auto& [name, each] : said) {
@@ -105,15 +105,15 @@
     }
 }
 
-// A text is read when it is another: members say theirs anew twice a second at most, and are listened to ten
-// times.
+// A record is parsed again only if its text changed: records are read up to ten times a second but change at
+// most twice a second.
 Said WordReader::read(Time now, const std::vector<peers::Fact>& facts,
                       const std::map<std::string, int>& zones, const std::string& self) {
     Said all;
     all.voices = eligible_reporters(terms_, zones, self);
     std::map<std::string, ParsedRecord> previous = std::exchange(parsed_, {});
     for (const auto& fact : facts) {
-        if (fact.origin == self || !zones.contains(fact.origin)) continue;  // who is gone sees nothing
+        if (fact.origin == self || !zones.contains(fact.origin)) continue;  // not a live member
         const bool is_reporter = std::binary_search(all.voices.begin(), all.voices.end(), fact.origin);
         auto& parsed = parsed_[fact.origin];
         if (const auto old = previous.find(fact.origin); old != previous.end())
@@ -132,8 +132,8 @@
     return all;
 }
 
-// Who has said something says it for as long as it holds: if all were silent again once enough speak, all
-// would speak again next.
+// A member that has published an opinion keeps it for as long as it holds. If members withdrew theirs as soon
+// as enough others report the same, all would withdraw and then all report again.
 OpinionKind ServerTeller::choose_opinion(Time now, const ServerSeen& seen, const Said& others) const {
     const auto of = others.servers.find(seen.name);
     const auto said = published_.find(seen.name);
@@ -164,7 +164,7 @@
         return std::llround(each.second.parts_per_second) !=
                std::llround(published_.at(each.first).parts_per_second);
     });
-    // Something was seen later than what was said.
+    // There is later evidence than that of the published report.
     const auto newer_evidence = std::any_of(reports.begin(), reports.end(), [&](const auto& each) {
         return each.second.opinion != OpinionKind::kNone &&
                each.second.evidence_age + terms_.min_interval <
@@ -176,7 +176,7 @@
 
 std::optional<std::string> ServerTeller::tell(Time now, const std::vector<ServerSeen>& seen,
                                               const Said& others) {
-    // What it sends is counted over a second.
+    // Rates are averages over at least `every`.
     if (now - rates_updated_at_ >= terms_.every) {
         const double seconds =
             rates_updated_at_ == 0 ? 0 : static_cast<double>(now - rates_updated_at_) / kSecond;
@@ -220,7 +220,7 @@
         told.aside = verdict.aside;
         told.seen = verdict.aside ? verdict.evidence_at : 0;
         told.held = verdict.aside && !is_prober(terms_.verdict, now, count, verdict, self_, name);
-        // The second youngest: one alone may be wrong, and would keep a warm server cold for all.
+        // The second shortest duration counts: a single wrong report would keep a warm server cold for all.
         if (of.cold_durations.size() >= agreeing) {
             auto ages = of.cold_durations;
             std::sort(ages.begin(), ages.end());
@@ -230,7 +230,7 @@
         if (!told.says_something()) continue;
         current[name] = told;
         const auto before = consensus_.find(name);
-        // That time goes by is no news.
+        // Changes due to the passage of time alone are not reported.
         const bool same = before != consensus_.end() && before->second.aside == told.aside &&
                           before->second.held == told.held && before->second.taken == told.taken &&
                           told.seen <= before->second.seen + terms_.min_interval &&
@@ -247,7 +247,8 @@
     return changed;
 }
 
-// "KEY MS", the key in hex; the later ones last, and those first left out.
+// One entry is "KEY MS ", with the key in hexadecimal, later keys last. If they exceed the size of a record,
+// the first ones are left out.
 std::string write_keys(const std::vector<std::pair<std::uint64_t, Time>>& keys) {
     std::string out;
     for (auto it = keys.rbegin(); it != keys.rend(); ++it) {
--- a/src/fleet/server_words.hpp
+++ b/src/fleet/server_words.hpp
@@ -1,18 +1,20 @@
-// What front nodes tell each other of index servers, so that what one has seen spares the others: who fails,
-// who answers again, who is cold, and how much of a cold server's room is taken. Deciders: what this node
-// sees, what others said, and a time in; what to say, and what to make of it, out. docs/fleet.md, "Verdicts".
+// Reports that front nodes publish about index servers, so that what one node observed spares the others:
+// which server fails, which answers again, which is cold, and how much of a cold server's capacity is in use.
+// Without I/O: takes what this node observed, what others published and the current time; returns what to
+// publish and what to conclude. docs/fleet.md, "Verdicts".
 //
-//   what is told           | when                                                 | what a hearer makes of it
-//   -----------------------+------------------------------------------------------+------------------------------------
-//   bad, seen so long ago  | it fails this node, and those who need the word do   | an opinion
-//   (fleet/verdict)
-//                          | not have enough of such yet                          |
-//   good, likewise         | it answers this node, though enough say bad, and not | likewise
-//                          | enough say good                                      |
-//   began anew, so long ago| while it is cold, seen by this node or by the list   | cold since what two of
-//   them agree on parts a second sent it | while it is cold and gets some                       | the sum is
-//   taken of its room nothing                | none of these holds any more: taken back             | it
-//   counts no more
+//   reported                 | when                                           | what a receiver makes of it
+//   -------------------------+------------------------------------------------+---------------------------
+//   faulty, age of evidence  | the server fails this node, and there are not  | an opinion (fleet/verdict)
+//                            | yet enough such reports for the receivers      |
+//   healthy, age of evidence | the server answers this node although enough   | an opinion
+//                            | report it as faulty, and there are not yet     |
+//                            | enough reports of healthy                      |
+//   restarted so long ago    | while it is cold, according to this node or to | cold, for as long as two
+//                            | the server list                                | of the reports agree on
+//   parts sent per second    | while it is cold and this node sends to it     | the sum is the capacity
+//                            |                                                | in use
+//   nothing                  | once none of these holds: a withdrawal         | the earlier report is void
 #pragma once
 
 #include <cstddef>
@@ -29,56 +31,66 @@
 inline constexpr const char* kServersTopic = "servers";
 inline constexpr const char* kDeadlyTopic = "deadly";
 
-struct ServerSeen {  // by this node; times on its clock
+// What this node observed of one server; times on its clock.
+struct ServerSeen {
     std::string name;
-    bool doubted = false;
-    Time failed = 0, answered = 0;
-    Time cold_duration = -1;       // since it began anew; -1: it is warm
-    std::uint64_t parts_sent = 0;  // sent to it while cold, since this node's start
+    bool doubted = false;           // suspected to be faulty
+    Time failed = 0, answered = 0;  // last failed and last answered send; 0: none
+    Time cold_duration = -1;        // since its restart; -1: it is warm
+    std::uint64_t parts_sent = 0;   // while it is cold, since the start of this node
     bool looks_faulty() const { return doubted && failed > 0 && failed >= answered; }
     bool looks_healthy() const { return answered > failed; }
 };
 
-struct ServerSaid {  // by one member
+// Report of one member on one server.
+struct ServerSaid {
     enum class Opinion { kNone, kBad, kGood } opinion = Opinion::kNone;
     Time evidence_age = 0;
-    Time cold_duration = -1;
-    double parts_per_second = 0;  // parts a second
+    Time cold_duration = -1;  // -1: not reported as cold
+    double parts_per_second = 0;
 };
 
-struct ServerTold {  // by all together
+// What the reports of all members on one server amount to.
+struct ServerTold {
     bool aside = false;
-    bool held = false;  // others try it
-    Time seen = 0;      // on this node's clock
-    Time cold_for = -1;
-    double taken = 0;
+    bool held = false;   // left to other nodes to probe
+    Time seen = 0;       // time of the evidence, on this node's clock
+    Time cold_for = -1;  // -1: not cold
+    double taken = 0;    // parts per second sent by all reporters
     bool says_something() const { return aside || cold_for >= 0; }
 };
 
+// Settings of reports; times in tenths of a millisecond. A changed set of servers, opinions or cold servers
+// is published after `min_interval`, changed rates after `every`, later evidence for the same opinions after
+// `evidence_interval`.
 struct WordTerms {
-    Time min_interval = 1'000;        // between two words, if something else is said of a server
-    Time every = 10'000;              // between two words else, at least
-    Time evidence_interval = 20'000;  // between two words that differ in when something was seen
-    Time lives = 150'000;             // a word; it is said anew at a third of that
+    Time min_interval = 1'000;
+    Time every = 10'000;
+    Time evidence_interval = 20'000;
+    Time lives = 150'000;  // of a published report; it is published again after a third of that
     VerdictTerms verdict;
 };
 
-std::string write_words(const std::map<std::string, ServerSaid>& said);   // as many as one fact holds
-std::map<std::string, ServerSaid> read_reports(const std::string& text);  // what cannot be read is left out
+// Text form of one member's reports, as many as one published record holds.
+std::string write_words(const std::map<std::string, ServerSaid>& said);
+std::map<std::string, ServerSaid> read_reports(const std::string& text);  // skips malformed reports
 
-// Who said what of which server, of members only, read once for both who tells and who hears.
+// The current reports of all other members, by server. Input of both the publisher and the receiver.
 struct Said {
-    std::vector<std::string> voices;
+    std::vector<std::string> voices;  // members whose opinions count for this node
     struct ServerReports {
-        std::vector<Opinion> opinions;     // of voices
+        std::vector<Opinion> opinions;     // of `voices` only
         std::vector<Time> cold_durations;  // of all members
-        double parts_per_second = 0;
+        double parts_per_second = 0;       // sum over all members
     };
     std::map<std::string, ServerReports> servers;
 };
+
+// Collects the reports from published records. Keeps what it parsed, by member.
 class WordReader {
 public:
     explicit WordReader(VerdictTerms terms) : terms_(terms) {}
+    // `zones`: of the live members, by name; records of others are ignored.
     Said read(Time now, const std::vector<peers::Fact>& facts, const std::map<std::string, int>& zones,
               const std::string& self);
 
@@ -88,13 +100,14 @@
         std::map<std::string, ServerSaid> reports;
     };
     const VerdictTerms terms_;
-    std::map<std::string, ParsedRecord> parsed_;  // by member, of those that speak now
+    std::map<std::string, ParsedRecord> parsed_;  // of members with a current record
 };
 
+// Decides what this node reports and when.
 class ServerTeller {
 public:
     explicit ServerTeller(WordTerms terms) : terms_(terms) {}
-    // What to say now, if it is time: empty takes back what was said.
+    // Returns the text to publish, if a publication is due. An empty text withdraws earlier reports.
     std::optional<std::string> tell(Time now, const std::vector<ServerSeen>& seen, const Said& others);
 
 private:
@@ -103,17 +116,18 @@
     bool is_due(Time now, const Reports& reports) const;
 
     const WordTerms terms_;
-    std::map<std::string, std::uint64_t> parts_sent_;  // when last looked
+    std::map<std::string, std::uint64_t> parts_sent_;  // to cold servers, at rates_updated_at_
     Time rates_updated_at_ = 0, published_at_ = 0;
-    std::map<std::string, double> parts_per_second_;
+    std::map<std::string, double> parts_per_second_;  // to cold servers
     Reports published_;
 };
 
+// Combines the reports of other members into one conclusion for each server.
 class ServerHearer {
 public:
     ServerHearer(WordTerms terms, std::string self) : terms_(terms), self_(std::move(self)) {}
-    // What is new, by server: others' words together. One that nobody speaks of any more is told once, as
-    // nothing.
+    // Returns the conclusions that changed, by server. A server without reports is returned once, with an
+    // empty conclusion.
     std::map<std::string, ServerTold> hear(Time now, const Said& others);
     const std::map<std::string, ServerTold>& told() const { return consensus_; }
 
@@ -123,7 +137,8 @@
     std::map<std::string, ServerTold> consensus_;
 };
 
-// Keys of multigets under which servers died, and for how much longer each counts.
+// Text form of deadly keys: keys of multigets under which servers died, with the time that each remains in
+// force.
 std::string write_keys(const std::vector<std::pair<std::uint64_t, Time>>& keys);
 std::vector<std::pair<std::uint64_t, Time>> read_keys(const std::string& text);
 
--- a/src/fleet/terms.hpp
+++ b/src/fleet/terms.hpp
@@ -1,4 +1,5 @@
-// What an installation states of limits for the whole fleet; off unless [fleet] says on (deploy/fleet.toml).
+// Settings of fleet-wide limits and verdicts ([fleet]). Limits are off unless [fleet] sets `on`
+// (deploy/fleet.toml).
 #pragma once
 
 #include <algorithm>
@@ -11,18 +12,21 @@
 
 namespace pinedoor::fleet {
 
-struct LimitTerms {  // of what all front nodes take together
+// One limit on what all front nodes use together ([[fleet.limits]]).
+struct LimitTerms {
     std::string name;
-    // What is limited: multigets taken, further sends, new connections to each index server, or parts out at
-    // each.
+    // What is limited: admitted multigets, further sends, new connections to each index server, or parts out
+    // at each index server.
     enum class Of { kMultigets, kFurtherSends, kConnections, kPartsOut } of = Of::kMultigets;
-    std::string tenant, op_type;  // of multigets; empty: any
+    std::string tenant, op_type;  // of the multigets that count; empty: any
+    // Never exceeded (fleet/leases), held approximately (fleet/about), or divided evenly without
+    // communication.
     enum class Kind { kNeverOver, kAbout, kAlone } kind = Kind::kNeverOver;
-    double per_second = 0;  // of parts out: at once
-    double burst = 0;       // at most so many at once beyond it, all together
+    double per_second = 0;  // for parts out: the number out at the same time
+    double burst = 0;       // allowed at once beyond the rate, by all nodes together
 };
 
-// As settings and the operators' page have it.
+// The name in settings and on the operators' page.
 constexpr const char* name_of(LimitTerms::Of of) {
     using Of = LimitTerms::Of;
     return of == Of::kMultigets      ? "multigets"
@@ -31,19 +35,21 @@
                                      : "parts-out";
 }
 
+// All of [fleet]; times in tenths of a millisecond. The members are described where they are used:
+// LeaseTerms, ApproximateLimitTerms.
 struct FleetTerms {
-    bool on = false;
+    bool on = false;  // limits are enforced
     std::vector<std::string> voters;
     double floors = 0.1;
     Time vote = 60'000, lease = 30'000, renew = 5'000;
     double drift = 0.01;
-    Time late = 20'000;  // limits that hold about
+    Time late = 20'000;  // propagation delay of approximate limits
     std::vector<LimitTerms> limits;
     bool needs_peers() const {
         return std::any_of(limits.begin(), limits.end(),
                            [](const auto& each) { return each.kind != LimitTerms::Kind::kAlone; });
     }
-    bool verdicts = true;  // what members say of servers is said and heard, wherever there are peers
+    bool verdicts = true;  // reports on servers are published and used, wherever there are peers
     WordTerms words;
 
     LeaseTerms leases(const LimitTerms& limit, int nodes) const {
--- a/src/fleet/verdict.cpp
+++ b/src/fleet/verdict.cpp
@@ -32,7 +32,7 @@
     Verdict verdict;
     verdict.needed = reports_needed(terms, reporter_count);
     std::erase_if(opinions, [&](const Opinion& each) { return now - each.seen >= terms.lives; });
-    // What was seen at the same time speaks for the server first: setting aside takes the proof.
+    // Latest first. Of evidence from the same time the healthy opinion comes first, in favour of the server.
     std::sort(opinions.begin(), opinions.end(), [](const Opinion& a, const Opinion& b) {
         return std::tuple(-a.seen, a.bad, a.from) < std::tuple(-b.seen, b.bad, b.from);
     });
@@ -49,7 +49,8 @@
 bool is_prober(const VerdictTerms& terms, Time now, std::size_t reporter_count, const Verdict& verdict,
                const std::string& self, const std::string& server) {
     const auto key = server + '\n' + self;
-    // Once it may be good all wait for it: half as many again as have to say so, for half as long.
+    // After a reported recovery the fleet waits for enough healthy opinions: half as many probers again as are
+    // needed, for half of the period.
     const auto period = static_cast<std::uint64_t>(
         now / (verdict.recovery_reported ? terms.probe_period / 2 : terms.probe_period));
     const auto hash = XXH64(key.data(), key.size(), period);
--- a/src/fleet/verdict.hpp
+++ b/src/fleet/verdict.hpp
@@ -1,16 +1,16 @@
-// What a front node makes of what the others saw of one index server, when their words disagree. Plain
-// functions: opinions and a time in, a verdict out. docs/fleet.md, "Verdicts", tells the promise.
+// Verdict of a front node on one index server, from what other front nodes observed, also where their reports
+// disagree. Pure functions of opinions and the current time. docs/fleet.md, "Verdicts", states the guarantee.
 //
-// An opinion is bad (it failed me, and has not answered me since) or good (it answered me later than it
-// failed me), and as old as the send that it goes by. Those who may speak to a node, its voices, are the
-// members of its zone, or all where the zone has too few. Of n voices
+// An opinion is faulty (the server failed the reporter and has not answered it since) or healthy (it answered
+// the reporter later than it failed it). Its age is that of the send that it is based on. The reporters that
+// count for a node are the members of its zone, or all members where the zone has too few. With n reporters
 //
-//   needed(n)       must agree: the stated number, or the stated share of them if that is more
-//   2 needed(n) - 1 latest opinions count; the server is aside if `needed` of these are bad
-//   lives           is how old an opinion may be
+//   needed(n)           must agree: the configured number, or the configured fraction of them if that is more
+//   2 * needed(n) - 1   latest opinions count; the server is set aside if needed(n) of these are faulty
+//   opinion_lifetime    is the maximum age of an opinion
 //
-// Fewer than `needed` voices that talk nonsense can therefore neither make a verdict nor prevent one,
-// whatever they say and however often: they hold fewer than `needed` of the places that count.
+// Fewer than needed(n) misreporting members can therefore neither cause nor prevent a verdict, whatever they
+// report and however often: they hold fewer than needed(n) of the opinions that count.
 #pragma once
 
 #include <cstddef>
@@ -24,38 +24,42 @@
 
 using peers::Time;
 
+// Settings of verdicts; times in tenths of a millisecond.
 struct VerdictTerms {
-    int reporters = 3;     // must agree, or all voices if they are fewer
-    double share = 0.125;  // of the voices, that must agree if it is more
-    Time lives = 150'000;  // an opinion
-    double probers = 1;  // of the voices and this node, that try a server while it is aside, in the mean, or
-    double prober_share = 0.02;  // this share of them, if that is more
-    Time probe_period = 20'000;  // the same ones for so long
+    int reporters = 3;     // that must agree, or all if there are fewer
+    double share = 0.125;  // fraction of the reporters that must agree, if that is more
+    Time lives = 150'000;  // maximum age of an opinion
+    double probers = 1;    // expected number of nodes that keep sending to a server that is set aside, or
+    double prober_share = 0.02;  // this fraction of the reporters and this node, if that is more
+    Time probe_period = 20'000;  // after which other nodes are drawn
 };
 
 struct Opinion {
     std::string from;
     bool bad = false;
-    Time seen = 0;  // on the clock of who makes the verdict
+    Time seen = 0;  // time of the evidence, on the clock of the node that makes the verdict
 };
 
 struct Verdict {
     bool aside = false;
-    Time evidence_at = 0;            // so many as are needed saw it fail them then or later; 0: they did not
+    // As many members as needed saw the server fail at this time or later; 0: they did not.
+    Time evidence_at = 0;
     std::size_t bad = 0, good = 0;   // of the opinions that count
-    bool recovery_reported = false;  // the latest of all is good
+    bool recovery_reported = false;  // the latest opinion of all is healthy
     std::size_t needed = 0;
-    bool has_margin(bool faulty) const { return (faulty ? bad : good) > needed; }  // with one to spare
+    // Whether more than the needed number agree, so that one of them can be missing.
+    bool has_margin(bool faulty) const { return (faulty ? bad : good) > needed; }
 };
 
-// Those whose word on servers counts for `self`: names; `zones`: all members, by name.
+// The members whose reports on servers count for `self`. `zones`: of all members, by name.
 std::vector<std::string> eligible_reporters(const VerdictTerms& terms,
                                             const std::map<std::string, int>& zones, const std::string& self);
 std::size_t reports_needed(const VerdictTerms& terms, std::size_t reporter_count);
 Verdict judge(const VerdictTerms& terms, Time now, std::size_t reporter_count, std::vector<Opinion> opinions);
 
-// Whether this member is one of those that try a server while it is aside: few, and as many as another
-// verdict needs once anybody says that it is good again. Each span's are others, and nobody has to know who.
+// Whether `self` keeps sending to a server that is set aside: few nodes do, and once a recovery is reported
+// as many as the opposite verdict needs. Each node decides by a hash of the names and the period, without
+// coordination.
 bool is_prober(const VerdictTerms& terms, Time now, std::size_t reporter_count, const Verdict& verdict,
                const std::string& self, const std::string& server);
 
--- a/tests/fleet/about_test.cpp
+++ b/tests/fleet/about_test.cpp
@@ -1,6 +1,7 @@
-// Limits that hold about: many deciders in simulated time, whose words take as long as the test says. The
-// bound, over any W seconds, with C changes of needs or members that took S seconds to reach all:
-//   limit * (W + C * max(0, S - late))       of the shares that are in use.
+// Fleet-wide limits that hold approximately: many nodes in simulated time, whose published needs arrive with
+// random delays. Bound on the shares in use over any W seconds, with C changes of needs or members that took
+// S seconds to reach all:
+//   limit * (W + C * max(0, S - propagation_delay))
 #include "fleet/about.hpp"
 
 #include <doctest/doctest.h>
@@ -21,13 +22,15 @@
 constexpr double kLimit = 1'000;
 constexpr int kNodes = 20;
 
+// Nodes that exchange needs with random delays of up to `max_delay`, in steps of kStep.
 struct SimulatedFleet {
     SimulatedFleet(ApproximateLimitTerms terms, unsigned seed, peers::Time max_message_delay)
         : rng(seed), max_delay(max_message_delay), received(kNodes, std::vector<double>(kNodes)),
           partition(kNodes, 0) {
         for (int i = 0; i < kNodes; ++i) nodes.push_back(std::make_unique<AboutShare>(terms));
     }
-    // Needs as they are now; what is said comes to each other one after a time of its own.
+    // Advances by kStep with the given needs. Each publication reaches each other node after a delay of its
+    // own.
     void step(const std::vector<double>& needs) {
         now += kStep;
         for (int i = 0; i < kNodes; ++i) {
@@ -76,7 +79,7 @@
     peers::Time max_delay, now = 0;
     std::vector<std::unique_ptr<AboutShare>> nodes;
     std::vector<std::vector<double>> received;
-    std::vector<int> partition;  // which side
+    std::vector<int> partition;  // by node: its side; messages between sides are lost
     bool partition_detected = false;
     std::vector<Message> messages;
     double in_use = 0, used = 0;
@@ -90,12 +93,13 @@
     return made;
 }
 
-// What is over, added up over a run in which a few nodes' needs change at random, as parts of the limit for a
-// second.
+// `excess_seconds`: the excess over the limit, as a fraction of the limit, integrated over time. `min_used`:
+// the least that was used of the limit while more than it was needed.
 struct RunResult {
     double max_in_use = 0, excess_seconds = 0, min_used = 1e9;
     int changes = 0;
 };
+// Runs the fleet while needs of random nodes change at random.
 RunResult run(ApproximateLimitTerms limit_terms, unsigned seed, peers::Time max_delay) {
     SimulatedFleet fleet(limit_terms, seed, max_delay);
     RunResult result;
@@ -104,9 +108,9 @@
     for (int step = 0; step < 4'000; ++step) {
         if (step % 120 == 0) {
             auto& need = needs[rng() % kNodes];
-            need = need > 0 ? 0
-                            : kLimit * static_cast<double>(
-                                           1 + rng() % 10);  // from nothing to ten times the limit, or back
+            need = need > 0
+                       ? 0
+                       : kLimit * static_cast<double>(1 + rng() % 10);  // in units of the limit: 0 or 1 to 10
             ++result.changes;
         }
         fleet.step(needs);
@@ -119,7 +123,8 @@
     return result;
 }
 
-TEST_CASE("what reaches all in time puts the shares over by nothing, and they are used whole once it has") {
+TEST_CASE(
+    "shares stay within the limit and are used fully if every need arrives within the propagation delay") {
     for (unsigned seed = 1; seed <= 20; ++seed) {
         const auto result = run(terms(), seed, kSecond * 2 - kStep);
         CHECK(result.max_in_use <= kLimit + 1e-6);
@@ -127,22 +132,19 @@
     }
 }
 
-TEST_CASE(
-    "what takes longer puts them over by the limit for as long as it was late, each time, and no more") {
+TEST_CASE("later arrival exceeds the limit by at most the limit for the time of the delay of each change") {
     for (unsigned seed = 1; seed <= 20; ++seed) {
         const auto result = run(terms(kSecond), seed, 4 * kSecond);
-        CHECK(result.excess_seconds > 0);  // or this test shows nothing
+        CHECK(result.excess_seconds > 0);  // otherwise the test would be vacuous
         CHECK(result.excess_seconds <= result.changes * 3.0);
     }
 }
 
-TEST_CASE("planted: a share that rises at once is found over though all is heard in time") {
+TEST_CASE("injected defect: a share that rises at once exceeds the limit although all needs arrive in time") {
     CHECK(run(terms(0), 1, kSecond).excess_seconds > 0);
 }
 
-TEST_CASE(
-    "halves cut for 30 s, needs moving to one side: each side has its members' part, and together the "
-    "limit") {
+TEST_CASE("30 s partition into halves with needs moving to one side: each side has half of the limit") {
     SimulatedFleet fleet(terms(), 3, kSecond / 2);
     std::vector<double> needs(kNodes, kLimit / 5);
     const auto run = [&](peers::Time length) {
@@ -158,23 +160,23 @@
     for (std::size_t i = 0; i < kNodes / 2; ++i) fleet.partition[i] = 1;
     for (std::size_t i = 0; i < kNodes / 2; ++i)
         needs[i] = 2 * kLimit, needs[i + kNodes / 2] = 0;  // all on one side
-    CHECK(run(10 * kSecond) <= kLimit + 1e-6);             // nobody has found the others gone
+    CHECK(run(10 * kSecond) <= kLimit + 1e-6);             // the partition is not detected yet
     fleet.partition_detected = true;
     CHECK(run(20 * kSecond) <= kLimit + 1e-6);
-    CHECK(fleet.used >= 0.45 * kLimit);  // its half
+    CHECK(fleet.used >= 0.45 * kLimit);  // half of the limit
     fleet.partition_detected = false;
     std::fill(fleet.partition.begin(), fleet.partition.end(), 0);
     for (std::size_t i = 0; i < kNodes; ++i) {
         for (std::size_t j = 0; j < kNodes; ++j)
-            fleet.received[i][j] = fleet.nodes[j]->said();  // comparisons
+            fleet.received[i][j] = fleet.nodes[j]->said();  // records are exchanged
     }
     CHECK(run(10 * kSecond) <= kLimit + 1e-6);
     CHECK(fleet.used >= 0.9 * kLimit);
 }
 
 TEST_CASE(
-    "one that has just started, or is alone, has its floor; what it said is said again in time, and taken "
-    "back") {
+    "a node that just started or is isolated has its floor; needs are published again in time and "
+    "withdrawn") {
     AboutShare share(terms());
     share.need(500);
     CHECK(share.say(kSecond) == 500);
@@ -184,12 +186,12 @@
     share.hear(10 * kSecond, {300}, 20, false);
     CHECK(share.may_use(20 * kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));
     share.hear(20 * kSecond, {300}, 20, true);
-    CHECK(share.may_use(21 * kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));  // not yet
+    CHECK(share.may_use(21 * kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));  // increase is delayed
     CHECK(share.may_use(22 * kSecond) == doctest::Approx(500 + kLimit * 0.1 / kNodes));
     share.hear(23 * kSecond, {900}, 20, true);
-    CHECK(share.may_use(23 * kSecond) == doctest::Approx(450 + kLimit * 0.1 / kNodes));  // at once
+    CHECK(share.may_use(23 * kSecond) == doctest::Approx(450 + kLimit * 0.1 / kNodes));  // decrease is not
     share.need(520);
-    CHECK(!share.say(24 * kSecond));  // no more than a quarter
+    CHECK(!share.say(24 * kSecond));  // changed by less than a quarter
     CHECK(share.say(42 * kSecond) == 520);
     share.need(0);
     CHECK(!share.say(42 * kSecond + 100));
@@ -197,11 +199,11 @@
     CHECK(!share.say(100 * kSecond));
 }
 
-TEST_CASE("needs are read as they were written; rubbish is left out") {
+TEST_CASE("needs are read as written; malformed text is ignored") {
     CHECK(read_needs(write_needs({{"all", 12.3}, {"none", 0}, {"b", 1e12}})) ==
           std::map<std::string, double>{{"all", 13}, {"b", 1e9}});
     CHECK(read_needs("all nan b -1 c inf d").size() <= 1);
-    CHECK(rc::check("any text is read without harm", [](const std::string& any) {
+    CHECK(rc::check("any text is read safely", [](const std::string& any) {
         for (const auto& [name, need] : read_needs(any)) RC_ASSERT(need > 0 && need <= 1e9);
     }));
 }
--- a/tests/fleet/gate_test.cpp
+++ b/tests/fleet/gate_test.cpp
@@ -1,5 +1,5 @@
-// What a share of a limit lets through at one front node: gates, buckets for each server, what a node says
-// that it needs.
+// Enforcement of a node's share of a limit: admission gates, limits at each server, the need that a node
+// reports, and the settings of limits.
 #include "fleet/gate.hpp"
 
 #include <doctest/doctest.h>
@@ -17,7 +17,7 @@
 
 constexpr Time kSecond = 10'000;
 
-TEST_CASE("a gate passes its share and one burst, saves nothing beyond, and says when to return, spread") {
+TEST_CASE("a gate passes its share and one burst; idle time saves nothing beyond; retry delays are spread") {
     fleet::LimitTerms terms;
     terms.per_second = 100;
     terms.burst = 20;
@@ -30,7 +30,7 @@
     now += 100 * kSecond;
     int burst = 0;
     while (gate.pass(now, 25)) ++burst;
-    CHECK(burst == 5);  // its quarter
+    CHECK(burst == 5);  // a quarter of the burst of 20, as of the rate
     CHECK(gate.need(now + 100 * kSecond) == 0);
     Time min_wait = kSecond, max_wait = 0;
     for (int i = 0; i < 100; ++i) {
@@ -43,7 +43,7 @@
     CHECK(max_wait - min_wait > 1'000);
 }
 
-TEST_CASE("a share that grows begins with nothing saved for what it grew by, however long nothing came") {
+TEST_CASE("tokens saved at a small share do not grow with the share") {
     fleet::LimitTerms terms;
     terms.per_second = 100;
     terms.burst = 20;
@@ -56,18 +56,17 @@
     };
     pass_all(1);
     now += 100 * kSecond;
-    CHECK(pass_all(100) == 1);  // saved at a share of 1; it was 20
+    CHECK(pass_all(100) == 1);  // saved at a share of 1; 20 would be the whole burst
     now += kSecond / 10;
     CHECK(pass_all(100) == 10);
     now += 100 * kSecond;
     CHECK(pass_all(10) == 2);
 }
 
-// Two tenants under one limit of 100 a second; one of them, limited to 10, asks for 900. They used up the
-// shared limit before its own turned them away: the other got none of its 83.
-TEST_CASE(
-    "what one limit turns away takes nothing of another: a tenant over its own leaves the shared one to "
-    "others") {
+// Two tenants share a limit of 100 per second. One of them has a limit of 10 of its own and requests about
+// 900. Guards against requests that its own limit rejects using up the shared limit: the other tenant got
+// none of its 83 per second.
+TEST_CASE("a request that one limit rejects takes nothing from its other limits") {
     fleet::LimitTerms shared_terms, greedy_terms;
     shared_terms.per_second = 100;
     shared_terms.burst = 20;
@@ -90,7 +89,7 @@
     CHECK(passed > 790);
     CHECK(greedy_passed > 85);
     CHECK(greedy_passed < 105);
-    CHECK(shared.need(now) < 200);  // what it could not use is not asked for
+    CHECK(shared.need(now) < 200);  // rejected by the other limit: not part of the need
     CHECK(greedy_only.need(now) > 1'000);
     CHECK(full_limits({&shared, &greedy_only}) == std::vector<fleet::Gate*>{&greedy_only});
     fleet::ConnectionPace limiter(shared_terms);
@@ -99,7 +98,7 @@
     CHECK(!limiter.has_room(now, 1, 1));
 }
 
-TEST_CASE("what a node needs goes by what comes, and ends soon after it") {
+TEST_CASE("the need follows arrivals and ends soon after them") {
     fleet::LimitTerms terms;
     terms.per_second = 100;
     fleet::Gate gate(terms, 7);
@@ -108,12 +107,13 @@
     CHECK(gate.need(now) > 1'200);
     CHECK(gate.need(now + kSecond / 2) < 14);
     CHECK(gate.need(now + 500 * kSecond) == 0);
-    for (int i = 0; i < 20; ++i, now += kSecond) gate.pass(now, 10);  // one a second is none that ends
+    for (int i = 0; i < 20; ++i, now += kSecond)
+        gate.pass(now, 10);  // a steady request per second keeps a need
     CHECK(gate.need(now) > 1.5);
 }
 
 TEST_CASE(
-    "connections are paced at each server by its own, one is there at a start, and flapping gains nothing") {
+    "connections are limited for each server; a new one has one token; a flapping server gains nothing") {
     fleet::LimitTerms terms;
     terms.per_second = 8;
     terms.burst = 4;
@@ -124,7 +124,7 @@
     CHECK(limiter.may_open(now, 2, 2));  // another server
     int opened = 0;
     for (int i = 0; i < 1'000;
-         ++i, now += 100) {  // 10 s of tries at one server, another look at all each time
+         ++i, now += 100) {  // attempts for 10 s at one server, each followed by an update of all
         opened += limiter.may_open(now, 1, 2) ? 1 : 0;
         limiter.need(now, 2);
     }
@@ -132,14 +132,12 @@
     CHECK(opened <= 20);
     CHECK(limiter.need(now, 2) > 100);
     now += 60 * kSecond;
-    CHECK(limiter.need(now, 2) == 0);  // and forgotten, with one saved as at a start
+    CHECK(limiter.need(now, 2) == 0);  // the entry is dropped; a new one has one token
     CHECK(limiter.may_open(now, 1, 2));
     CHECK(!limiter.may_open(now, 1, 2));
 }
 
-TEST_CASE(
-    "a node asks for half more parts out than it had at the server where it had most, and lets go of them "
-    "soon") {
+TEST_CASE("the need for parts out is the recent peak with half as much again and decays soon") {
     fleet::PartsOut parts_out;
     CHECK(parts_out.need() == 1);
     parts_out.see(kSecond, 20);
@@ -151,8 +149,8 @@
 }
 
 TEST_CASE(
-    "the module's share: one part at each server whatever it says, nothing by a share that is over, all "
-    "without one") {
+    "the module's share: one part at each server is always allowed; an expired share allows nothing more; "
+    "default is unlimited") {
     const FleetShare unlimited;
     CHECK(unlimited.room(kSecond, 1'000'000) > 0);
     CHECK(unlimited.allows(kSecond, 1e18));
@@ -164,14 +162,14 @@
     CHECK(share.room(kSecond, 5) == 0);
     CHECK(share.allows(kSecond, 10));
     CHECK(!share.allows(kSecond, 11));
-    CHECK(share.room(2 * kSecond, 0) == 1);  // it slept
+    CHECK(share.room(2 * kSecond, 0) == 1);  // the share has expired
     CHECK(share.room(2 * kSecond, 1) == 0);
     CHECK(!share.allows(2 * kSecond, 1));
     share.parts_out = 0;
     CHECK(share.room(kSecond, 0) == 1);
 }
 
-TEST_CASE("limits of each kind are read; what cannot be is named by its key") {
+TEST_CASE("limits of each kind are read; errors name the key") {
     const auto read = [](const std::string& limit, bool peers = true) -> std::string {
         try {
             const auto installation = stated::Installation::from_text(
--- a/tests/fleet/lease_explore_test.cpp
+++ b/tests/fleet/lease_explore_test.cpp
@@ -1,7 +1,7 @@
-// Every interleaving of a small instance of the leases, in steps of a renewal: an owner, its later lives or a
-// successor, and two holders. In each step one thing may change: a link loses, holds back or passes what goes
-// over it, a node falls asleep or wakes, a node dies and starts again. The very Leases are played, not a
-// model of them.
+// Explores every interleaving of a small instance of the lease protocol, in steps of one renewal interval: an
+// owner, its later incarnations or a successor, and two holders. One thing may change in each step: a link
+// starts to drop, delay or deliver its messages, a node is suspended or resumed, or a node crashes and
+// restarts. The production class is explored, not a model of it.
 #include <doctest/doctest.h>
 #include <xxhash.h>
 
@@ -22,30 +22,33 @@
 
 constexpr int kNodes = 3;
 constexpr Time kStep = 10;
-constexpr int kMaxRoundTripSteps = 4;  // steps that a question and its answer may take together
+constexpr int kMaxRoundTripSteps = 4;  // that a request and its reply may take together
 constexpr double kLimit = 120;
 
+// Violations of the protocol that the exploration must detect.
 struct InjectedDefects {
-    bool skip_vote_wait = false;         // who starts anew votes at once
-    bool grantor_expires_early = false;  // who gives counts shorter than who holds
+    bool skip_vote_wait = false;         // a restarted voter votes at once
+    bool grantor_expires_early = false;  // the grantor counts shorter than the holder
 };
 
 struct Instance {
     std::vector<std::string> voters;
-    int max_crashes = 1;                        // in all
-    int max_faults = 1'000;                     // begun in all
+    int max_crashes = 1;                        // on one path
+    int max_faults = 1'000;                     // on one path; the end of a fault does not count
     int lease_duration = 2, vote_duration = 3;  // in steps
     InjectedDefects defects;
 };
 
 enum class Link : std::uint8_t { kDelivers, kDrops, kDelays };
 
+// A message on its way; `age` in steps since its request was sent.
 struct InFlight {
     int to = 0;
     int age = 0;
     LeaseMessage message;
 };
 
+// One state of the fleet, and how it was reached.
 struct State {
     struct Node {
         std::unique_ptr<Leases> leases;
@@ -63,8 +66,8 @@
     std::deque<InFlight> delayed[kNodes][kNodes];
     Time now = 0;
     int crashes = 0, faults = 0, steps = 0;
-    Leases::LatestRequests ended_requests;  // lives that are over: the last that each asked
-    std::string path;                       // what was done, for whoever reads a find
+    Leases::LatestRequests ended_requests;  // by ended incarnation: its last request
+    std::string path;                       // the changes made, for diagnosis
 };
 
 class Explorer {
@@ -82,13 +85,14 @@
     std::size_t states = 0;
     double max_in_use = 0;
     int max_owners = 0;
-    std::uint64_t nearly_full_states = 0;  // states in which nearly all of the limit is in use
+    std::uint64_t nearly_full_states = 0;  // states with more than 90 % of the limit in use
 
-    // All that can be reached in so many steps, until something is over or so many states were gone on from.
+    // Explores all states reachable in `max_steps`, until the limit is exceeded or `max_states` were
+    // expanded.
     void run(std::size_t max_states, int max_steps = 1'000) {
         State first;
         first.nodes.resize(kNodes);
-        for (int i = 0; i < kNodes; ++i) start(first, i, -10 * kStep);  // long ago: votes may be given
+        for (int i = 0; i < kNodes; ++i) start(first, i, -10 * kStep);  // long ago: may vote at once
         std::deque<State> open;
         check(first);
         seen_.insert(hash(first));
@@ -112,11 +116,11 @@
         exhausted = open.empty() && max_in_use <= kLimit + 1e-6;
     }
     bool exhausted = false;
-    int deepest = 0;         // steps from the start
-    std::string worst_path;  // the way to the most in use
+    int deepest = 0;         // in steps from the start
+    std::string worst_path;  // to the state with the most in use
 
 private:
-    // 0: nothing; each node sleeps or wakes, dies; each link to another way of passing.
+    // 0: none; then suspend or resume, and restart, of each node; then two link modes for each link.
     static constexpr int kChanges = 1 + 2 * kNodes + 2 * kNodes * kNodes;
 
     void start(State& state, int which, Time started) const {
@@ -134,7 +138,7 @@
     struct Change {
         enum class Kind { kNone, kSuspend, kRestart, kLink } kind = Kind::kNone;
         int node = 0, to = 0;
-        int link_step = 0;  // kLink: 1 or 2, to the next way of passing or the last
+        int link_step = 0;  // kLink: 1 or 2, to the next or the previous mode
     };
     static Change change_of(int number) {
         if (number == 0) return {};
@@ -147,7 +151,7 @@
         return static_cast<Link>((static_cast<int>(state.links[change.node][change.to]) + change.link_step) %
                                  3);
     }
-    // What begins is a fault; that it ends is not.
+    // The start of a fault counts as a fault; its end does not.
     static bool is_fault(const State& state, const Change& change) {
         if (change.kind == Change::Kind::kSuspend)
             return !state.nodes[static_cast<std::size_t>(change.node)].suspended;
@@ -185,10 +189,10 @@
         const auto change = change_of(number);
         switch (change.kind) {
             case Change::Kind::kNone: break;
-            case Change::Kind::kSuspend: return name(change.node) + " sleeps or wakes,";
-            case Change::Kind::kRestart: return name(change.node) + " starts anew,";
+            case Change::Kind::kSuspend: return name(change.node) + " suspended or resumed,";
+            case Change::Kind::kRestart: return name(change.node) + " restarts,";
             case Change::Kind::kLink:
-                return "link " + name(change.node) + name(change.to) + " by " +
+                return "link " + name(change.node) + name(change.to) + " mode +" +
                        std::to_string(change.link_step) + ',';
         }
         return "-";
@@ -216,7 +220,7 @@
             transmit(state, i, node.leases->tick(state.now), 0);
         }
     }
-    // An answer is as old as its question.
+    // A reply inherits the age of its request.
     void transmit(State& state, int from, std::vector<SendLease> messages, int age) const {
         for (auto& each : messages) {
             const int to = each.to[1] - '0';
@@ -256,7 +260,7 @@
         }
         const auto print = [&](const InFlight& each) {
             const auto& m = each.message;
-            // A question is its asker's; an answer, whoever it goes to's.
+            // Numbers are relative to the requester: the sender of a request, the recipient of a reply.
             const bool is_request =
                 m.kind == LeaseMessage::Kind::kVoteRequest || m.kind == LeaseMessage::Kind::kShareRequest;
             const auto requester =
@@ -296,7 +300,7 @@
 };
 
 #ifdef __SANITIZE_ADDRESS__
-constexpr std::size_t kMaxStates = 2'000;  // fifteen times slower; the other build goes on from all
+constexpr std::size_t kMaxStates = 2'000;  // about fifteen times slower; other builds expand all states
 #else
 constexpr std::size_t kMaxStates = 400'000;
 #endif
@@ -306,12 +310,13 @@
     explorer.run(std::min(kMaxStates, max_states), max_steps);
     MESSAGE(instance.voters.size() << " voters, " << instance.max_faults << " faults: " << explorer.states
                                    << " states in " << explorer.deepest << " steps, " << explorer.max_in_use
-                                   << " of " << kLimit << " in use at most:" << explorer.worst_path);
+                                   << " of " << kLimit << " in use at most; path:" << explorer.worst_path);
     return explorer;
 }
 
 TEST_CASE(
-    "one voter, its later life and two holders: all that two faults can lead to, however long; never over") {
+    "one voter and its later incarnation with two holders: all states reachable by two faults stay within "
+    "the limit") {
     Instance instance;
     instance.voters = {"n0"};
     instance.max_faults = 2;
@@ -322,9 +327,7 @@
     CHECK(result.max_owners == 1);
 }
 
-TEST_CASE(
-    "three voters, so an owner and a successor: two faults and what comes of them in eleven steps; never "
-    "over") {
+TEST_CASE("three voters with an owner and a successor: two faults and eleven steps stay within the limit") {
     Instance instance;
     instance.voters = {"n0", "n1", "n2"};
     instance.max_faults = 2;
@@ -334,10 +337,11 @@
     CHECK(result.max_owners == 1);
 }
 
-// Found here: an answer that was held back reached the holder's next life, which had asked under the same
-// number by then, and went by the share for longer than its owner counted it: 228 of 120 in use, by three
-// faults.
-TEST_CASE("three faults near the start: an answer to a holder's earlier life is none to this one") {
+// Guards against request numbers that repeat across incarnations: a delayed reply reached the next
+// incarnation of the holder, which had sent a request with the same number by then. It used the share for
+// longer than the owner counted it, and 228 of 120 were in use.
+TEST_CASE(
+    "three faults near the start: a reply to an earlier incarnation of a holder is ignored by the next one") {
     for (const auto& voters : {std::vector<std::string>{"n0"}, {"n0", "n1", "n2"}}) {
         Instance instance;
         instance.voters = voters;
@@ -349,11 +353,11 @@
 }
 
 TEST_CASE(
-    "planted faults are found: whoever starts anew votes at once; a giver counts shorter than the holder") {
+    "injected defects are found: a restarted voter votes at once; a grant expires earlier at the grantor") {
     Instance instance;
     instance.voters = {"n0"};
     instance.max_faults = 2;
-    instance.lease_duration = 3;  // a change a step: two of them while a share lasts
+    instance.lease_duration = 3;  // leaves two steps for changes while a share lasts
     instance.vote_duration = 4;
     CHECK(explore(instance, 6).max_in_use <= kLimit + 1e-6);
     instance.defects.skip_vote_wait = true;
--- a/tests/fleet/leases_test.cpp
+++ b/tests/fleet/leases_test.cpp
@@ -1,6 +1,6 @@
-// Limits that are never exceeded: shares lent by an owner that votes make, in simulated time with losses,
-// cuts, sleeps, crashes and clocks that drift; every interleaving of a small instance; and faults planted to
-// be found.
+// Leases for limits that are never exceeded, in simulated time: random message loss, partitions, suspensions,
+// crashes and clock drift; every pair of faults on a small instance; and injected defects that the checks
+// must find. lease_explore_test.cpp explores all interleavings of a small instance.
 #include "fleet/leases.hpp"
 
 #include <doctest/doctest.h>
@@ -19,14 +19,15 @@
 
 constexpr Time kSecond = 10'000;
 
+// Front nodes with clocks of different rates and a lossy network, in steps of 5 ms of simulated time.
 class LeaseSimulation {
 public:
     struct Node {
         std::unique_ptr<Leases> leases;
-        double clock_rate = 1;  // of its clock
+        double clock_rate = 1;  // relative to simulated time
         bool up = false, suspended = false;
         std::vector<LeaseMessage> pending;
-        Time last_used_at = -1;  // its own clock, when it last looked what it may use
+        Time last_used_at = -1;  // on its own clock, when it last looked up what it may use
     };
     LeaseSimulation(int count, std::uint64_t seed, LeaseTerms terms)
         : terms_(std::move(terms)), random_(seed) {
@@ -58,7 +59,8 @@
         node(which).suspended = false;
         for (auto& each : std::exchange(node(which).pending, {})) deliver(which, each);
     }
-    // Everybody's view, as membership would have it some time later; who is cut off sees its own side alone.
+    // Gives each node the member list that membership would arrive at: a partitioned node sees its own side
+    // only.
     void update_members() {
         for (std::size_t i = 0; i < nodes_.size(); ++i) {
             if (!nodes_[i].up) continue;
@@ -74,8 +76,8 @@
     double loss_rate = 0;
     Time max_delay = 50;
     std::function<bool(int, int)> is_cut;
-    double max_in_use = 0;  // ever in_use at one time, by all together
-    double in_use = 0;      // now
+    double max_in_use = 0;  // maximum of `in_use` over the run
+    double in_use = 0;      // sum of what all nodes may use now
     std::uint64_t sent = 0;
     int owners = 0, max_owners = 0;
 
@@ -98,8 +100,8 @@
             owners = 0;
             for (int i = 0; i < static_cast<int>(nodes_.size()); ++i) {
                 if (!node(i).up) continue;
-                // One that sleeps uses nothing; what it could use on waking is looked at with its clock of
-                // then.
+                // A suspended node uses nothing now; what it could use is checked with its clock, as if it
+                // resumed at this time.
                 in_use += node(i).leases->may_use(clock(i));
                 owners += node(i).leases->owns(clock(i)) ? 1 : 0;
             }
@@ -142,7 +144,8 @@
 }
 
 TEST_CASE(
-    "max-min: nobody more than it needs, all of it used where enough is needed, and the least served first") {
+    "max_min: no share exceeds its need; capacity is used up if needs suffice; the smallest needs are served "
+    "first") {
     CHECK(max_min(10, {2, 8, 10}) == std::vector<double>{2, 4, 4});
     CHECK(max_min(30, {2, 8, 10}) == std::vector<double>{2, 8, 10});
     CHECK(max_min(0, {1}) == std::vector<double>{0});
@@ -160,16 +163,14 @@
         }
         RC_ASSERT(std::abs(sum - std::min(capacity, wanted)) < 1e-6);
         for (const double each : shares)
-            RC_ASSERT(each <= least_short + 1e-6);  // nobody has more than one that lacks
+            RC_ASSERT(each <= least_short + 1e-6);  // no share exceeds one that is short of its need
     }));
 }
 
-TEST_CASE(
-    "shares follow need: all is lent where it is needed, by max-min, and comes back to whoever needs it "
-    "next") {
+TEST_CASE("shares follow needs: the limit is lent by max-min and moves to the node that needs it next") {
     LeaseSimulation sim(10, 1, terms(10));
     for (int i = 0; i < 10; ++i) sim.node(i).leases->need(i == 4 ? 5'000 : 30);
-    sim.run(12 * kSecond);  // votes are given 6 s after a start
+    sim.run(12 * kSecond);  // voters grant no votes for 6 s after a start
     CHECK(sim.node(4).leases->may_use(sim.clock(4)) == doctest::Approx(730).epsilon(0.01));
     CHECK(sim.node(5).leases->may_use(sim.clock(5)) == doctest::Approx(30).epsilon(0.01));
     sim.node(4).leases->need(0);
@@ -181,8 +182,8 @@
 }
 
 TEST_CASE(
-    "the owner dies: at most its votes' and leases' time until another lends; an earlier life's share is not "
-    "held") {
+    "owner dies: another lends once votes and leases have expired; a restarted holder starts without its old "
+    "share") {
     LeaseSimulation sim(10, 2, terms(10));
     for (int i = 0; i < 10; ++i) sim.node(i).leases->need(200);
     sim.run(12 * kSecond);
@@ -194,7 +195,7 @@
     sim.kill(owner);
     Time elapsed = 0;
     sim.run(3 * kSecond);
-    CHECK(sim.in_use >= 90 - 1e-6);  // floors
+    CHECK(sim.in_use >= 90 - 1e-6);  // the floors of nine nodes
     for (; elapsed < 20 * kSecond && sim.in_use < 950; elapsed += kSecond) sim.run(kSecond);
     CHECK(elapsed <= 7 * kSecond);
     sim.kill(5);
@@ -205,8 +206,8 @@
     CHECK(sim.max_in_use <= 1'000 + 1e-6);
 }
 
-// Membership takes ten seconds and more to find a death: nothing may hang on it.
-TEST_CASE("an owner whose death nobody notices is replaced when its votes end") {
+// Membership takes ten seconds or more to detect a death, so replacing the owner must not depend on it.
+TEST_CASE("an owner whose death is not noticed by membership is replaced when its votes expire") {
     LeaseSimulation sim(10, 4, terms(10));
     for (int i = 0; i < 10; ++i) sim.node(i).leases->need(200);
     sim.run(14 * kSecond);
@@ -217,14 +218,13 @@
     Time elapsed = 0;
     do sim.run(kSecond), elapsed += kSecond;
     while (elapsed < 30 * kSecond && sim.in_use < 950);
-    MESSAGE("lent again after " << elapsed / kSecond << " s");
+    MESSAGE("share granted again after " << elapsed / kSecond << " s");
     CHECK(elapsed <= 12 * kSecond);
     CHECK(sim.max_in_use <= 1'000 + 1e-6);
 }
 
 TEST_CASE(
-    "never over, whatever happens: halves cut, one way too, owners asleep, kills, losses, clocks that "
-    "drift") {
+    "limit is never exceeded under partitions, one-way cuts, suspensions, kills, losses and clock drift") {
     std::uint64_t ownerships = 0;
     double worst = 0, mean = 0;
     int runs = 0;
@@ -269,14 +269,15 @@
         CHECK(sim.max_owners <= 1);
         worst = std::max(worst, sim.max_in_use);
     }
-    MESSAGE("worst " << worst << " of 1,000 in use, mean " << mean / runs << ", owners made " << ownerships);
-    CHECK(worst > 900);  // it was lent, not withheld
+    MESSAGE("worst " << worst << " of 1,000 in use, mean " << mean / runs << ", owners elected "
+                     << ownerships);
+    CHECK(worst > 900);  // nearly all of the limit was lent
     CHECK(ownerships > 60);
 }
 
-// Found by the draws above: the holder went by the first answer, and the owner counted the second, smaller
-// one.
-TEST_CASE("a question that comes twice is answered alike") {
+// Guards against two different replies to a duplicated request: the holder used the first one while the owner
+// counted the second, smaller one.
+TEST_CASE("a duplicated request gets the same reply") {
     auto made = terms(2);
     made.voters = {"n0"};
     Leases owner("limit", "n0", 1, made, 0);
@@ -302,17 +303,16 @@
     CHECK(second.duration == first.duration);
     CHECK(owner.lent(now) == 800);
     ask(2, 100);
-    CHECK(owner.lent(now) == 800);  // n1 may not have heard of it
+    CHECK(owner.lent(now) == 800);  // n1 may not have received the new lease
 }
 
-// The checker must find what the rules are there for.
+// Shows that the checks can fail: each rule that prevents an excess is broken once.
 TEST_CASE(
-    "planted faults are found: a clock that drifts more than stated, a voter that forgets that it has "
-    "voted") {
+    "injected defects are found: clock drift beyond the configured bound; a voter that forgets its vote") {
     bool over = false;
     for (std::uint64_t seed = 1; seed <= 20 && !over; ++seed) {
         LeaseSimulation sim(8, seed, terms(8));
-        sim.node(6).clock_rate = 0.5;  // it thinks that half of the time has gone by
+        sim.node(6).clock_rate = 0.5;  // measures half of the time that passes
         sim.start(6);
         for (int i = 0; i < 8; ++i) sim.node(i).leases->need(400);
         sim.run(12 * kSecond);
@@ -335,7 +335,7 @@
         for (int i = 0; i < 3; ++i) {
             if (i == owner) continue;
             sim.kill(i);
-            // As if it had been up for long: it may vote at once.
+            // Started long ago as far as it knows, so it may vote at once.
             sim.node(i).up = true;
             sim.node(i).leases = std::make_unique<Leases>("limit", LeaseSimulation::name(i),
                                                           99 + static_cast<std::uint64_t>(i), forgetful,
@@ -349,14 +349,15 @@
     CHECK(over);
 }
 
-// Every pair of faults, each at every time of a grid, on three nodes that are voters, holders, owner and
-// successor.
+// One fault on one node during [from, until), in simulated time since the start of the run.
 struct Fault {
     int kind = 0, node = 0;
     Time from = 0, until = 0;
 };
 enum : int { kIsolated, kSendBlocked, kReceiveBlocked, kSuspended, kCrash, kDelayed, kFaultKinds };
 
+// Runs two faults on three nodes that act as voters, holders, owner and successor. Returns the largest amount
+// in use at one time, or 1e9 if there were two owners at a time.
 double max_in_use_under(const Fault& first, const Fault& second, double max_drift) {
     LeaseTerms made;
     made.limit = 300;
@@ -373,7 +374,7 @@
         sim.start(i);
         sim.node(i).leases->need(i == 0 ? 100 : 200);
     }
-    sim.run(4'500);  // an owner is there
+    sim.run(4'500);  // until there is an owner
     std::set<Time> change_times;
     for (const auto& each : {first, second}) change_times.insert(each.from), change_times.insert(each.until);
     const Time begin = sim.now();
@@ -399,7 +400,7 @@
                        (each.kind == kReceiveBlocked && to == each.node);
             });
         };
-        for (int i = 0; i < 3; ++i)  // need moves, so that shares do
+        for (int i = 0; i < 3; ++i)  // needs change, so that shares move
             if (sim.node(i).up) sim.node(i).leases->need(at % 1'500 == 0 ? 250 : 50 + 75.0 * i);
         sim.update_members();
     }
@@ -408,7 +409,7 @@
 }
 
 TEST_CASE(
-    "every pair of faults on a grid, on three nodes: never over; with the voters' wait taken out it is "
+    "limit is never exceeded for every pair of faults on a grid with three nodes; a halved grantor wait is "
     "found") {
     std::vector<Fault> faults;
     for (int kind = 0; kind < kFaultKinds; ++kind) {
@@ -421,7 +422,7 @@
     std::size_t runs = 0, over = 0;
     double max_in_use = 0;
 #ifdef __SANITIZE_ADDRESS__
-    constexpr std::size_t kStride = 11;  // fifteen times slower; the other build plays all
+    constexpr std::size_t kStride = 11;  // runs are about fifteen times slower; other builds cover all pairs
 #else
     constexpr std::size_t kStride = 1;
 #endif
@@ -432,16 +433,16 @@
             over += worst > 300 + 1e-6 ? 1U : 0U;
         }
     }
-    MESSAGE(runs << " pairs of faults; " << max_in_use << " of 300 in use at most");
+    MESSAGE(runs << " pairs of faults; at most " << max_in_use << " of 300 in use");
     CHECK(over == 0);
     CHECK(max_in_use > 250);
-    // A giver that waits for less than it gave: half of it.
+    // Injected defect: the grantor counts a grant for half of its duration only.
     std::size_t found = 0;
     for (std::size_t i = 0; i < faults.size(); i += 3) {
         for (std::size_t j = i; j < faults.size(); j += 7)
             found += max_in_use_under(faults[i], faults[j], -0.25) > 300 + 1e-6 ? 1U : 0U;
     }
-    MESSAGE("with the wait halved: found by " << found << " pairs");
+    MESSAGE("halved grantor wait found by " << found << " pairs");
     CHECK(found > 0);
 }
 
--- a/tests/fleet/words_test.cpp
+++ b/tests/fleet/words_test.cpp
@@ -1,5 +1,5 @@
-// What members tell each other of servers: who speaks, what comes of words that disagree, and what the module
-// makes of it. tests/fleet/verdicts_test.cpp shows it at processes.
+// Reports on servers among members: which are published, how verdicts arise from reports that disagree, and
+// how the decision module applies them. tests/fleet/verdicts_test.cpp runs the same with processes.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -37,8 +37,7 @@
 }
 
 TEST_CASE(
-    "a member's words are read again when they are others, and are as old as their fact each time; who is "
-    "gone is forgotten") {
+    "a record is parsed again when its text changes; evidence ages with it; departed members are forgotten") {
     WordReader reader({});
     std::map<std::string, ServerSaid> reports;
     reports["s-1"] = {OpinionKind::kBad, 500, -1, 0};
@@ -57,7 +56,8 @@
     CHECK(read(first, 15 * kSecond, 0, members(3)).size() == 1);
 }
 
-TEST_CASE("words are read as they were written, as many as fit, those that fail first; rubbish is left out") {
+TEST_CASE(
+    "reports are read as written, as many as fit with faulty servers first; malformed text is ignored") {
     std::map<std::string, ServerSaid> reports;
     for (int i = 0; i < 200; ++i)
         reports["cold-" + std::to_string(i)] = {OpinionKind::kNone, 0, 10'000, static_cast<double>(i)};
@@ -73,10 +73,10 @@
     CHECK(read.at("well").opinion == OpinionKind::kGood);
     CHECK(read.at("both").cold_duration == 20'000);
     CHECK(read.at("both").parts_per_second == 7);
-    CHECK(read.contains("cold-199"));  // the one that gets most
+    CHECK(read.contains("cold-199"));  // the highest rate
     CHECK(!read.contains("cold-0"));
     CHECK(read_reports("x b - - nonsense y - - 99999999999999999999 1 z b").empty());
-    CHECK(rc::check("any text is read without harm", [](const std::string& any) {
+    CHECK(rc::check("any text is read safely", [](const std::string& any) {
         for (const auto& [name, each] : read_reports(any))
             RC_ASSERT(each.parts_per_second >= 0 && !name.empty());
         for (const auto& [key, remaining] : read_keys(any)) RC_ASSERT(key != 0 && remaining >= 0);
@@ -88,7 +88,7 @@
     CHECK(parsed.size() >= 50);
 }
 
-TEST_CASE("a node tells what changed at once, says it again in time, and takes it back once") {
+TEST_CASE("a change is published at once, renewed in time and withdrawn once") {
     ServerTeller publisher({});
     const auto tell = [&](peers::Time now, const std::vector<ServerSeen>& seen) {
         return publisher.tell(now, seen, parse(now, {}, members(1)));
@@ -96,20 +96,22 @@
     const auto faulty = [](Time failed) { return ServerSeen{"s1", true, failed, 5'000, -1, 0}; };
     CHECK(!tell(kSecond, {}));
     CHECK(tell(2 * kSecond, {faulty(15'000)}) == "s1 b 500 - 0 ");
-    CHECK(!tell(2 * kSecond + 500, {}));          // too soon
-    CHECK(!tell(3 * kSecond, {faulty(15'000)}));  // nothing new
-    CHECK(!tell(3 * kSecond, {faulty(25'000)}));  // that it failed again may wait
+    CHECK(!tell(2 * kSecond + 500, {}));          // within the minimum interval
+    CHECK(!tell(3 * kSecond, {faulty(15'000)}));  // no change
+    CHECK(!tell(3 * kSecond, {faulty(25'000)}));  // later evidence is not urgent
     CHECK(tell(4 * kSecond, {faulty(25'000)}) == "s1 b 1500 - 0 ");
-    CHECK(tell(9 * kSecond, {faulty(25'000)}));  // at a third of its life
+    CHECK(tell(9 * kSecond, {faulty(25'000)}));  // renewed after a third of its lifetime
     CHECK(tell(9 * kSecond + 1'000, {}) == "");
     CHECK(!tell(12 * kSecond, {}));
     CHECK(tell(13 * kSecond, {{"s1", false, 0, 0, 500, 40}}) == "s1 - - 50 0 ");
     CHECK(tell(15 * kSecond, {{"s1", false, 0, 0, 20'500, 100}}) == "s1 - - 2050 30 ");  // 60 parts in 2 s
 }
 
-// Guards the fleet's messages: a hung server's word is said by as many as it takes and one or two to spare,
-// not by all.
-TEST_CASE("where enough say so already a node holds its peace; who has spoken goes on while it holds") {
+// Bounds the number of messages: a hung server is reported by as many members as a verdict needs and one or
+// two more, not by all.
+TEST_CASE(
+    "a node stays silent where enough report the same; one that has reported goes on while its report "
+    "holds") {
     const auto zones = members(20);
     std::vector<Fact> others;
     const ServerSeen faulty{"s1", true, 9'000, 0, -1, 0};
@@ -117,21 +119,21 @@
     ServerTeller reporter({}), newcomer({});
     CHECK(reporter.tell(kSecond, {faulty}, parse(kSecond, others, zones)));
     others.push_back(fact("n4", "s1 b 100 - 0 "));
-    CHECK(!newcomer.tell(kSecond, {faulty}, parse(kSecond, others, zones)));  // three are needed, four speak
+    CHECK(!newcomer.tell(kSecond, {faulty}, parse(kSecond, others, zones)));  // three are needed, four report
     CHECK(reporter.tell(6 * kSecond, {faulty}, parse(6 * kSecond, others, zones)) == "s1 b 5100 - 0 ");
-    // Good is said against enough that say bad, by who was answered later.
+    // A member with a later answer contradicts enough faulty reports.
     ServerTeller healthy_reporter({});
     const ServerSeen recent_answer{"s1", false, 0, 59'500, -1, 0}, old_answer{"s1", false, 0, 40'000, -1, 0};
     CHECK(!healthy_reporter.tell(6 * kSecond, {old_answer}, parse(6 * kSecond, others, zones)));
     CHECK(healthy_reporter.tell(6 * kSecond, {recent_answer}, parse(6 * kSecond, others, zones)) ==
           "s1 g 50 - 0 ");
     CHECK(!ServerTeller({}).tell(6 * kSecond, {recent_answer},
-                                 parse(6 * kSecond, {others[0]}, zones)));  // nobody heeds one
+                                 parse(6 * kSecond, {others[0]}, zones)));  // a single report has no effect
 }
 
 TEST_CASE(
-    "aside takes three voices; words of one that is gone, or old ones, count for nothing; it is held but for "
-    "few") {
+    "setting aside takes three reporters; departed members and old evidence do not count; only few nodes "
+    "probe") {
     const auto zones = members(20);
     ServerHearer tracker({}, "n0");
     const auto update = [&](Time now, const std::vector<std::string>& who,
@@ -144,12 +146,12 @@
     const Time now = 30 * kSecond;
     CHECK(update(now, {"n1", "n2"}) == std::string("nothing new"));
     CHECK(update(now, {"n1", "n2", "gone"}) == std::string("nothing new"));
-    CHECK(update(now, {"n0", "n1", "n2"}) == std::string("nothing new"));  // its own echo
+    CHECK(update(now, {"n0", "n1", "n2"}) == std::string("nothing new"));  // its own report does not count
     CHECK(update(now, {"n1", "n2", "n3"}, "s1 b 15000 - 0 ") == std::string("nothing new"));
     CHECK(update(now, {"n1", "n2", "n3"}) == std::string("aside"));
     CHECK(update(now, {"n1", "n2", "n3"}) == std::string("nothing new"));
     CHECK(update(now, {"n1", "n2"}) == std::string("not"));
-    // Of a hundred nodes about two try it; once somebody was answered, about as many as three and a half.
+    // Of a hundred nodes about two probe the server; after a reported recovery about four and a half.
     int probers = 0, recovery_probers = 0;
     for (int i = 0; i < 1'000; ++i) {
         Verdict verdict{true, 1, 3, 0, false, 3};
@@ -165,8 +167,8 @@
 }
 
 TEST_CASE(
-    "those of its own zone are heard where they are six or more; out of reach from another zone is not "
-    "dead") {
+    "reporters of the own zone count if there are at least six: unreachable from another zone is not "
+    "faulty") {
     const auto far_apart = members(21, 3);
     std::vector<Fact> facts;
     for (int i = 1; i < 21; ++i) {
@@ -176,12 +178,12 @@
     CHECK(tracker.hear(kSecond, parse(kSecond, facts, far_apart)).empty());
     for (const char* name : {"n3", "n6", "n9"}) facts.push_back(fact(name, "s1 b 100 - 0 "));
     CHECK(tracker.hear(kSecond, parse(kSecond, facts, far_apart)).at("s1").aside);
-    CHECK(parse(kSecond, facts, members(10, 3)).voices.size() == 9);  // too few in its zone: all are heard
+    CHECK(parse(kSecond, facts, members(10, 3)).voices.size() == 9);  // too few in its zone: all count
 }
 
-// The promise of fleet/verdict.hpp, for any words of fewer than are needed.
-TEST_CASE("fewer voices than are needed, whatever they say, neither make a verdict nor prevent one") {
-    CHECK(rc::check("nonsense", [] {
+// The guarantee of fleet/verdict.hpp, for arbitrary reports of fewer members than are needed.
+TEST_CASE("fewer misreporting members than are needed neither cause nor prevent a verdict") {
+    CHECK(rc::check("arbitrary reports", [] {
         const VerdictTerms terms;
         const auto reporters = static_cast<std::size_t>(*rc::gen::inRange(4, 200));
         const auto needed = reports_needed(terms, reporters);
@@ -194,30 +196,30 @@
                            now - *rc::gen::inRange<Time>(0, 20'000)});
         const auto misreported = judge(terms, now, reporters, all);
         RC_ASSERT(!misreported.aside);
-        // As many sound ones as are needed speak, each of what it saw in the last 5 s.
+        // As many correct members as are needed report, each with evidence of the last 5 s.
         for (std::size_t i = 0; i < needed && reporters >= needed + misreporting; ++i)
             all.push_back({"n" + std::to_string(i), hung, now - *rc::gen::inRange<Time>(0, 50'000)});
         if (all.size() == misreporting) return;
         const auto verdict = judge(terms, now, reporters, all);
         RC_ASSERT(verdict.aside == hung);
         RC_ASSERT(!verdict.aside || now - verdict.evidence_at < terms.lives);
-        // In whatever order the words came.
+        // Independent of the order of reports.
         std::shuffle(all.begin(), all.end(), std::mt19937(*rc::gen::arbitrary<unsigned>()));
         const auto reordered = judge(terms, now, reporters, all);
         RC_ASSERT(reordered.aside == verdict.aside && reordered.evidence_at == verdict.evidence_at &&
                   reordered.bad == verdict.bad);
-        // Nothing is older than its life.
+        // Opinions expire.
         RC_ASSERT(!judge(terms, now + terms.lives, reporters, all).aside);
     }));
 }
 
-TEST_CASE("cold takes two that agree, the later one's age counts; what is taken of its room is added up") {
+TEST_CASE("cold takes two reports that agree on the longer duration; the rates of all reporters add up") {
     const auto zones = members(4);
     ServerHearer tracker({}, "n0");
     CHECK(tracker.hear(kSecond, parse(kSecond, {fact("n1", "s1 - - 100 50 ")}, zones)).empty());
     const std::vector<Fact> both{fact("n1", "s1 - - 100 50 "), fact("n2", "s1 - - 3000 20 ", kSecond)};
     const auto news = tracker.hear(kSecond, parse(kSecond, both, zones));
-    CHECK(news.at("s1").cold_for == 40'000);  // 3 s, and the second that the word is old
+    CHECK(news.at("s1").cold_for == 40'000);  // 3 s and the record's age of 1 s
     CHECK(news.at("s1").taken == 70);
     CHECK(!tracker.hear(kSecond, parse(kSecond, {}, zones)).at("s1").says_something());
 }
@@ -231,11 +233,11 @@
     return made;
 }
 
-TEST_CASE("the module sets aside what others have aside where it has no later answer itself") {
+TEST_CASE("the module sets aside what others set aside unless it has a later answer itself") {
     Script s;
     s.list("A0 B1 C2 D3").arrive(1, kWholly, {1}, 0).pass(10).quietly();
-    s.end({100}).play({set_aside('A'), set_aside('B'), set_aside('C'),
-                       set_aside('D')});  // B has answered, after what they saw
+    s.end({100}).play(
+        {set_aside('A'), set_aside('B'), set_aside('C'), set_aside('D')});  // B has answered since
     CHECK(s.trace() == R"(
 10 answer 1 whole
 10 log aside 65: told
@@ -243,7 +245,7 @@
 10 log aside 68: told
 )");
     s.quietly();
-    for (Id id = 2; id <= 4; ++id) s.arrive(id, kWholly, {1}, 0);  // A and B hold it
+    for (Id id = 2; id <= 4; ++id) s.arrive(id, kWholly, {1}, 0);  // A and B hold the shard
     CHECK(s.trace() == R"(
 10 send 200 to B
 10 send 300 to B
@@ -265,8 +267,8 @@
 )");
 }
 
-// A part that is out there when others say that the server hangs does not wait for this node's own patience.
-TEST_CASE("what is out at a server that others found hung goes elsewhere at once") {
+// A part that is out at the server does not wait until this node itself suspects the server.
+TEST_CASE("a part out at a server that others found hung is sent elsewhere at once") {
     Script s;
     s.list("A0 B1").arrive(1, kWholly, {1}, 0);
     const bool at_a = s.trace() == "\n0 send 100 to A\n";
@@ -275,19 +277,19 @@
                              : "\n20 log aside 66: told\n20 send 100 to A\n"));
 }
 
-TEST_CASE("while others try a server that is aside this node does not; then it does") {
+TEST_CASE("a node does not send to a server set aside while others probe it; then it takes its turn") {
     Script s;
     s.list("A0 B1 C2 D3").play({set_aside('A', true)}).pass(5'000).quietly();
     for (Id id = 1; id <= 3; ++id) s.arrive(id, kWholly, {1}, 0);
     CHECK(s.trace() == "\n5000 send 100 to B\n5000 send 200 to B\n5000 send 300 to B\n");
-    s.quietly().play({set_aside('A', false)}).pass(5);  // its turn to try it
+    s.quietly().play({set_aside('A', false)}).pass(5);  // this node is to probe it
     s.quietly().arrive(4, kWholly, {1}, 0);
     CHECK(s.trace() == "\n5005 send 400 to A\n");
 }
 
-// Servers that died under it elsewhere are not sent all its parts here.
+// Limits the deaths of servers by a multiget that has killed servers at other front nodes.
 TEST_CASE(
-    "a multiget whose key killed servers elsewhere begins with one part alone, for as long as was told") {
+    "a multiget whose key killed servers elsewhere starts with a single part while the key is in force") {
     Script s;
     s.list("A0 B1 C2 D3").play({DeadlyKey{77, 20'000}}).arrive(1, kWholly, {0.5, 0.5}, 0, 1'000, 77);
     CHECK(s.trace().find("send 100 to") != std::string::npos);
@@ -297,9 +299,8 @@
     CHECK(s.trace().find("send 201 to") != std::string::npos);
 }
 
-// Limits of the whole fleet: what this node may use of them, and one part a server whatever it is told.
-TEST_CASE(
-    "a server that has all parts this node's share allows is not picked; a share that is over allows one") {
+// This node's share of fleet-wide limits; one part at each server is allowed whatever the share.
+TEST_CASE("a server with all parts that the share allows is not picked; an expired share allows one part") {
     Script s;
     s.list("A0 B1").play({FleetShare{2, 100, 10'000}}).quietly();
     for (Id id = 1; id <= 5; ++id) s.arrive(id, kWholly, {1}, 0);
@@ -310,9 +311,9 @@
         return sends;
     };
     CHECK(count() == 4);
-    CHECK(s.trace().find("push back 5 for") != std::string::npos);  // at once, with a time to return
+    CHECK(s.trace().find("push back 5 for") != std::string::npos);  // at once, with a retry delay
     for (Id id = 1; id <= 4; ++id) s.end({id * 100});
-    s.pass(1'100).quietly();  // past the share's end
+    s.pass(1'100).quietly();  // past the expiry of the share
     for (Id id = 6; id <= 8; ++id) s.arrive(id, kWholly, {1}, 0);
     CHECK(count() == 2);
 }
@@ -324,7 +325,7 @@
     CHECK(s.trace().find("send") == std::string::npos);
     s.quietly().play({FleetShare{100, 1, 100'000}}).pass(10);
     CHECK(s.trace().find("send 100 to") != std::string::npos);
-    s.quietly().end({100}, Outcome::kError).pass(10);  // the one is used
+    s.quietly().end({100}, Outcome::kError).pass(10);  // the share of one is used up
     CHECK(s.trace().find("send") == std::string::npos);
 }
 
