--- a/tests/fleet/hard_cases_test.cpp
+++ b/tests/fleet/hard_cases_test.cpp
@@ -1,5 +1,5 @@
-// Hard cases of starts, with several processes and faults between them. What the front nodes must keep is
-// read from what servers, discovery and clients saw.
+// Hard cases of starts, with several processes and faults between them. The rules that front nodes must keep
+// are checked against what servers, discovery and clients observed.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -47,14 +47,15 @@
     FleetTotals totals;
     FleetReader reader{10};
     std::uint64_t requested = 0, answered_whole = 0;
-    std::map<int, std::size_t> known_members;  // members, by front node, at the end
-    std::map<int, Time> restarted_at;          // those started again
-    std::set<int> left_stale_source;           // who left a source that lay behind
-    std::set<int> notified_aside;  // of these, who said within 2 s that others have a server aside
+    std::map<int, std::size_t> known_members;  // by front node, at the end of the run
+    std::map<int, Time> restarted_at;          // by front node
+    std::set<int> left_stale_source;           // front nodes that left a stale list source
+    // Restarted front nodes that logged a verdict of the others within 2 s.
+    std::set<int> notified_aside;
     double served() const { return static_cast<double>(answered_whole) / static_cast<double>(requested); }
 };
 
-// Of what was asked from a second on, up to another.
+// Counts the requests made from `from` to `until` for served().
 RunResult run(const std::string& faults, const World::Changes& changes, Time from = 0,
               Time until = 1'000 * kSecond) {
     const auto world = FleetWorld::from_text(std::string(kFleet) + faults, "hard.toml", changes);
@@ -92,7 +93,7 @@
 }
 
 TEST_CASE(
-    "all start while discovery is down; half know a list that is old, a third of its servers are others") {
+    "all start while discovery is down; half know an old server list with some of its servers replaced") {
     test::judge(
         [&] {
             return run(fault("discovery-down", 0, 5), {{"fleet.start_within_ms", "100"},
@@ -103,28 +104,27 @@
         },
         [&](const auto& result, test::Figures& figures) {
             FIGURE(result.reader.served_by(0.5) > 0);
-            FIGURE(result.reader.served_by(0.5) < 4 * kSecond);  // who knows a list, however old, serves
+            FIGURE(result.reader.served_by(0.5) < 4 * kSecond);  // any known list is enough to serve
             FIGURE(result.reader.served_by(1) > 0);
-            FIGURE(result.reader.served_by(1) < 11 * kSecond);  // the others soon after discovery is back
+            FIGURE(result.reader.served_by(1) < 11 * kSecond);  // the others soon after discovery returns
             FIGURE(result.totals.calls.size() <= 12);
         });
 }
 
 TEST_CASE(
-    "seven in ten die at once under load and return together; the thirty left neither sink nor push over") {
+    "seven in ten are killed under load and return together: the others withstand the load and the herd") {
     test::judge(
         [&] {
             return run(fault("kill", 3, 6, "share = 0.7"),
                        {{"fleet.discovery.calls_per_second", "5"}, {"fleet.known", "0.3"}}, 9 * kSecond);
         },
         [&](const auto& result, test::Figures& figures) {
-            FIGURE(result.served() > 0.97);  // all are back
+            FIGURE(result.served() > 0.97);  // after all are back
             FIGURE(result.totals.count(CallDesk::End::kRefused) <= 4);
         });
 }
 
-TEST_CASE(
-    "power returns to everything at once: discovery, servers, front nodes, and clients with their retries") {
+TEST_CASE("power returns to discovery and servers and front nodes at once with clients that retry") {
     test::judge(
         [&] {
             return run(fault("kill", 3, 5) + fault("discovery-down", 3, 5) + trouble("crash", 3, 5),
@@ -136,7 +136,7 @@
         });
 }
 
-TEST_CASE("a rolling restart of a tenth at a time while discovery moves and a zone is cut off") {
+TEST_CASE("rolling restart of a tenth at a time while discovery moves and a zone is cut off") {
     std::string faults;
     for (int i = 0; i < 10; ++i) {
         faults += fault("term", 2 + 0.6 * i, 2.5 + 0.6 * i, "nodes = [" + std::to_string(i) + "]");
@@ -149,10 +149,11 @@
         [&](const auto& result, test::Figures& figures) { FIGURE(result.served() > 0.97); });
 }
 
-// lab-4 and lab-0 ask discovery (the order of their names' hashes); it is lab-4's that lies behind.
-// A holder whose discovery serves an old copy, and goes on saying that nothing is new: its followers would
-// hold a list without the servers that came, and with those that left.
-TEST_CASE("a holder is told an old list; it goes to the other one, and all serve on") {
+// lab-4 and lab-0 poll discovery (by the order of their names' hashes); lab-4 gets the old copy. Guards
+// against a holder whose discovery serves an old copy and keeps reporting that nothing changed: its followers
+// would keep a list that lacks new servers and contains departed ones.
+TEST_CASE(
+    "discovery serves one holder an old list: the holder changes to the other source and all keep serving") {
     test::judge(
         [&] {
             return run(fault("discovery-behind", 3, 11, "nodes = [4]") +
@@ -165,16 +166,16 @@
         },
         [&](const auto& result, test::Figures& figures) {
             FIGURE(result.served() > 0.97);
-            // Its followers leave it too, or have the later list through it, whichever is sooner:
-            // list_source_test asks that.
+            // Its followers leave it too or get the later list through it, whichever comes first;
+            // list_source_test checks that.
             FIGURE(result.left_stale_source.contains(4));
             FIGURE(result.totals.calls.size() <= 12);
         });
 }
 
 TEST_CASE(
-    "discovery starts again with lower revisions; one sleeps through it, one has a twin, clocks jump, seeds "
-    "die") {
+    "discovery restarts with lower revisions while a node is suspended and others have twins or clock "
+    "jumps") {
     test::judge(
         [&] {
             return run(fault("discovery-anew", 4, 4.1) + fault("stop", 3, 9, "nodes = [4]") +
@@ -186,13 +187,13 @@
         },
         [&](const auto& result, test::Figures& figures) {
             FIGURE(result.served() > 0.97);
-            // Also the one that started while all its seeds were dead.
+            // Includes the node that started while all its seeds were dead.
             for (int i = 0; i < 10; ++i) FIGURE(result.known_members.at(i) == 10);
             FIGURE(result.totals.calls.size() <= 24);
         });
 }
 
-TEST_CASE("folders: another's at a restart, gone, full; each with a store of record, and reads go on") {
+TEST_CASE("state folders that are foreign after a restart or missing or full: reads go on") {
     test::judge(
         [&] {
             return run(fault("kill-foreign", 3, 4, "nodes = [2, 3, 4]") +
@@ -204,8 +205,7 @@
 }
 
 TEST_CASE(
-    "seeds are read from a file that is written later; then discovery tells one half of the list, and it is "
-    "obeyed") {
+    "seeds are read from a file written later; then discovery lists half of the servers and is obeyed") {
     test::judge(
         [&] {
             return run(fault("discovery-half", 9, 11), {{"fleet.seeds_after_s", "2"}, {"seconds", "13"}});
@@ -216,9 +216,9 @@
         });
 }
 
-// More is asked than cold servers bear, a third of it of one front node: their room is used, and never
-// exceeded.
-TEST_CASE("all servers are cold, and one of ten front nodes has a third of the traffic") {
+// The load exceeds the sustained throughput of cold servers, and a third of it arrives at one front node.
+// Their capacity must be used and never be exceeded.
+TEST_CASE("all servers are cold and one of ten front nodes has a third of the traffic") {
     test::judge(
         [&] {
             return run(trouble("shift", 0, 12, "share = 0.33\nzone = 0"),
@@ -232,15 +232,15 @@
         },
         [&](const auto& result, test::Figures& figures) {
             const double used_capacity = result.reader.nearest(Breach::Rule::kNoColdServerOver);
-            MESSAGE("of what a cold server bears, at the most " << used_capacity << " was sent");
+            MESSAGE("sent to a cold server at most " << used_capacity << " of its sustained throughput");
             CHECK(used_capacity < 1);
             FIGURE(used_capacity > 0.15);
         });
 }
 
-// A third of the servers hang. Without the others' words a front node that starts sends them 14 % of its
-// parts in its first half second, one that never left 8 %.
-TEST_CASE("one that starts while servers hang is told so by the others before its clients find out") {
+// A third of the servers hang. Without reports of the others, a front node that starts sends 14 % of its
+// parts to them in its first half second; a node that was never down sends 8 %.
+TEST_CASE("a node that starts while servers hang is notified by the others before its clients notice") {
     const World::Changes changes{{"servers.count", "32"},
                                  {"servers.cores", "2"},
                                  {"shards", "8"},
@@ -259,11 +259,11 @@
             const auto& rejoined = result.reader.picks_of_rejoined();
             const auto& others = result.reader.picks_of_others();
             MESSAGE("to hung servers: " << rejoined.ailing << " of " << rejoined.sends
-                                        << " by those that had just started, " << others.ailing << " of "
+                                        << " by nodes that had just started, " << others.ailing << " of "
                                         << others.sends << " by the others");
             FIGURE(rejoined.sends > 200);
             FIGURE(rejoined.share() < 0.11);
-            // Each that was started again was told, and soon.
+            // Each restarted node was notified soon.
             for (const int node : {2, 3, 5, 6, 8, 9}) {
                 CAPTURE(node);
                 FIGURE(result.notified_aside.contains(node));
--- a/tests/fleet/judged.hpp
+++ b/tests/fleet/judged.hpp
@@ -1,9 +1,9 @@
-// What a play of processes is judged by. Promises (nothing runs twice, answers are honest, a limit is never
-// exceeded, no process ends badly) hold however slow the machine is, and are asked of each play. Figures
-// (service, shares of sends, seconds, rules that state times) are a fleet's own only where its processes had
-// the machine's time: with cores taken by others, a fleet of sixteen sanitized processes served 0.05 of what
-// one with its cores serves whole. They are asked of plays in which hardly anybody waited; under the
-// sanitizers, which take many times the work, of none.
+// Checks for tests that run a fleet of processes. Guarantees (nothing runs twice, answers are honest, a limit
+// is never exceeded, no process exits badly) hold however slow the machine is, and are checked in each run.
+// Figures (service, shares of sends, durations, rules that bound times) describe the fleet only if its
+// processes got enough CPU time: on a machine with busy cores, a fleet of sixteen sanitized processes served
+// 0.05 of what it serves with cores of its own. Figures are checked only in runs in which processes hardly
+// waited for a core, and never under the sanitizers, which multiply the work.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -20,6 +20,7 @@
 constexpr bool kSanitized = false;
 #endif
 
+// Whether processes and the test itself hardly waited for a core, so that figures are meaningful.
 inline bool had_enough_cpu(const lab::FleetTotals& totals) {
     return !kSanitized && totals.late_share < 0.02 && totals.waiting_share < 0.02;
 }
@@ -29,6 +30,7 @@
     return rule != Rule::kNoEffectTwice && rule != Rule::kHonestAnswers;
 }
 
+// Collects figures that a run missed.
 class Figures {
 public:
     void expect(bool holds, const char* expression) {
@@ -41,10 +43,10 @@
 };
 #define FIGURE(...) figures.expect((__VA_ARGS__), #__VA_ARGS__)
 
-// `play` returns something with `totals` and asks promises of it; `ask` states its figures. What arrives when
-// is a matter of chance among processes, and there are dozens of figures: some play misses one now and then.
-// So the first play decides if it has them all, else two of three do; one that was missed and not made good
-// is missed. Returns what was.
+// `run` runs the fleet, checks its guarantees and returns a result with `totals`; `check` checks the figures
+// of a result. Timing among processes varies and there are dozens of figures, so a run misses one now and
+// then. The first run decides if it meets all figures, otherwise two of three runs do; a miss without two
+// later passes counts. Returns the missed figures, or nothing.
 template <class Run, class Check>
 std::string missed_figures(Run run, Check check, int max_runs) {
     int passed_runs = 0;
@@ -52,8 +54,8 @@
     for (int runs = 1; runs <= max_runs; ++runs) {
         const auto result = run();
         if (!had_enough_cpu(result.totals)) {
-            MESSAGE("figures not judged: late " << result.totals.late_share << ", waited "
-                                                << result.totals.waiting_share);
+            MESSAGE("figures not checked: late " << result.totals.late_share << ", waited "
+                                                 << result.totals.waiting_share);
             if (runs >= 3 && failures.empty()) return failures;
             continue;
         }
@@ -63,24 +65,27 @@
             if (failures.empty() || ++passed_runs == 2) return {};
             continue;
         }
-        MESSAGE("missed in one play: " << figures.missed());
+        MESSAGE("missed in one run: " << figures.missed());
         if (!failures.empty()) return failures + " | " + figures.missed();
         failures = figures.missed();
     }
     return failures;
 }
+// Fails the test case if figures are missed; a sanitized fleet runs once, for its guarantees.
 template <class Run, class Check>
 void judge(Run run, Check check) {
     const auto missed = missed_figures(run, check, kSanitized ? 1 : 5);
     if (!missed.empty()) FAIL_CHECK("missed: " << missed);
 }
 
-// Breaches of promises always, of rules that state times where these can be kept.
+// Fails on breaches of guarantees always, and on breaches of rules that bound times only if the run had
+// enough CPU time. `faults_lose_requests`: processes were killed or suspended, which may leave requests
+// without an ending.
 inline void check_rules(const std::vector<lab::Breach>& breaches, const lab::FleetTotals& totals,
                         bool faults_lose_requests = false) {
     for (const auto& each : breaches) {
         if (depends_on_timing(each.rule) && !had_enough_cpu(totals)) continue;
-        // Whoever asked a process that was killed or stood still has no end; that is the fault.
+        // A request to a process that was killed or suspended has no ending because of the fault.
         if (each.rule == lab::Breach::Rule::kNoneLost && faults_lose_requests) continue;
         const auto text = name_of(each.rule) + ' ' + each.what;
         FAIL_CHECK(text);
--- a/tests/fleet/limits_test.cpp
+++ b/tests/fleet/limits_test.cpp
@@ -1,6 +1,6 @@
-// A limit of the whole fleet at real processes, with faults between them. The bound, over any W seconds:
-//   per_second * W + burst + front nodes
-// is read from what servers saw, never from what the front nodes say.
+// Fleet-wide limits with real processes and faults between them. The bound over any W seconds,
+//   per_second * W + burst + number of front nodes,
+// is checked against what the servers received, not against what the front nodes report.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -57,16 +57,16 @@
     result.totals = play_fleet(world, {PINEDOOR_PROGRAM, 400, {}},
                                [&](const std::string& line) { result.limit.take(line); });
     MESSAGE("worst excess beyond rate and burst " << result.limit.worst_excess() << " of " << kNodes
-                                                  << " allowed; passed by second from 5 s "
+                                                  << " allowed; passed per second from 5 s on "
                                                   << result.limit.passed(5 * kSecond, 13 * kSecond) / 8);
-    // What holds about goes by how soon words are round.
+    // An approximate limit depends on timely publication.
     if (!world.fleet.limit_about || had_enough_cpu(result.totals))
         CHECK(result.limit.worst_excess() <= kNodes + allowed_excess);
     CHECK(result.totals.totals.bad_exits == 0);
     return result;
 }
 
-TEST_CASE("two and a half times the limit is asked: it is used whole, and never exceeded") {
+TEST_CASE("demand of two and a half times the limit: the limit is used fully and never exceeded") {
     test::judge([&] { return run(""); },
                 [&](const auto& result, test::Figures& figures) {
                     FIGURE(result.limit.passed(5 * kSecond, 13 * kSecond) >= 8 * 85);
@@ -74,9 +74,8 @@
                 });
 }
 
-TEST_CASE(
-    "halves are cut apart under the limit and healed: the side without most voters has its floors alone") {
-    // Voters are 0, 1 and 2; the group has one of them.
+TEST_CASE("halves are partitioned and healed: the side without a majority of voters has its floors only") {
+    // The voters are nodes 0, 1 and 2; the partitioned group has one of them.
     test::judge(
         [&] {
             return run(fault("links", 5, 10, "between = \"peers\"\ncut = true\nnodes = [2, 3, 4, 5]"),
@@ -86,14 +85,14 @@
             double cut_off = 0;
             for (const int node : {2, 3, 4, 5})
                 cut_off += static_cast<double>(result.limit.passed_by(node, 7 * kSecond, 10 * kSecond));
-            CHECK(cut_off <= 3 * 4 * (kLimit / 10 / kNodes) + 8 + 4);  // floors, and one saved each
+            CHECK(cut_off <= 3 * 4 * (kLimit / 10 / kNodes) + 8 + 4);  // floors, and one saved token each
             FIGURE(result.limit.passed(12 * kSecond, 14 * kSecond) >= 2 * 80);
         });
 }
 
 TEST_CASE(
-    "voters are killed, stopped for longer than their votes and woken, cut off one way; a third lost on the "
-    "way") {
+    "voters are killed, suspended for longer than their votes and cut off one way; the limit is never "
+    "exceeded") {
     test::judge(
         [&] {
             return run(
@@ -107,7 +106,9 @@
         });
 }
 
-TEST_CASE("losses, doubles, swaps and 100 ms between two groups; a third killed and started again at once") {
+TEST_CASE(
+    "losses, duplicates, reordering and 100 ms of delay between groups; a third is killed and restarted at "
+    "once") {
     test::judge(
         [&] {
             return run(fault("links", 3, 12,
@@ -121,9 +122,9 @@
         });
 }
 
-// A limit that holds about may be over by the limit for as long as a change was late, each time
-// (docs/fleet.md).
-TEST_CASE("about: used whole without an owner; voters do not matter") {
+// An approximate limit may be exceeded by the limit for the time that each change is delayed beyond the
+// propagation delay (docs/fleet.md).
+TEST_CASE("about: the limit is used fully without an owner; voters do not matter") {
     test::judge(
         [&] {
             return run(fault("kill", 4, 13, "nodes = [0, 1, 2]"), {{"fleet.limit.about", "true"}});
@@ -136,8 +137,7 @@
 }
 
 TEST_CASE(
-    "about: halves are cut apart and healed, one has all that is asked; each has its members' part of the "
-    "limit") {
+    "about: partition into halves, one with all of the demand; each has its members' part of the limit") {
     test::judge(
         [&] {
             return run(fault("links", 5, 12, "between = \"peers\"\ncut = true\nnodes = [2, 3, 4, 5]"),
@@ -147,13 +147,13 @@
             double cut_off = 0;
             for (const int node : {2, 3, 4, 5})
                 cut_off += static_cast<double>(result.limit.passed_by(node, 8 * kSecond, 12 * kSecond));
-            FIGURE(cut_off >= 4 * 4 * (kLimit / kNodes) * 0.7);  // not floors alone, as where an owner lends
+            FIGURE(cut_off >= 4 * 4 * (kLimit / kNodes) * 0.7);  // more than floors, unlike with leases
             FIGURE(result.limit.passed(13 * kSecond, 15 * kSecond) >= 2 * 80);
         });
 }
 
 TEST_CASE(
-    "about: losses, doubles, swaps and 100 ms between two groups; a third killed and started again at once") {
+    "about: losses, duplicates, reordering and 100 ms of delay; a third is killed and restarted at once") {
     test::judge(
         [&] {
             return run(fault("links", 3, 12,
@@ -167,10 +167,10 @@
         });
 }
 
-// Limits of what goes to servers. Without the limit: some 90 connections beyond, 70 parts out at once, 35
-// further sends beyond.
+// Limits on what is sent to servers. Without the limit these runs exceed it by some 90 connections or 35
+// further sends, and have 70 parts out at once.
 TEST_CASE(
-    "servers flap, and connections to each are limited: never over, though each listing is another server") {
+    "connections to flapping servers stay within the limit although each listing is a different server") {
     test::judge(
         [&] {
             return run(trouble("flapping", 4, 10, "share = 0.5\nevery_ms = 600\nfor_ms = 200"),
@@ -180,13 +180,13 @@
                        kNodes);
         },
         [&](const auto& result, test::Figures& figures) {
-            // one more for each start
-            FIGURE(result.limit.worst_excess() > 0);  // it bit
+            // Each start of a front node allows one more.
+            FIGURE(result.limit.worst_excess() > 0);  // the limit took effect
             FIGURE(result.totals.totals.service() > 0.85);
         });
 }
 
-TEST_CASE("the same without peers: each front node paces its connections by its even part alone") {
+TEST_CASE("the same without peers: each front node limits its connections by its even part alone") {
     test::judge(
         [&] {
             return run(trouble("flapping", 4, 10, "share = 0.5\nevery_ms = 600\nfor_ms = 200"),
@@ -203,9 +203,7 @@
         });
 }
 
-TEST_CASE(
-    "servers are slow, and parts out at each are limited: within limit and one for each front node, also as "
-    "one dies") {
+TEST_CASE("parts out at slow servers stay within the limit and one for each front node while nodes die") {
     test::judge(
         [&] {
             return run(
@@ -217,11 +215,11 @@
                  {"clients.0.retries", "2"}});
         },
         [&](const auto& result, test::Figures& figures) {
-            FIGURE(result.limit.worst_excess() > -12 + 4);  // it bit
+            FIGURE(result.limit.worst_excess() > -12 + 4);  // the limit took effect
         });
 }
 
-TEST_CASE("half of the servers hang, and further sends of all are limited: never over") {
+TEST_CASE("further sends stay within the limit while half of the servers hang") {
     test::judge(
         [&] {
             return run(trouble("hang", 5, 10, "share = 0.5") + fault("kill", 7, 8, "nodes = [0, 4]"),
@@ -231,12 +229,12 @@
                         {"clients.0.retries", "2"}});
         },
         [&](const auto& result, test::Figures& figures) {
-            FIGURE(result.limit.passed(5 * kSecond, 10 * kSecond) >= 5);  // and used
+            FIGURE(result.limit.passed(5 * kSecond, 10 * kSecond) >= 5);  // and is used
             FIGURE(result.totals.totals.service() > 0.9);
         });
 }
 
-TEST_CASE("the checker finds what is over: the worst window, wherever it is") {
+TEST_CASE("the checker finds the window with the largest excess wherever it is") {
     const auto excess = [](const std::vector<Time>& at) {
         LimitReader reader(10, 2);
         for (std::size_t i = 0; i < at.size(); ++i)
@@ -257,9 +255,8 @@
     CHECK(further.worst_excess() == doctest::Approx(-1));
 }
 
-// The tenant comes from nowhere with ten times its limit, to one front node, and goes on to the next each two
-// seconds.
-TEST_CASE("all that is asked hops from front node to front node: never over, and the limit is lent along") {
+// A tenant starts with ten times its limit at one front node and moves to the next one every two seconds.
+TEST_CASE("demand hops between front nodes: the limit is never exceeded and the lease follows") {
     std::string faults = trouble("surge", 4, 14, "factor = 25");
     for (int hop = 0; hop < 5; ++hop)
         faults += trouble("shift", 4 + 2 * hop, 6 + 2 * hop, "share = 1\nzone = " + std::to_string(3 + hop));
@@ -277,8 +274,7 @@
         });
 }
 
-TEST_CASE(
-    "a fleet that doubles, then all are replaced one by one under the limit: never over, and used again") {
+TEST_CASE("the fleet doubles and all nodes are replaced one by one: never exceeded and used fully again") {
     std::string faults = fault("kill", 0, 4, "nodes = [5, 6, 7, 8]");
     for (int i = 0; i < kNodes; ++i)
         faults += fault("term", 6 + 0.7 * i, 6.5 + 0.7 * i, "nodes = [" + std::to_string(i) + "]");
@@ -292,7 +288,7 @@
         });
 }
 
-TEST_CASE("a lease's message is read as it was written; what is none is refused") {
+TEST_CASE("a lease message is read as written; malformed text is refused") {
     fleet::LeaseMessage message;
     message.kind = fleet::LeaseMessage::Kind::kShareGrant;
     message.limit = "all";
--- a/tests/fleet/start_test.cpp
+++ b/tests/fleet/start_test.cpp
@@ -1,4 +1,5 @@
-// Many front node processes start at once, with faults between them and discovery: pinedoor-lab's rig.
+// Many front node processes start at once, with faults between them and discovery, in the fleet rig of
+// pinedoor-lab.
 #include <doctest/doctest.h>
 
 #include <sstream>
@@ -10,8 +11,7 @@
 using namespace pinedoor;
 using namespace pinedoor::lab;
 
-// Every front node starts in the same 100 ms with all index servers cold; discovery serves five calls a
-// second.
+// All front nodes start within 100 ms with all index servers cold; discovery serves five calls a second.
 const char* const kCold = R"(
 seconds = 13
 shards = 4
@@ -69,7 +69,7 @@
                     CHECK(result.totals.totals.broken() == 0);
                     const auto& calls = result.totals;
                     FIGURE(calls.count(CallDesk::End::kServed) == 30);
-                    FIGURE(calls.calls.size() <= 90);  // three a node
+                    FIGURE(calls.calls.size() <= 90);  // three for each node
                     FIGURE(calls.count(CallDesk::End::kRefused) <= 30);
                     FIGURE(result.reader.served_by(1) > 0);
                     FIGURE(result.reader.served_by(0.5) < 70'000);
@@ -77,7 +77,9 @@
                 });
 }
 
-TEST_CASE("discovery is down as all start; half know a list, a third of whose servers are others by now") {
+TEST_CASE(
+    "discovery is down at the start and half of the nodes know a server list with a third of its servers "
+    "replaced") {
     test::judge(
         [&] {
             return run(FleetWorld::from_text(
@@ -92,7 +94,8 @@
             CHECK(result.totals.totals.broken() == 0);
             FIGURE(result.totals.count(CallDesk::End::kServed) >= 30);
             FIGURE(result.totals.most_calls_in_a_second <= 30);
-            // Those that know a list serve before discovery is back, though a third of it is nobody.
+            // Nodes that know a server list serve before discovery is back, although a third of its entries
+            // are gone.
             const auto early = result.reader.within(4);
             FIGURE(early.answered > 50);
             FIGURE(result.reader.served_by(0.45) < 40'000);
@@ -100,7 +103,7 @@
         });
 }
 
-TEST_CASE("seven in ten front nodes die under load and return together") {
+TEST_CASE("seven in ten front nodes are killed under load and return together") {
     test::judge(
         [&] {
             return run(FleetWorld::from_text(
@@ -118,12 +121,13 @@
             FIGURE(result.totals.calls.size() <= 30 + 3 * 21);
             const auto& seconds = result.reader.seconds();
             REQUIRE(seconds.size() >= 11);
-            FIGURE(seconds[4].answered > 60);  // by the nine that are left
+            FIGURE(seconds[4].answered > 60);  // by the nine nodes that remain
             for (std::size_t i = 7; i < 11; ++i) FIGURE(seconds[i].answered > seconds[i].asked * 8 / 10);
         });
 }
 
-TEST_CASE("the way to discovery is cut one way, flips bits, and is reset; the fleet serves on and returns") {
+TEST_CASE(
+    "links to discovery are cut one way, flip bits and are reset: the fleet keeps serving and calls return") {
     test::judge(
         [&] {
             return run(FleetWorld::from_text(
@@ -145,13 +149,13 @@
         },
         [&](const auto& result, test::Figures& figures) {
             CHECK(result.totals.totals.broken() == 0);
-            FIGURE(result.totals.calls.size() > 30);  // those that were cut off ask again
+            FIGURE(result.totals.calls.size() > 30);  // nodes that were cut off retry
             FIGURE(result.totals.calls.size() < 150);
             FIGURE(result.totals.totals.service() > 0.9);
         });
 }
 
-TEST_CASE("a fleet's world reads as it is written; faults are named where they cannot be") {
+TEST_CASE("a fleet description is read as written; errors name the key of a fault") {
     const auto text =
         std::string(kCold) +
         "[[faults]]\nkind = \"links\"\nway = \"back\"\nnodes = [1, 2]\nflip = 0.25\nuntil_s = 3\n";
@@ -163,7 +167,7 @@
     const auto refused = [&](const std::string& more) -> std::string {
         try {
             FleetWorld::from_text(std::string(kCold) + more, "w.toml");
-            return "taken";
+            return "accepted";
         } catch (const std::exception& error) {
             return error.what();
         }
--- a/tests/fleet/verdicts_test.cpp
+++ b/tests/fleet/verdicts_test.cpp
@@ -1,5 +1,5 @@
-// What front nodes tell each other of servers, at real processes with faults between them. What became of it
-// is read from what servers and clients saw.
+// Verdicts on servers with real processes and faults between them. Results are taken from what servers and
+// clients observed.
 #include <doctest/doctest.h>
 
 #include <map>
@@ -17,8 +17,8 @@
 
 constexpr Time kSecond = 10'000;
 
-// Each front node sends a server one part a second or two: alone it would find out for itself again and
-// again.
+// Each front node sends a part to each server only every second or two, so that alone it would take long to
+// learn of a fault, and learn it again and again.
 const char* const kFleet = R"(
 seconds = 13
 shards = 4
@@ -48,22 +48,22 @@
 struct RunResult {
     FleetTotals totals;
     FleetReader reader{16};
-    std::map<int, std::map<int, std::uint64_t>> sends;  // by server, by second
-    std::map<int, std::map<int, std::uint64_t>>
-        sends_by_node;  // from 6 s until 9 s: by front node, by server
+    std::map<int, std::map<int, std::uint64_t>> sends;  // by server and second
+    // By front node and server, from 6 s until 9 s.
+    std::map<int, std::map<int, std::uint64_t>> sends_by_node;
     std::uint64_t requested = 0, answered_whole = 0;
     struct DeadlyRequest {
         Time requested_at = 0;
         int sends = 0;
     };
-    std::map<std::string, DeadlyRequest> deadly;  // multigets of the second clients, by number
+    std::map<std::string, DeadlyRequest> deadly;  // multigets of the second client group, by number
     Time first_death = 0;
-    int deaths = 0;  // of servers, by a part
-    std::size_t notified_of_key =
-        0;  // front nodes that were told the key of a multiget under which servers died
+    int deaths = 0;                   // of servers, while they worked on a part
+    std::size_t notified_of_key = 0;  // front nodes notified of a deadly key by others
+    // Fraction of requested multigets that were answered whole.
     double served() const { return static_cast<double>(answered_whole) / static_cast<double>(requested); }
-    double sends_of_deadly()
-        const {  // each, of those asked from a second after the first death on, until 12 s
+    // Mean number of sends of each multiget requested between 1 s after the first death and 12 s.
+    double sends_of_deadly() const {
         int sent = 0, count = 0;
         for (const auto& [name, each] : deadly) {
             if (first_death == 0 || each.requested_at < first_death + kSecond ||
@@ -73,6 +73,7 @@
         }
         return static_cast<double>(sent) / count;
     }
+    // Fraction of sends in these seconds that went to hung servers.
     double hung_share(int from, int until) const {
         return reader.picks(from * kSecond, until * kSecond).share();
     }
@@ -109,33 +110,32 @@
     return result;
 }
 
-// Without verdicts a quarter of all sends goes on meeting the hung ones, half of that at the least.
+// Without verdicts an eighth to a quarter of all sends continues to go to the hung servers.
 TEST_CASE(
-    "a quarter of the servers hang: the fleet leaves them within a second or two, and finds them again "
-    "together") {
+    "a quarter of the servers hang: the fleet leaves them within a second or two and returns together") {
     test::judge([&] { return run(trouble("hang", 4, 8, "share = 0.25")); },
                 [&](const auto& result, test::Figures& figures) {
                     MESSAGE("to hung servers in the first half second "
                             << result.reader.picks(40'000, 45'000).share() << ", from 2 s on "
                             << result.hung_share(6, 8) << "; served " << result.served());
-                    FIGURE(result.hung_share(6, 8) < 0.1);  // 0.01 to 0.06, and 0.14 to 0.15 without verdicts
+                    FIGURE(result.hung_share(6, 8) < 0.1);  // 0.01 to 0.06; 0.14 to 0.15 without verdicts
                     FIGURE(result.served() > 0.97);
                     std::uint64_t to_recovered = 0, all = 0;
                     for (const auto& [server, seconds] : result.sends) {
                         for (int second = 11; second < 13; ++second) {
                             const auto sent = seconds.contains(second) ? seconds.at(second) : 0;
                             all += sent;
-                            if (seconds.contains(7) && seconds.at(7) > 20) continue;  // one that never hung
+                            if (seconds.contains(7) && seconds.at(7) > 20) continue;  // has not hung
                             to_recovered += sent;
                         }
                     }
                     FIGURE(static_cast<double>(to_recovered) >
-                           0.12 * static_cast<double>(all));  // their even share is a quarter
+                           0.12 * static_cast<double>(all));  // an even share is a quarter
                 });
 }
 
-// Two of eighteen members say the contrary of what holds, of each server, always as if just seen.
-TEST_CASE("a tenth of the members talk nonsense: hung servers are left all the same, and no sound one is") {
+// Two of eighteen members report the opposite of the truth about each server, always with fresh evidence.
+TEST_CASE("a tenth of the members misreport: hung servers are left all the same and no healthy one is") {
     test::judge(
         [&] {
             return run(trouble("hang", 4, 11, "share = 0.25"), {{"fleet.liars", "2"}});
@@ -143,9 +143,9 @@
         [&](const auto& result, test::Figures& figures) {
             MESSAGE("to hung servers from 2 s on " << result.hung_share(6, 11) << "; served "
                                                    << result.served());
-            FIGURE(result.hung_share(6, 11) < 0.11);  // 0.044 to 0.067, and 0.147 to 0.155 without
+            FIGURE(result.hung_share(6, 11) < 0.11);  // 0.044 to 0.067; 0.147 to 0.155 without verdicts
             FIGURE(result.served() > 0.97);
-            // Before anything hung: each server has a good part of its even share.
+            // Before any server hangs, each gets a large part of its even share.
             std::uint64_t min_sent = 1'000'000, sum = 0;
             for (int server = 0; server < 16; ++server) {
                 std::uint64_t sent = 0;
@@ -158,9 +158,7 @@
         });
 }
 
-TEST_CASE(
-    "a zone is cut off from the servers of the other: each side leaves what it cannot reach, and that "
-    "alone") {
+TEST_CASE("a zone is cut off from the servers of the other: each side leaves only what it cannot reach") {
     test::judge(
         [&] {
             return run(trouble("cut-off", 4, 9, "zone = 1"), {{"zones", "2"}});
@@ -168,7 +166,7 @@
         [&](const auto& result, test::Figures& figures) {
             MESSAGE("served " << result.served());
             FIGURE(result.served() > 0.95);
-            // All servers go on, each before the front nodes of its own zone.
+            // All servers remain in use, each by the front nodes of its own zone.
             for (int server = 0; server < 16; ++server) {
                 CAPTURE(server);
                 std::uint64_t sent = 0;
@@ -179,8 +177,8 @@
         });
 }
 
-// A server hangs for one zone only: that zone's front nodes leave it, and the others are not told to.
-TEST_CASE("four servers hear nothing from one of two zones: that one leaves them, the other goes on") {
+// The servers hang for one zone only: its front nodes leave them, and the other zone does not.
+TEST_CASE("four servers receive nothing from one of two zones: that zone leaves them and the other goes on") {
     test::judge(
         [&] {
             return run(fault("deaf", 4, 9, "servers = [0, 1, 2, 3]\nzone = 1"), {{"zones", "2"}});
@@ -198,15 +196,15 @@
             }
             MESSAGE("of the zone's sends from 2 s on, to those four: "
                     << share[1] << ", of the other zone's " << share[0] << "; served " << result.served());
-            FIGURE(share[1] < 0.11);  // 0.03 to 0.08, and 0.14 to 0.15 without
+            FIGURE(share[1] < 0.11);  // 0.03 to 0.08; 0.14 to 0.15 without verdicts
             FIGURE(share[0] > 0.15);  // an even share is 0.25
             FIGURE(result.served() > 0.97);
         });
 }
 
-// Servers that answer one op type in time and fail each part of the other: they must be of use to the first,
-// and the second's parts find others.
-TEST_CASE("four servers fail one op type only: both are served, and the four are not left by all") {
+// Servers that answer one op type and fail every part of the other must stay in use for the first, while the
+// parts of the second go to other servers.
+TEST_CASE("four servers fail one op type only: both op types are served and not all nodes leave the four") {
     test::judge(
         [&] {
             return run(
@@ -228,13 +226,13 @@
         });
 }
 
-// A multiget that kills each server that begins a part of it is asked twice a second, now here, now there.
-// Alone each front node finds it out by several deaths of its own; told, most never send more than one part
-// of it at a time.
+// A multiget that kills each server that starts a part of it is requested twice a second, at varying front
+// nodes. Alone, each front node learns the key from several deaths of its own. Notified by others, most never
+// send more than one part of it at a time.
 TEST_CASE(
-    "a multiget kills servers: its key is told to all, which kills fewer than each finding it out alone") {
-    // What is counted is their sends, each a death if the server is up: how many are asked in ten seconds
-    // varies from play to play, and with it how many die, 13 to 32 and 43 to 80.
+    "a multiget kills servers: publishing its key leads to fewer deaths than each node learning alone") {
+    // Counts sends per deadly multiget, each a death if the server is up. The number of deaths itself varies
+    // too much, with the number of requests in ten seconds: 13 to 32 with notifications and 43 to 80 without.
     const auto faults =
         fault("deadly-kind", 2, 12, "client_kind = 1") +
         "[[clients]]\nname = \"killer\"\nper_second = 2\nparts = 4\nkeys = 1\nlatency_budget_ms = 400\n"
@@ -245,18 +243,17 @@
                 return run(faults, {{"fleet.verdicts", verdicts ? "true" : "false"}});
             },
             [&](const auto& result, test::Figures& figures) {
-                MESSAGE("told " << verdicts << ": servers died " << result.deaths
-                                << " times; sends of a deadly multiget " << result.sends_of_deadly());
+                MESSAGE("verdicts " << verdicts << ": servers died " << result.deaths
+                                    << " times; sends of a deadly multiget " << result.sends_of_deadly());
                 FIGURE(verdicts ? result.sends_of_deadly() < 1.5
-                                : result.sends_of_deadly() > 2);    // 1 and 2.7 to 3.7
-                FIGURE(!verdicts || result.notified_of_key >= 12);  // front nodes, of fifteen others
+                                : result.sends_of_deadly() > 2);    // 1 with verdicts, 2.7 to 3.7 without
+                FIGURE(!verdicts || result.notified_of_key >= 12);  // of fifteen other front nodes
             });
     }
 }
 
 TEST_CASE(
-    "servers take turns at hanging while datagrams are lost, a third of the nodes is killed, one stands "
-    "still") {
+    "servers take turns at hanging under datagram loss with a third of the nodes killed and one suspended") {
     std::string faults =
         fault(
             "links", 3, 11,
