--- a/src/fleet/leases.cpp
+++ b/src/fleet/leases.cpp
@@ -53,8 +53,8 @@
     candidate_.clear();
     for (const auto& name : names) {
         if (!is_voter(name)) continue;
-        const auto mine = std::pair(rank(limit_, name), name);
-        if (candidate_.empty() || mine > std::pair(rank(limit_, candidate_), candidate_)) candidate_ = name;
+        const auto ranked = std::pair(rank(limit_, name), name);
+        if (candidate_.empty() || ranked > std::pair(rank(limit_, candidate_), candidate_)) candidate_ = name;
     }
 }
 
@@ -75,12 +75,12 @@
     if (!is_voter(self_) || now < may_vote_from_) return false;
     if (owns(now)) return true;
     if (now < vote_ends_at_) return voted_for_ == self_ && voted_incarnation_ == incarnation_;
-    Time turn = 0;
+    Time delay = 0;
     for (const auto& other : terms_.voters) {
         if (std::pair(rank(limit_, other), other) > std::pair(rank(limit_, self_), self_))
-            turn += 2 * terms_.renew_interval;
+            delay += 2 * terms_.renew_interval;
     }
-    return now >= std::max(vote_ends_at_, may_vote_from_) + turn;
+    return now >= std::max(vote_ends_at_, may_vote_from_) + delay;
 }
 
 // Messages to this node itself are handled at once.
@@ -118,17 +118,17 @@
 
 // Returns a new request number. Several requests are kept, since a reply may arrive after the next request
 // was sent.
-std::uint64_t Leases::record_request(std::map<std::uint64_t, Time>& asked, Time now) {
+std::uint64_t Leases::record_request(std::map<std::uint64_t, Time>& requests, Time now) {
     constexpr std::size_t kMaxOutstanding = 32;
-    if (asked.size() == kMaxOutstanding) asked.erase(asked.begin());
-    asked[++last_request_number_] = now;
+    if (requests.size() == kMaxOutstanding) requests.erase(requests.begin());
+    requests[++last_request_number_] = now;
     return last_request_number_;
 }
 
 void Leases::request_votes(Time now, std::vector<SendLease>& out) {
-    const bool some =
+    const bool holds_votes =
         std::any_of(votes_.begin(), votes_.end(), [now](const auto& each) { return now < each.second; });
-    if (owns(now) || !some)
+    if (owns(now) || !holds_votes)
         seeking_since_ = 0;
     else if (seeking_since_ == 0)
         seeking_since_ = now;
@@ -137,9 +137,9 @@
     // renewals that differs by name and by attempt.
     if (seeking_since_ != 0 && now - seeking_since_ > terms_.vote_duration) {
         seeking_since_ = 0;
-        const auto turns = static_cast<Time>(1 + rank(limit_, self_ + std::to_string(++backoffs_)) % 8);
+        const auto renewals = static_cast<Time>(1 + rank(limit_, self_ + std::to_string(++backoffs_)) % 8);
         request_votes_at_ =
-            now + terms_.grantor_duration(terms_.vote_duration) + turns * terms_.renew_interval;
+            now + terms_.grantor_duration(terms_.vote_duration) + renewals * terms_.renew_interval;
         return;
     }
     const auto number = record_request(vote_requests_, now);
@@ -149,14 +149,14 @@
 
 void Leases::request_share(Time now, std::vector<SendLease>& out) {
     if (++unanswered_requests_ > kMaxUnansweredRequests) owner_.clear();
-    auto whom = owner_.empty() ? candidate_ : owner_;
+    auto recipient = owner_.empty() ? candidate_ : owner_;
     if (unanswered_requests_ > kMaxUnansweredRequests && !terms_.voters.empty())
-        whom = terms_.voters[static_cast<std::size_t>(unanswered_requests_) % terms_.voters.size()];
-    if (whom.empty()) return;
+        recipient = terms_.voters[static_cast<std::size_t>(unanswered_requests_) % terms_.voters.size()];
+    if (recipient.empty()) return;
     auto ask = make_message(LeaseMessage::Kind::kShareRequest, record_request(share_requests_, now));
     ask.amount = std::max(0.0, need_ - terms_.floor());
     ask.held_lease = held_lease_;
-    send(whom, std::move(ask), out, now);
+    send(recipient, std::move(ask), out, now);
 }
 
 std::vector<SendLease> Leases::take(Time now, const LeaseMessage& message) {
@@ -205,18 +205,18 @@
     // A candidate's vote for itself is counted by no other node, so it can be withdrawn in favour of a
     // candidate that ranks higher. Otherwise several that become candidates at once would each keep their own
     // vote.
-    const bool before = is_voter(ask.from) &&
-                        std::pair(rank(limit_, ask.from), ask.from) > std::pair(rank(limit_, self_), self_);
-    if (before && voted_for_ == self_ && voted_incarnation_ == incarnation_ && !owns(now)) {
+    const bool outranks_self = is_voter(ask.from) && std::pair(rank(limit_, ask.from), ask.from) >
+                                                         std::pair(rank(limit_, self_), self_);
+    if (outranks_self && voted_for_ == self_ && voted_incarnation_ == incarnation_ && !owns(now)) {
         votes_.erase(self_);
         vote_ends_at_ = now;
     }
     const bool same = voted_for_ == ask.from && voted_incarnation_ == ask.incarnation;
-    const bool may = is_voter(self_) && now >= may_vote_from_ && (same || now >= vote_ends_at_);
-    ++(may ? counts_.votes_granted : counts_.votes_refused);
-    vote.amount = may ? 1 : 0;
-    vote.owner = may ? ask.from : voted_for_;
-    if (!may) return vote;
+    const bool granted = is_voter(self_) && now >= may_vote_from_ && (same || now >= vote_ends_at_);
+    ++(granted ? counts_.votes_granted : counts_.votes_refused);
+    vote.amount = granted ? 1 : 0;
+    vote.owner = granted ? ask.from : voted_for_;
+    if (!granted) return vote;
     voted_for_ = ask.from;
     voted_incarnation_ = ask.incarnation;
     vote_ends_at_ = now + terms_.grantor_duration(terms_.vote_duration);
@@ -224,14 +224,14 @@
 }
 
 void Leases::receive_vote(Time now, const LeaseMessage& message) {
-    const auto asked = vote_requests_.find(message.request_number);
-    if (asked == vote_requests_.end() || !is_voter(message.from)) return;
+    const auto request = vote_requests_.find(message.request_number);
+    if (request == vote_requests_.end() || !is_voter(message.from)) return;
     if (message.amount < 1) {
         if (message.owner != self_) owner_ = message.owner;
         return;
     }
     auto& until = votes_[message.from];
-    until = std::max(until, asked->second + terms_.vote_duration);
+    until = std::max(until, request->second + terms_.vote_duration);
     if (!owns(now) || std::exchange(was_owner_, true)) return;
     ++counts_.ownership_gained;
     holders_.clear();
@@ -324,9 +324,9 @@
         const auto found = latest.find(who);
         out << ' ' << (found == latest.end() ? kMaxDistance : std::min(kMaxDistance, found->second - which));
     };
-    const auto questions = [&](char name, const std::map<std::uint64_t, Time>& asked) {
+    const auto print_requests = [&](char name, const std::map<std::uint64_t, Time>& requests) {
         out << ' ' << name;
-        for (const auto& [which, at] : asked) {
+        for (const auto& [which, at] : requests) {
             if (at >= oldest) out << ' ' << last_request_number_ - which << '@' << now - at;
         }
     };
@@ -361,8 +361,8 @@
         << (unanswered_requests_ <= kMaxUnansweredRequests
                 ? static_cast<std::size_t>(unanswered_requests_)
                 : kMaxUnansweredRequests + 1 + static_cast<std::size_t>(unanswered_requests_) % voter_count);
-    questions('v', vote_requests_);
-    questions('s', share_requests_);
+    print_requests('v', vote_requests_);
+    print_requests('s', share_requests_);
     until(request_votes_at_);
     until(request_share_at_);
     out << ' ' << released_;
--- a/src/fleet/leases.hpp
+++ b/src/fleet/leases.hpp
@@ -150,7 +150,7 @@
     void send(const std::string& to, LeaseMessage message, std::vector<SendLease>& out, Time now);
     bool is_voter(const std::string& name) const;
     bool seeks_ownership(Time now) const;
-    std::uint64_t record_request(std::map<std::uint64_t, Time>& asked, Time now);
+    std::uint64_t record_request(std::map<std::uint64_t, Time>& requests, Time now);
 
     const std::string limit_, self_;
     const std::uint64_t incarnation_;
--- a/src/fleet/server_words.cpp
+++ b/src/fleet/server_words.cpp
@@ -55,9 +55,9 @@
 
 // One report is "NAME b|g|- EVIDENCE_AGE_MS|- COLD_MS|- PARTS_PER_SECOND "; b is faulty, g is healthy. Faulty
 // servers come first, since they cost the others most; what exceeds the size of a record is left out.
-std::string write_words(const std::map<std::string, ServerSaid>& said) {
+std::string write_words(const std::map<std::string, ServerSaid>& reports) {
     std::vector<std::pair<const std::string*, const ServerSaid*>> order;
-    for (const auto& [name, each] : said) {
+    for (const auto& [name, each] : reports) {
         if (has_content(each) && is_valid_name(name)) order.emplace_back(&name, &each);
     }
     const auto rank = [](const ServerSaid& each) {
@@ -109,39 +109,40 @@
 // most twice a second.
 Said WordReader::read(Time now, const std::vector<peers::Fact>& facts,
                       const std::map<std::string, int>& zones, const std::string& self) {
-    Said all;
-    all.voices = eligible_reporters(terms_, zones, self);
+    Said result;
+    result.voices = eligible_reporters(terms_, zones, self);
     std::map<std::string, ParsedRecord> previous = std::exchange(parsed_, {});
     for (const auto& fact : facts) {
         if (fact.origin == self || !zones.contains(fact.origin)) continue;  // not a live member
-        const bool is_reporter = std::binary_search(all.voices.begin(), all.voices.end(), fact.origin);
+        const bool is_reporter = std::binary_search(result.voices.begin(), result.voices.end(), fact.origin);
         auto& parsed = parsed_[fact.origin];
         if (const auto old = previous.find(fact.origin); old != previous.end())
             parsed = std::move(old->second);
         if (parsed.text != fact.value) parsed = {fact.value, read_reports(fact.value)};
         for (const auto& [name, each] : parsed.reports) {
-            auto& of = all.servers[name];
+            auto& server = result.servers[name];
             if (is_reporter && each.opinion != OpinionKind::kNone)
-                of.opinions.push_back(
+                server.opinions.push_back(
                     {fact.origin, each.opinion == OpinionKind::kBad, now - fact.age - each.evidence_age});
             if (each.cold_duration < 0) continue;
-            of.cold_durations.push_back(each.cold_duration + fact.age);
-            of.parts_per_second += each.parts_per_second;
+            server.cold_durations.push_back(each.cold_duration + fact.age);
+            server.parts_per_second += each.parts_per_second;
         }
     }
-    return all;
+    return result;
 }
 
 // A member that has published an opinion keeps it for as long as it holds. If members withdrew theirs as soon
 // as enough others report the same, all would withdraw and then all report again.
 OpinionKind ServerTeller::choose_opinion(Time now, const ServerSeen& seen, const Said& others) const {
-    const auto of = others.servers.find(seen.name);
-    const auto said = published_.find(seen.name);
-    const auto published_as = [&](OpinionKind what) {
-        return said != published_.end() && said->second.opinion == what;
+    const auto reported = others.servers.find(seen.name);
+    const auto published = published_.find(seen.name);
+    const auto published_as = [&](OpinionKind kind) {
+        return published != published_.end() && published->second.opinion == kind;
     };
-    const auto verdict = judge(terms_.verdict, now, others.voices.size(),
-                               of == others.servers.end() ? std::vector<Opinion>{} : of->second.opinions);
+    const auto verdict =
+        judge(terms_.verdict, now, others.voices.size(),
+              reported == others.servers.end() ? std::vector<Opinion>{} : reported->second.opinions);
     if (seen.looks_faulty() && now - seen.failed < terms_.verdict.lives)
         return published_as(OpinionKind::kBad) || !verdict.has_margin(true) ? OpinionKind::kBad
                                                                             : OpinionKind::kNone;
@@ -214,33 +215,33 @@
     const auto count = others.voices.size();
     const auto agreeing = std::min<std::size_t>(2, std::max<std::size_t>(1, count));
     std::map<std::string, ServerTold> changed, current;
-    for (const auto& [name, of] : others.servers) {
-        ServerTold told;
-        const auto verdict = judge(terms_.verdict, now, count, of.opinions);
-        told.aside = verdict.aside;
-        told.seen = verdict.aside ? verdict.evidence_at : 0;
-        told.held = verdict.aside && !is_prober(terms_.verdict, now, count, verdict, self_, name);
+    for (const auto& [name, reported] : others.servers) {
+        ServerTold consensus;
+        const auto verdict = judge(terms_.verdict, now, count, reported.opinions);
+        consensus.aside = verdict.aside;
+        consensus.seen = verdict.aside ? verdict.evidence_at : 0;
+        consensus.held = verdict.aside && !is_prober(terms_.verdict, now, count, verdict, self_, name);
         // The second shortest duration counts: a single wrong report would keep a warm server cold for all.
-        if (of.cold_durations.size() >= agreeing) {
-            auto ages = of.cold_durations;
+        if (reported.cold_durations.size() >= agreeing) {
+            auto ages = reported.cold_durations;
             std::sort(ages.begin(), ages.end());
-            told.cold_for = ages[agreeing - 1];
-            told.taken = of.parts_per_second;
+            consensus.cold_for = ages[agreeing - 1];
+            consensus.taken = reported.parts_per_second;
         }
-        if (!told.says_something()) continue;
-        current[name] = told;
+        if (!consensus.says_something()) continue;
+        current[name] = consensus;
         const auto before = consensus_.find(name);
         // Changes due to the passage of time alone are not reported.
-        const bool same = before != consensus_.end() && before->second.aside == told.aside &&
-                          before->second.held == told.held && before->second.taken == told.taken &&
-                          told.seen <= before->second.seen + terms_.min_interval &&
-                          (before->second.cold_for < 0) == (told.cold_for < 0);
+        const bool same = before != consensus_.end() && before->second.aside == consensus.aside &&
+                          before->second.held == consensus.held && before->second.taken == consensus.taken &&
+                          consensus.seen <= before->second.seen + terms_.min_interval &&
+                          (before->second.cold_for < 0) == (consensus.cold_for < 0);
         if (same)
             current[name].seen = before->second.seen;
         else
-            changed[name] = told;
+            changed[name] = consensus;
     }
-    for (const auto& [name, told] : consensus_) {
+    for (const auto& [name, consensus] : consensus_) {
         if (!current.contains(name)) changed[name] = {};
     }
     consensus_ = std::move(current);
--- a/src/fleet/server_words.hpp
+++ b/src/fleet/server_words.hpp
@@ -72,7 +72,7 @@
 };
 
 // Text form of one member's reports, as many as one published record holds.
-std::string write_words(const std::map<std::string, ServerSaid>& said);
+std::string write_words(const std::map<std::string, ServerSaid>& reports);
 std::map<std::string, ServerSaid> read_reports(const std::string& text);  // skips malformed reports
 
 // The current reports of all other members, by server. Input of both the publisher and the receiver.
--- a/tests/fleet/about_test.cpp
+++ b/tests/fleet/about_test.cpp
@@ -86,11 +86,11 @@
 };
 
 ApproximateLimitTerms terms(peers::Time propagation_delay = 2 * kSecond) {
-    ApproximateLimitTerms made;
-    made.limit = kLimit;
-    made.node_count = kNodes;
-    made.propagation_delay = propagation_delay;
-    return made;
+    ApproximateLimitTerms settings;
+    settings.limit = kLimit;
+    settings.node_count = kNodes;
+    settings.propagation_delay = propagation_delay;
+    return settings;
 }
 
 // `excess_seconds`: the excess over the limit, as a fraction of the limit, integrated over time. `min_used`:
--- a/tests/fleet/leases_test.cpp
+++ b/tests/fleet/leases_test.cpp
@@ -44,11 +44,11 @@
     }
 
     void start(int which) {
-        auto& mine = node(which);
-        mine.up = true;
-        mine.suspended = false;
-        mine.pending.clear();
-        mine.leases = std::make_unique<Leases>("limit", name(which), random_(), terms_, clock(which));
+        auto& state = node(which);
+        state.up = true;
+        state.suspended = false;
+        state.pending.clear();
+        state.leases = std::make_unique<Leases>("limit", name(which), random_(), terms_, clock(which));
         update_members();
     }
     void kill(int which, bool noticed = true) {
@@ -92,9 +92,9 @@
                     deliver(at->second.first, at->second.second);
             }
             for (int i = 0; i < static_cast<int>(nodes_.size()); ++i) {
-                auto& mine = node(i);
-                if (!mine.up || mine.suspended || clock(i) < mine.leases->due()) continue;
-                transmit(i, mine.leases->tick(clock(i)));
+                auto& state = node(i);
+                if (!state.up || state.suspended || clock(i) < state.leases->due()) continue;
+                transmit(i, state.leases->tick(clock(i)));
             }
             in_use = 0;
             owners = 0;
@@ -136,11 +136,11 @@
 };
 
 LeaseTerms terms(int nodes) {
-    LeaseTerms made;
-    made.limit = 1'000;
-    made.node_count = nodes;
-    made.voters = {"n0", "n1", "n2"};
-    return made;
+    LeaseTerms settings;
+    settings.limit = 1'000;
+    settings.node_count = nodes;
+    settings.voters = {"n0", "n1", "n2"};
+    return settings;
 }
 
 TEST_CASE(
@@ -229,28 +229,28 @@
     double worst = 0, mean = 0;
     int runs = 0;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-        auto made = terms(8);
-        made.max_drift = 0.02;
-        made.voters = seed % 2 == 0 ? std::vector<std::string>{"n0", "n1", "n2"}
-                                    : std::vector<std::string>{"n0", "n1", "n2", "n3", "n4"};
-        LeaseSimulation sim(8, seed, made);
+        auto settings = terms(8);
+        settings.max_drift = 0.02;
+        settings.voters = seed % 2 == 0 ? std::vector<std::string>{"n0", "n1", "n2"}
+                                        : std::vector<std::string>{"n0", "n1", "n2", "n3", "n4"};
+        LeaseSimulation sim(8, seed, settings);
         sim.loss_rate = seed % 3 == 0 ? 0.3 : 0.05;
         sim.max_delay = seed % 4 == 0 ? 9'000 : 100;
         for (int step = 0; step < 40; ++step) {
             const int which = static_cast<int>(sim.random_below(8)),
                       other = static_cast<int>(sim.random_below(8));
-            auto& mine = sim.node(which);
+            auto& state = sim.node(which);
             switch (sim.random_below(8)) {
                 case 0: sim.kill(which); break;
                 case 1:
                 case 2:
-                    if (!mine.up) sim.start(which);
+                    if (!state.up) sim.start(which);
                     break;
                 case 3:
-                    if (mine.up) mine.suspended = true;
+                    if (state.up) state.suspended = true;
                     break;
                 case 4:
-                    if (mine.up && mine.suspended) sim.resume(which);
+                    if (state.up && state.suspended) sim.resume(which);
                     break;
                 case 5: sim.is_cut = [which](int a, int b) { return (a <= which) != (b <= which); }; break;
                 case 6: sim.is_cut = [which, other](int a, int b) { return a == which && b != other; }; break;
@@ -278,9 +278,9 @@
 // Guards against two different replies to a duplicated request: the holder used the first one while the owner
 // counted the second, smaller one.
 TEST_CASE("a duplicated request gets the same reply") {
-    auto made = terms(2);
-    made.voters = {"n0"};
-    Leases owner("limit", "n0", 1, made, 0);
+    auto settings = terms(2);
+    settings.voters = {"n0"};
+    Leases owner("limit", "n0", 1, settings, 0);
     owner.set_members({"n0", "n1"});
     Time now = 10 * kSecond;
     owner.tick(now);
@@ -324,9 +324,9 @@
     CHECK(over);
     over = false;
     for (std::uint64_t seed = 1; seed <= 20 && !over; ++seed) {
-        auto forgetful = terms(8);
-        forgetful.vote_duration = 60'000;
-        LeaseSimulation sim(8, seed, forgetful);
+        auto settings = terms(8);
+        settings.vote_duration = 60'000;
+        LeaseSimulation sim(8, seed, settings);
         for (int i = 0; i < 8; ++i) sim.node(i).leases->need(400);
         sim.run(12 * kSecond);
         int owner = 0;
@@ -338,7 +338,7 @@
             // Started long ago as far as it knows, so it may vote at once.
             sim.node(i).up = true;
             sim.node(i).leases = std::make_unique<Leases>("limit", LeaseSimulation::name(i),
-                                                          99 + static_cast<std::uint64_t>(i), forgetful,
+                                                          99 + static_cast<std::uint64_t>(i), settings,
                                                           sim.clock(i) - 100 * kSecond);
         }
         sim.update_members();
@@ -359,15 +359,15 @@
 // Runs two faults on three nodes that act as voters, holders, owner and successor. Returns the largest amount
 // in use at one time, or 1e9 if there were two owners at a time.
 double max_in_use_under(const Fault& first, const Fault& second, double max_drift) {
-    LeaseTerms made;
-    made.limit = 300;
-    made.node_count = 3;
-    made.voters = {"n0", "n1", "n2"};
-    made.vote_duration = 3'000;
-    made.lease_duration = 1'500;
-    made.renew_interval = 500;
-    made.max_drift = max_drift;
-    LeaseSimulation sim(3, 1, made);
+    LeaseTerms settings;
+    settings.limit = 300;
+    settings.node_count = 3;
+    settings.voters = {"n0", "n1", "n2"};
+    settings.vote_duration = 3'000;
+    settings.lease_duration = 1'500;
+    settings.renew_interval = 500;
+    settings.max_drift = max_drift;
+    LeaseSimulation sim(3, 1, settings);
     sim.max_delay = 1;
     for (int i = 0; i < 3; ++i) {
         sim.node(i).clock_rate = 1;
--- a/tests/fleet/words_test.cpp
+++ b/tests/fleet/words_test.cpp
@@ -225,12 +225,12 @@
 }
 
 ServerWord set_aside(char server, bool held = false, Time seen = 0) {
-    ServerWord made;
-    made.server = {static_cast<std::uint32_t>(server), 1};
-    made.aside = true;
-    made.held = held;
-    made.seen = seen;
-    return made;
+    ServerWord message;
+    message.server = {static_cast<std::uint32_t>(server), 1};
+    message.aside = true;
+    message.held = held;
+    message.seen = seen;
+    return message;
 }
 
 TEST_CASE("the module sets aside what others set aside unless it has a later answer itself") {
