--- a/src/fleet/about.hpp
+++ b/src/fleet/about.hpp
@@ -60,7 +60,7 @@
     // Takes the latest needs published by the other members and the number of live members, this node
     // included. `ready`: this node has received what the others publish.
     void hear(Time now, const std::vector<double>& others, std::size_t members, bool ready);
-    double may_use(Time now);
+    double may_use(Time now);  // the floor and the usable share
 
     double said() const { return published_need_; }
     Time lives() const { return terms_.record_lifetime; }
--- a/src/fleet/gate.hpp
+++ b/src/fleet/gate.hpp
@@ -51,6 +51,7 @@
     Time last_arrival_at_ = 0;
 };
 
+// Admits requests at the rate of this node's share, and estimates the need for it.
 class Gate {
 public:
     Gate(const LimitTerms& limit, std::uint64_t seed) : bucket_(limit), random_(seed) {}
--- a/src/fleet/leases.hpp
+++ b/src/fleet/leases.hpp
@@ -58,6 +58,7 @@
     }
 };
 
+// A message between two nodes about one limit. Which fields are used depends on its kind.
 struct LeaseMessage {
     enum class Kind : std::uint8_t {
         kVoteRequest,
@@ -76,17 +77,19 @@
     std::string owner;
 };
 
+// A message to send.
 struct SendLease {
     std::string to;  // a front node's name
     LeaseMessage message;
 };
 
+// Events since the start. `lent` counts granted leases, `expired` expired ones of this node as a holder.
 struct LeaseCounts {
     std::uint64_t votes_granted = 0, votes_refused = 0, ownership_gained = 0, ownership_lost = 0, lent = 0,
                   expired = 0, not_owner_replies = 0;
 };
 
-// Max-min fair division of `capacity`: nobody gets more than it needs, and what remains is divided evenly
+// Max-min fair division of `capacity`: no share exceeds its need, and what remains is divided evenly
 // among those that need more.
 std::vector<double> max_min(double capacity, const std::vector<double>& needs);
 
--- a/src/fleet/verdict.hpp
+++ b/src/fleet/verdict.hpp
@@ -34,12 +34,14 @@
     Time probe_period = 20'000;  // after which other nodes are drawn
 };
 
+// What one member reports about a server.
 struct Opinion {
     std::string from;
     bool bad = false;
     Time seen = 0;  // time of the evidence, on the clock of the node that makes the verdict
 };
 
+// `aside`: the server is set aside, which means that only probers send to it.
 struct Verdict {
     bool aside = false;
     // As many members as needed saw the server fail at this time or later; 0: they did not.
@@ -54,12 +56,13 @@
 // The members whose reports on servers count for `self`. `zones`: of all members, by name.
 std::vector<std::string> eligible_reporters(const VerdictTerms& terms,
                                             const std::map<std::string, int>& zones, const std::string& self);
+// How many of the reporters must agree.
 std::size_t reports_needed(const VerdictTerms& terms, std::size_t reporter_count);
 Verdict judge(const VerdictTerms& terms, Time now, std::size_t reporter_count, std::vector<Opinion> opinions);
 
 // Whether `self` keeps sending to a server that is set aside: few nodes do, and once a recovery is reported
-// as many as the opposite verdict needs. Each node decides by a hash of the names and the period, without
-// coordination.
+// half as many again as the opposite verdict needs. Each node decides by a hash of the names and the period,
+// without coordination.
 bool is_prober(const VerdictTerms& terms, Time now, std::size_t reporter_count, const Verdict& verdict,
                const std::string& self, const std::string& server);
 
--- a/tests/fleet/start_test.cpp
+++ b/tests/fleet/start_test.cpp
@@ -95,7 +95,7 @@
             FIGURE(result.totals.count(CallDesk::End::kServed) >= 30);
             FIGURE(result.totals.most_calls_in_a_second <= 30);
             // Nodes that know a server list serve before discovery is back, although a third of its entries
-            // are gone.
+            // have departed.
             const auto early = result.reader.within(4);
             FIGURE(early.answered > 50);
             FIGURE(result.reader.served_by(0.45) < 40'000);
