--- a/tests/fleet/start_test.cpp
+++ b/tests/fleet/start_test.cpp
@@ -1,4 +1,5 @@
-// Many front node processes start at once, with faults between them and discovery: pinedoor-lab's rig.
+// Many front node processes start at once, with faults between them and discovery, in the fleet rig of
+// pinedoor-lab.
 #include <doctest/doctest.h>
 
 #include <sstream>
@@ -10,8 +11,7 @@
 using namespace pinedoor;
 using namespace pinedoor::lab;
 
-// Every front node starts in the same 100 ms with all index servers cold; discovery serves five calls a
-// second.
+// All front nodes start within 100 ms with all index servers cold; discovery serves five calls a second.
 const char* const kCold = R"(
 seconds = 13
 shards = 4
@@ -48,39 +48,41 @@
 waiting = 10
 )";
 
-struct Seen {
+struct RunResult {
     FleetTotals totals;
     FleetReader reader;
 };
-Seen play(const FleetWorld& world) {
-    Seen seen{{}, FleetReader(world.world.nodes)};
-    seen.totals = play_fleet(world, {PINEDOOR_PROGRAM, 500, {}},
-                             [&seen](const std::string& line) { seen.reader.take(line); });
-    test::check_rules(seen.reader.finish(), seen.totals);
-    std::ostringstream words;
-    print_verdict(words, world, seen.totals, seen.reader);
-    MESSAGE(words.str());
-    return seen;
+RunResult run(const FleetWorld& world) {
+    RunResult result{{}, FleetReader(world.world.nodes)};
+    result.totals = play_fleet(world, {PINEDOOR_PROGRAM, 500, {}},
+                               [&result](const std::string& line) { result.reader.take(line); });
+    test::check_rules(result.reader.finish(), result.totals);
+    std::ostringstream summary;
+    print_verdict(summary, world, result.totals, result.reader);
+    MESSAGE(summary.str());
+    return result;
 }
 
 TEST_CASE("thirty front nodes start at once before a discovery that serves five calls a second") {
-    test::judge([&] { return play(FleetWorld::from_text(kCold, "cold.toml")); },
-                [&](const auto& seen, test::Figures& figures) {
-                    CHECK(seen.totals.totals.broken() == 0);
-                    const auto& calls = seen.totals;
+    test::judge([&] { return run(FleetWorld::from_text(kCold, "cold.toml")); },
+                [&](const auto& result, test::Figures& figures) {
+                    CHECK(result.totals.totals.broken() == 0);
+                    const auto& calls = result.totals;
                     FIGURE(calls.count(CallDesk::End::kServed) == 30);
-                    FIGURE(calls.calls.size() <= 90);  // three a node
+                    FIGURE(calls.calls.size() <= 90);  // three for each node
                     FIGURE(calls.count(CallDesk::End::kRefused) <= 30);
-                    FIGURE(seen.reader.served_by(1) > 0);
-                    FIGURE(seen.reader.served_by(0.5) < 70'000);
-                    CHECK(seen.reader.nearest(Breach::Rule::kNoColdServerOver) < 1);
+                    FIGURE(result.reader.served_by(1) > 0);
+                    FIGURE(result.reader.served_by(0.5) < 70'000);
+                    CHECK(result.reader.nearest(Breach::Rule::kNoColdServerOver) < 1);
                 });
 }
 
-TEST_CASE("discovery is down as all start; half know a list, a third of whose servers are others by now") {
+TEST_CASE(
+    "discovery is down at the start and half of the nodes know a server list with a third of its servers "
+    "replaced") {
     test::judge(
         [&] {
-            return play(FleetWorld::from_text(
+            return run(FleetWorld::from_text(
                 std::string(kCold) + "[[faults]]\nkind = \"discovery-down\"\nfrom_s = 0\nuntil_s = 4\n",
                 "down.toml",
                 {{"fleet.known", "0.5"},
@@ -88,22 +90,23 @@
                  {"fleet.discovery.calls_per_second", "20"},
                  {"seconds", "16"}}));
         },
-        [&](const auto& seen, test::Figures& figures) {
-            CHECK(seen.totals.totals.broken() == 0);
-            FIGURE(seen.totals.count(CallDesk::End::kServed) >= 30);
-            FIGURE(seen.totals.most_calls_in_a_second <= 30);
-            // Those that know a list serve before discovery is back, though a third of it is nobody.
-            const auto early = seen.reader.within(4);
+        [&](const auto& result, test::Figures& figures) {
+            CHECK(result.totals.totals.broken() == 0);
+            FIGURE(result.totals.count(CallDesk::End::kServed) >= 30);
+            FIGURE(result.totals.most_calls_in_a_second <= 30);
+            // Nodes that know a server list serve before discovery is back, although a third of its entries
+            // have departed.
+            const auto early = result.reader.within(4);
             FIGURE(early.answered > 50);
-            FIGURE(seen.reader.served_by(0.45) < 40'000);
-            FIGURE(seen.reader.served_by(0.95) > 0);
+            FIGURE(result.reader.served_by(0.45) < 40'000);
+            FIGURE(result.reader.served_by(0.95) > 0);
         });
 }
 
-TEST_CASE("seven in ten front nodes die under load and return together") {
+TEST_CASE("seven in ten front nodes are killed under load and return together") {
     test::judge(
         [&] {
-            return play(FleetWorld::from_text(
+            return run(FleetWorld::from_text(
                 std::string(kCold) + "[[faults]]\nkind = \"kill\"\nfrom_s = 4\nuntil_s = 5\nshare = 0.7\n",
                 "herd.toml",
                 {{"fleet.known", "1"},
@@ -112,21 +115,22 @@
                  {"fleet.discovery.calls_per_second", "20"},
                  {"seconds", "12"}}));
         },
-        [&](const auto& seen, test::Figures& figures) {
-            CHECK(seen.totals.totals.broken() == 0);
-            FIGURE(seen.totals.totals.node_kills == 21);
-            FIGURE(seen.totals.calls.size() <= 30 + 3 * 21);
-            const auto& seconds = seen.reader.seconds();
+        [&](const auto& result, test::Figures& figures) {
+            CHECK(result.totals.totals.broken() == 0);
+            FIGURE(result.totals.totals.node_kills == 21);
+            FIGURE(result.totals.calls.size() <= 30 + 3 * 21);
+            const auto& seconds = result.reader.seconds();
             REQUIRE(seconds.size() >= 11);
-            FIGURE(seconds[4].answered > 60);  // by the nine that are left
+            FIGURE(seconds[4].answered > 60);  // by the nine nodes that remain
             for (std::size_t i = 7; i < 11; ++i) FIGURE(seconds[i].answered > seconds[i].asked * 8 / 10);
         });
 }
 
-TEST_CASE("the way to discovery is cut one way, flips bits, and is reset; the fleet serves on and returns") {
+TEST_CASE(
+    "links to discovery are cut one way, flip bits and are reset: the fleet keeps serving and calls return") {
     test::judge(
         [&] {
-            return play(FleetWorld::from_text(
+            return run(FleetWorld::from_text(
                 std::string(kCold) +
                     "[[faults]]\nkind = \"links\"\nbetween = \"discovery\"\nway = \"back\"\ncut = true\n"
                     "from_s = 2\nuntil_s = 7\nshare = 0.5\n"
@@ -143,15 +147,15 @@
                  {"fleet.discovery.calls_per_second", "50"},
                  {"seconds", "10"}}));
         },
-        [&](const auto& seen, test::Figures& figures) {
-            CHECK(seen.totals.totals.broken() == 0);
-            FIGURE(seen.totals.calls.size() > 30);  // those that were cut off ask again
-            FIGURE(seen.totals.calls.size() < 150);
-            FIGURE(seen.totals.totals.service() > 0.9);
+        [&](const auto& result, test::Figures& figures) {
+            CHECK(result.totals.totals.broken() == 0);
+            FIGURE(result.totals.calls.size() > 30);  // nodes that were cut off retry
+            FIGURE(result.totals.calls.size() < 150);
+            FIGURE(result.totals.totals.service() > 0.9);
         });
 }
 
-TEST_CASE("a fleet's world reads as it is written; faults are named where they cannot be") {
+TEST_CASE("a fleet description is read as written; errors name the key of a fault") {
     const auto text =
         std::string(kCold) +
         "[[faults]]\nkind = \"links\"\nway = \"back\"\nnodes = [1, 2]\nflip = 0.25\nuntil_s = 3\n";
@@ -163,7 +167,7 @@
     const auto refused = [&](const std::string& more) -> std::string {
         try {
             FleetWorld::from_text(std::string(kCold) + more, "w.toml");
-            return "taken";
+            return "accepted";
         } catch (const std::exception& error) {
             return error.what();
         }
