--- a/tests/store/crash_test.cpp
+++ b/tests/store/crash_test.cpp
@@ -123,7 +123,7 @@
     }
 };
 
-TEST_CASE("after kills at 100 random times, nothing has run twice and every key has a correct final answer") {
+TEST_CASE("after kills at 100 random times nothing has run twice and every key has a correct final answer") {
     CrashRounds crash_rounds;
     crash_rounds.program.with_settings(kSqlite);
     for (int round = 0; round < 100; ++round) crash_rounds.run_round(true, 12'000);
