--- a/src/service/client_side.cpp
+++ b/src/service/client_side.cpp
@@ -14,28 +14,30 @@
 namespace {
 
 constexpr Time kSecond = 10'000;
-// After SIGTERM new connections come for 0.4 s at the longest, and each time limit is 50 ms longer on
-// sockets.
+// New connections arrive for up to 0.4 s after SIGTERM; each time limit is 50 ms longer on sockets.
 constexpr Time kAcceptOn = 4'500;
-// SIGKILL comes no earlier than the longest route timeout (3 s at most) and this after SIGTERM, but for a
+// SIGKILL comes no earlier than the longest route timeout (3 s at most) plus this time after SIGTERM, less a
 // margin.
 constexpr Time kLongestStop = 30'000;
 constexpr Time kStopOn = 7'000 - 1'000;
 constexpr Time kRetryAccept = 500;
-// A client is owed an error or a close within 3 s of connecting, whatever it does, and a request that has
-// begun no more time than that; a connection without an open request may be closed after 2 s.
+// A client must get an error or a close within 3 s of connecting, whatever it does, and a request that has
+// begun gets no more time than that; a connection without an open request may be closed after 2 s.
 constexpr Time kWholeRequest = 25'000;
 constexpr Time kIdle = 20'000;
-// What a client may still send after its last answer before the connection is closed over it: as much as the
-// longest request.
+// Number of bytes that a client may still send after its last answer before the connection is closed: the
+// size of the longest request.
 constexpr std::size_t kMostLeft = 80 * 1024;
 constexpr std::uint32_t kMostRemainingMs = 86'400'000;
 constexpr std::size_t kLongestName = 64;
 constexpr std::size_t kMostParts = 4096;
-constexpr std::size_t kLongestText = 16 * 1024;  // it goes with each part: a whole call must stay readable
-constexpr double kShareSlack = 0.01;             // usual clients write six decimals: sums miss 1 by 2e-6
+constexpr std::size_t kLongestText =
+    16 * 1024;  // sent with each part: a whole call must stay small enough for a server to read
+constexpr double kShareSlack =
+    0.01;  // clients usually write six decimals, so that sums are off by about 2e-6
 
-bool is_name(std::string_view text) {  // stands in a line of words, before a dot and a number
+// Whether the text can be used in a space-separated line, followed by a dot and a number.
+bool is_name(std::string_view text) {
     return !text.empty() && text.size() <= kLongestName &&
            std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 127; });
 }
@@ -77,8 +79,8 @@
     if (stopping_) return;
     stopping_ = true;
     accept_until_ = scheduler_.now() + kAcceptOn;
-    // Clients go on using their connections for half of the time that is left: the other front nodes may be
-    // starting just now, and nobody else would answer. What still comes must end before the kill.
+    // Clients keep using their connections for half of the remaining time: the other front nodes may be
+    // starting just now, and nobody else would answer. Later requests must end before SIGKILL.
     const Time left = std::min(patience_, kLongestStop) + kStopOn;
     serve_until_ = scheduler_.now() + left / 2;
     answer_until_ = scheduler_.now() + left;
@@ -88,7 +90,7 @@
 net::Task ClientSide::accept() {
     while (scheduler_.now() < accept_until_) {
         const bool out_of_descriptors = !take_all_queued();
-        // Never spins on a full table: it asks again after a while, or when a connection has gone.
+        // With no free descriptor, retry after a delay or when a connection has closed, instead of spinning.
         const Time again = out_of_descriptors ? scheduler_.now() + kRetryAccept : net::kNever;
         co_await waiter_->wait(out_of_descriptors ? 0U : unsigned{net::kRead},
                                std::min(accept_until_, again));
@@ -105,7 +107,6 @@
     }
 }
 
-// False if there is no room for one more.
 bool ClientSide::take_all_queued() {
     for (;;) {
         if (connections_.size() >= most_connections_) {
@@ -125,14 +126,14 @@
             counters_.add(Count::kAcceptFailures);
             log_.event(Level::kWarning, "accept_failed", "accept failed: error " + std::to_string(error),
                        {{"error", std::to_string(error)}});
-            // Only a descriptor of this process is to be had by closing another connection.
+            // Only a descriptor of this process can be freed by closing another connection.
             if (error == EMFILE) make_room();
             return false;
         }
         std::unique_ptr<Connection> accepted;
         try {
             accepted = std::make_unique<Connection>(scheduler_, std::move(fd));
-        } catch (const std::system_error&) {  // there is no room for it on epoll: nothing of it was read
+        } catch (const std::system_error&) {  // not accepted by epoll; nothing of it has been read
             counters_.add(Count::kAcceptFailures);
             return false;
         }
@@ -147,8 +148,8 @@
     }
 }
 
-// Asks one connection to close; there is room once it has. Guards against clients that open connections and
-// say nothing, never finish, or hold on for good.
+// Evicts one connection, which frees its descriptor once it has closed. Keeps clients that open connections
+// and send nothing, never complete a request, or never disconnect from using up all connections.
 void ClientSide::make_room() {
     Connection* first = nullptr;
     const auto rank = [this](const Connection& c) { return std::pair{readiness_to_go(c), c.since}; };
@@ -161,8 +162,8 @@
     first->stream.waiter().signal();
 }
 
-// Lowest goes first: those that have their last answer, then those that have not come up with a first request
-// in the usual time, then those between two requests. A new one is likely to be a usual client's.
+// Evicted first are connections after their last answer, then those without a first request within the usual
+// time, then those between two requests. A new connection is likely to belong to a regular client.
 int ClientSide::readiness_to_go(const Connection& connection) const {
     switch (connection.phase) {
         case Connection::Phase::kLeaving: return 0;
@@ -191,13 +192,14 @@
         using State = parse::HttpReader::State;
         Time arrived = 0;
         bool told_to_go_on = false;
-        for (;;) {  // one request
+        for (;;) {  // reads one request
             auto& buffer = stream.buffer();
             if (!buffer.empty() && arrived == 0) {
                 const Time now = scheduler_.now();
                 const Time came = std::exchange(connection.next_came, 0);
                 arrived = came != 0 ? came : now;
-                // The first request has its time from the connection's start, however it trickles in.
+                // The time limit of the first request runs from the connection's start, however slowly it
+                // arrives.
                 if (connection.phase == Connection::Phase::kIdle) {
                     connection.phase = Connection::Phase::kReading;
                     connection.since = now;
@@ -209,14 +211,14 @@
                 told_to_go_on = true;
                 stream.write("HTTP/1.1 100 Continue\r\n\r\n");
             }
-            // Before a close nothing may be left to read: a request that crosses it is served.
+            // Read before a close: a request that crosses it is still served.
             if (waiter.may(net::kRead) || connection.evicted || connection.closing) {
                 const auto got = stream.read();
                 if (got == net::Stream::Got::kBytes) continue;
                 if (got != net::Stream::Got::kNothing) co_return;
             }
             if (arrived == 0 && (connection.evicted || connection.closing)) co_return;
-            if (connection.evicted) break;  // part of a request was read: its client is told
+            if (connection.evicted) break;  // part of a request has been read: answer with an error
             const bool idle = connection.phase == Connection::Phase::kIdle;
             const Time late = connection.since + (idle ? kIdle : kWholeRequest);
             if (scheduler_.now() >= late) {
@@ -234,13 +236,13 @@
             note_next(connection);
             co_await waiter.wait(net::kClosed | (connection.next_came == 0 ? net::kRead : 0U));
             if (!waiter.may(net::kClosed) || connection.ending) continue;
-            co_return;  // the client has gone away
+            co_return;  // the client has closed the connection
         }
         if (!reply) reply = reply_to(*connection.ending);
         connection.ending.reset();
         connection.multiget = 0;
 
-        // Whoever sent nonsense may send more: it must connect again.
+        // After a malformed request the position in the stream is unknown: the client must reconnect.
         open = request.state() == State::kDone && request.keeps_open() && !reply->last &&
                scheduler_.now() < serve_until_;
         const auto text = parse::http_answer(reply->status, reply->headers, reply->body, !open);
@@ -253,7 +255,7 @@
         connection.phase = Connection::Phase::kIdle;
         connection.since = scheduler_.now();
     }
-    // A close over input that was not read resets the connection and may destroy the answer on its way.
+    // Closing a connection with unread input resets it and may destroy the answer in transit.
     net::end_writing(stream.fd());
     connection.phase = Connection::Phase::kLeaving;
     const Time give_up_at = scheduler_.now() + kSecond;
@@ -268,8 +270,7 @@
     }
 }
 
-// Guards requests that are sent before the one ahead of them is answered: their time runs from when they
-// came, not from when this node turns to them.
+// The time of a pipelined request runs from its arrival, not from the end of the request before it.
 void ClientSide::note_next(Connection& connection) {
     if (connection.next_came != 0) return;
     auto& stream = connection.stream;
@@ -277,7 +278,6 @@
     if (!stream.buffer().empty()) connection.next_came = scheduler_.now();
 }
 
-// Nothing, if the answer comes with the multiget's ending.
 std::optional<ClientSide::Reply> ClientSide::handle(Connection& connection, parse::HttpReader& request,
                                                     Time arrived) {
     if (request.state() == parse::HttpReader::State::kBad) return bad(request.fault(), request.why());
@@ -286,7 +286,8 @@
     if (request.method() == "POST") return ask(connection, request, arrived);
     if (request.method() != "GET") return bad(405, "no such method here");
     if (path == "/up") {
-        // A front that sends clients to whoever listens would have them turned away for want of a list.
+        // A load balancer sends clients to any node that is up; without a server list they would only be
+        // rejected.
         const bool can = can_serve_();
         return Reply{can ? 200 : 503, "Content-Type: text/plain\r\n",
                      can ? "up\n" : "no list of servers yet\n"};
@@ -318,7 +319,6 @@
     return {status, "Content-Type: text/plain\r\n", why + '\n', true};
 }
 
-// What is wrong with it, or nothing.
 std::string ClientSide::read_multiget(parse::HttpReader& request, Time arrived, MultigetAsked& asked) const {
     const auto index_of = [](const std::vector<std::string>& names, std::string_view name) {
         return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
--- a/src/service/counters.hpp
+++ b/src/service/counters.hpp
@@ -1,4 +1,4 @@
-// What this front node has taken in, sent and answered, counted since its start.
+// Counters of this front node since its start.
 #pragma once
 
 #include <array>
@@ -9,6 +9,7 @@
 
 namespace pinedoor::service {
 
+// Named after the counters that `/counters` prints.
 enum class Count : std::size_t {
     kTaken,
     kAnsweredWhole,
@@ -54,25 +55,27 @@
     kEnd
 };
 
-std::string_view name_of(Count count);  // as `/counters` gives it
+// The counter's name in `/counters`.
+std::string_view name_of(Count count);
 
 class Counters {
 public:
     void add(Count which, std::uint64_t by = 1) { values_[static_cast<std::size_t>(which)] += by; }
     std::uint64_t of(Count which) const { return values_[static_cast<std::size_t>(which)]; }
-    std::string print() const;  // a line each: name, blank, value
+    std::string print() const;  // one line per counter: name, blank, value
 
 private:
     std::array<std::uint64_t, static_cast<std::size_t>(Count::kEnd)> values_{};
 };
 
-// What must hold: asserted in debug builds, counted in release builds.
+// Checks an invariant: asserts in debug builds, counts violations in release builds.
 inline bool must_hold(bool holds, Counters& counters) {
     assert(holds);
     if (!holds) counters.add(Count::kInvariantsBroken);
     return holds;
 }
 
+// Appends a line of `/counters`.
 void append_line(std::string& out, std::string_view name, std::uint64_t value);
 
 }  // namespace pinedoor::service
--- a/src/service/descriptors.hpp
+++ b/src/service/descriptors.hpp
@@ -1,5 +1,5 @@
-// How the told number of descriptors is shared: a reserve for what every process holds, the rest for both
-// sides.
+// Divides the configured number of descriptors: a reserve for the process itself, the rest for index servers
+// and clients.
 #pragma once
 
 #include <cstddef>
@@ -8,7 +8,7 @@
 
 class Descriptors {
 public:
-    // Standard streams, epoll, the listener, signals, discovery's connections and a few to spare.
+    // Standard streams, epoll, the listener, signals, discovery's connections and a few spare ones.
     static constexpr std::size_t kReserve = 16;
 
     explicit Descriptors(std::size_t told)
--- a/src/service/exchange.cpp
+++ b/src/service/exchange.cpp
@@ -15,7 +15,8 @@
     }
 }
 
-// Proven by the protocol (docs/architecture.md, outcomes of sends); all else may have run.
+// Whether the protocol proves that the send never ran (docs/architecture.md, outcomes of sends). All other
+// sends may have run.
 bool never_ran(Outcome outcome) {
     return outcome == Outcome::kFull || outcome == Outcome::kNoConnection || outcome == Outcome::kNeverSent;
 }
@@ -36,7 +37,7 @@
 
 void Exchange::start() {
     task_ = run();
-    // Without turns nothing is answered any more: whoever started this program must start it again.
+    // No multiget is answered without turns, so a failure ends the process, which its supervisor restarts.
     task_.start([this](std::exception_ptr failure) {
         scheduler_.defer([failure] { std::rethrow_exception(failure); });
     });
@@ -61,7 +62,8 @@
     next_turn_ = now + turn_;
     counters_.add(Count::kTurns);
     auto events = std::exchange(events_, {});
-    // Guards a process that stood still: what the list says by now counts for the requests that came with it.
+    // If the process was suspended, list changes and requests may arrive in one turn: the list changes are
+    // applied first, so that they count for these requests.
     std::stable_partition(events.begin(), events.end(),
                           [](const Event& event) { return std::holds_alternative<ListNews>(event); });
     while (!bells_.empty() && bells_.begin()->first <= now) {
@@ -96,8 +98,9 @@
     if (held == 0) names_.erase(name);
 }
 
-// With so many open further ones are turned away; the last one may go beyond, and parts that are in do not
-// count: else a node with two of the largest multigets would refuse a third that the settings have room for.
+// Requests are rejected while the number of open multigets and unanswered parts has reached the limit. The
+// last accepted multiget may exceed it, and answered parts do not count: otherwise a node with two multigets
+// of the largest size would reject a third one that the settings allow for.
 Acceptance Exchange::could_take(const std::string& name) const {
     if (open_now() >= most_open_) {
         counters_.add(Count::kNoRoom);
@@ -105,7 +108,7 @@
                    {{"open", std::to_string(open_now())}});
         return Acceptance::kNoRoom;
     }
-    // Guards the names of parts: two multigets of one name would share them at the index servers.
+    // Index servers identify parts by the multiget's name, so two open multigets must not share one.
     return names_.contains(name) ? Acceptance::kNameInUse : Acceptance::kTaken;
 }
 
@@ -170,7 +173,7 @@
 
 void Exchange::end(Id multiget, Ending ending, std::string_view reason) {
     const auto at = multigets_.find(multiget);
-    if (at == multigets_.end()) return;  // its client left in the same turn
+    if (at == multigets_.end()) return;  // the client left in the same turn
     if (ending.kind == Ending::Kind::kAnswered) {
         for (const Id id : at->second.parts) {
             auto& part = parts_.at(id);
@@ -182,11 +185,10 @@
     forget(at).ended(std::move(ending));
 }
 
-// The send is out no more; its part, or the end if its multiget is over. None: it was not out.
 std::optional<std::map<Id, Exchange::OpenPart>::iterator> Exchange::take_out(const PartCall& call,
                                                                              Outcome outcome) {
     const auto at = out_.find({call.part, call.send});
-    if (!must_hold(at != out_.end(), counters_)) return std::nullopt;  // a send gets exactly one outcome
+    if (!must_hold(at != out_.end(), counters_)) return std::nullopt;  // each send gets exactly one outcome
     hold_name(at->second, -1);
     out_.erase(at);
     constexpr auto kFirst = static_cast<std::size_t>(Count::kReturned);
@@ -209,8 +211,8 @@
         part->second.value = std::move(value);
     }
     const Time now = scheduler_.now();
-    // The server was told just now that this send is given up. What replaces it leaves a turn later, as after
-    // a call-off, or it could arrive first, on another connection, as a second copy.
+    // The server has just been sent a cancellation of this send. Delay the replacement by one turn, as after
+    // a cancelled send: otherwise it might arrive first, on another connection, as a second copy.
     if (outcome == Outcome::kTimedOut) next_turn_ = std::max(next_turn_, now + turn_);
     happened(SendEnded{call.part, call.send, call.server, now - call.sent, outcome, std::move(load)});
 }
@@ -258,7 +260,7 @@
     ListNews news{kind, {}, age < 0 ? ListNews::kOld : age, {}, false};
     std::set<ServerId> named;
     for (auto& member : members) {
-        // A server keeps its id here for as long as it is listed, and whatever address it is listed at.
+        // A server keeps its id for as long as it is listed, even if its address changes.
         const auto [at, is_new] = servers_.try_emplace(member.name);
         auto& known = at->second;
         if (is_new) {
@@ -275,7 +277,7 @@
         news.entries.push_back(member.entry);
     }
     const bool whole = kind == ListKind::kFull || kind == ListKind::kSaved;
-    for (const auto& [name, known] : servers_) {  // a whole list removes what it does not name
+    for (const auto& [name, known] : servers_) {  // a full list removes the servers that it does not name
         if (whole && !named.contains(known.id)) caller_->learn(known.id, known.at, ServerState::kGone, 0);
     }
     happened(std::move(news));
@@ -291,7 +293,8 @@
     return at == servers_.end() ? std::nullopt : std::optional(at->second.id);
 }
 
-// Guards against growth with every server ever listed. One that returns afterwards is a new server.
+// Keeps the map from growing with every server ever listed. A server that is listed again later is a new
+// server.
 void Exchange::forget(ServerId server) {
     std::erase_if(servers_, [&](const auto& each) { return each.second.id == server; });
 }
@@ -300,9 +303,9 @@
     const auto part = parts_.find(send.part);
     const Time now = last_turn_;
     PartCall call{send.part, send.number, send.server, {}, 0, nullptr, now, now};
-    // Its client left in the same turn. Guards the server's place for a part: an outcome that named another
-    // send of the part left this one out there for good, and a server that was on trial was then never tried
-    // again.
+    // The client left in the same turn. The outcome names exactly this send: if it named another send of the
+    // part, this one would count as outstanding at its server for good, and a server on trial would not be
+    // tried again.
     if (part == parts_.end()) {
         return happened(SendEnded{send.part, send.number, send.server, 0, Outcome::kNeverSent, {}});
     }
@@ -321,7 +324,7 @@
 }
 
 void Exchange::carry_out(const CallOff& call_off) {
-    if (!out_.contains({call_off.part, call_off.send})) return;  // it ended in the same turn
+    if (!out_.contains({call_off.part, call_off.send})) return;  // the send ended in the same turn
     counters_.add(Count::kCallOffs);
     caller_->call_off(call_off.part, call_off.send);
 }
@@ -352,7 +355,7 @@
 }
 
 void Exchange::carry_out(const LogLine& line) {
-    // The module's lines begin with what happened: "aside 3: silence", "pressure: alpha rises".
+    // The module's log lines begin with the event name, as in "aside 3: silence" or "pressure: alpha rises".
     log_.event(Level::kInfo, std::string_view(line.text).substr(0, line.text.find_first_of(" :")), line.text);
 }
 
--- a/src/service/fleet_side.cpp
+++ b/src/service/fleet_side.cpp
@@ -6,8 +6,8 @@
 namespace pinedoor::service {
 namespace {
 
-constexpr Time kLook = 1'000;    // between two looks at what this node sees and others say
-constexpr Time kLookSoon = 200;  // while this node is new and lacks what others know
+constexpr Time kLook = 1'000;    // interval at which this node's view and the reports of others are read
+constexpr Time kLookSoon = 200;  // interval while this node is new and its gossip state is incomplete
 constexpr double kTicksPerSecond = 10'000;
 
 std::string ago(Time now, Time at) { return at <= 0 ? "never" : std::to_string((now - at) / 10) + " ms ago"; }
@@ -40,12 +40,12 @@
     const auto now = scheduler_.now();
     const auto changes = carrier_.gossip().changes();
     const bool news = std::exchange(seen_changes_, changes) != changes;
-    if (news || now - read_at_ >= terms_.every) {  // words end by themselves
+    if (news || now - read_at_ >= terms_.every) {  // reports expire by themselves
         read_at_ = now;
         others_ = read(reader_);
         hear_keys();
     }
-    hear();  // also without news: opinions grow old, and others' turn to try a server ends
+    hear();  // also without changes: opinions expire, and so do the turns of other nodes to try a server
     tell();
     tell_keys();
 }
@@ -78,10 +78,11 @@
 void FleetSide::hear() {
     const auto now = scheduler_.now();
     for (const auto& [name, told] : hearer_.hear(now, others_)) unheard_[name] = told;
-    // Bounded by what is said now: once nobody says it any more that is told, and drops it.
+    // Bounded by the current reports: once nobody reports on a server any more, that arrives as an empty
+    // report, which removes the entry.
     for (auto at = unheard_.begin(); at != unheard_.end();) {
         const auto& told = at->second;
-        if (!exchange_.server_named(at->first)) {  // its list may come yet
+        if (!exchange_.server_named(at->first)) {  // the server list may name it later
             if (!told.says_something()) asides_.erase(at->first);
             at = told.says_something() ? std::next(at) : unheard_.erase(at);
             continue;
@@ -89,7 +90,7 @@
         ++heard_;
         if (told.aside) oldest_ = std::max(oldest_, now - told.seen);
         if (!told.aside) ended_ += asides_.erase(at->first);
-        // Once for each verdict: later evidence, and whose turn it is to try the server, are news to the
+        // Logged once for each verdict: later evidence, and which node is to try the server, concern the
         // module alone.
         if (told.aside && asides_.insert(at->first).second) {
             ++aside_;
--- a/src/service/fleet_side.hpp
+++ b/src/service/fleet_side.hpp
@@ -1,5 +1,5 @@
-// Carries what front nodes tell each other of index servers, and of multigets that kill them, between the
-// exchange and the members' gossip; what to tell and what to make of it is decided in fleet/server_words and
+// Exchanges reports on index servers, and on multigets that crash them, between the dispatcher and the gossip
+// of the front nodes. What is reported and how reports are judged is decided in fleet/server_words and
 // fleet/verdict.
 #pragma once
 
@@ -18,6 +18,7 @@
 
 namespace pinedoor::service {
 
+// Publishes this node's reports and passes the combined reports of the others to the dispatcher.
 class FleetSide {
 public:
     FleetSide(net::Scheduler& scheduler, Exchange& exchange, peers::Carrier& carrier, Log& log,
@@ -28,6 +29,7 @@
 
 private:
     net::Task run();
+    // Reads new gossip entries and publishes this node's reports.
     void look();
     fleet::Said read(fleet::WordReader& reader) const;
     void tell();
@@ -35,7 +37,7 @@
     void tell_keys();
     void hear_keys();
     std::vector<fleet::ServerSeen> seen() const;
-    // For an operator: all verdicts, or who says what of one server.
+    // For operators: all verdicts, or the reports on one server.
     std::string print_verdicts() const;
     std::string why(std::string_view server) const;
 
@@ -47,15 +49,16 @@
     fleet::WordReader reader_;
     fleet::ServerTeller teller_;
     fleet::ServerHearer hearer_;
-    fleet::Said others_;  // as last read
+    fleet::Said others_;  // reports of other nodes, as last read
     std::uint64_t seen_changes_ = 0;
     Time read_at_ = 0;
-    std::map<std::string, fleet::ServerTold> unheard_;  // of servers that no list has named yet
-    std::set<std::string> asides_;                      // by verdicts that the module was told
+    std::map<std::string, fleet::ServerTold>
+        unheard_;                   // reports on servers that are not on the server list yet
+    std::set<std::string> asides_;  // servers that are set aside by verdicts the module has received
     std::vector<std::uint64_t> keys_told_;
-    std::map<std::uint64_t, Time> keys_heard_;  // until when
+    std::map<std::uint64_t, Time> keys_heard_;  // key -> end of its validity
     std::uint64_t told_ = 0, heard_ = 0, aside_ = 0, ended_ = 0;
-    Time oldest_ = 0;  // evidence that a verdict went by
+    Time oldest_ = 0;  // age of the oldest evidence that a verdict was based on
     net::Waiter waiter_;
     net::Task task_;
 };
--- a/src/service/front_door.cpp
+++ b/src/service/front_door.cpp
@@ -13,9 +13,9 @@
 constexpr int kReadings = 20;
 constexpr net::Moment kReadAgain = 1'000;
 
-// The simulator hands pushed lists in. On sockets an agent beside each front node has them and tells them on
-// a watch, and what the agent has counts as told: a watch has to be open all the time, so that a broken one
-// is opened anew well within the time in which sends have to stop.
+// In the simulator pushed lists arrive by themselves. On sockets an agent beside each front node has them and
+// sends them on a watch, and discovery counts a list that the agent has as received. So a watch must be open
+// all the time, and a broken one must be opened again well within the time in which sends have to stop.
 ListTerms on_sockets(ListTerms terms, Time connect_timeout) {
     if (terms.ask) return terms;
     terms.ask = true;
@@ -24,7 +24,7 @@
     return terms;
 }
 
-// With placement what is asked for again has a share of the further sends, and the module has the rest.
+// With placement, repeated pieces get a share of the further sends, and the module gets the rest.
 FrontNode make_node(std::uint64_t seed, const stated::Stated& stated, const Holders* holders,
                     const placement::PlacementTerms& placement) {
     auto ring = stated.shard_ring();
@@ -52,10 +52,11 @@
     return longest;
 }
 
-// More than this cannot be used again soon: each request that is open would have to find two others idle.
+// Idle connections per open request. More cannot be reused soon: each open request would have to find two
+// idle connections.
 constexpr std::size_t kIdleForEachOpen = 2;
 
-// Half of the memory is for clients' requests, each at its largest.
+// Half of the memory is for requests of clients, each at its largest size.
 std::size_t most_clients(const stated::Launch& launch, const Descriptors& descriptors) {
     constexpr parse::HttpBounds kLargest;
     return std::min(descriptors.for_clients(), launch.memory() / 2 / (kLargest.head + kLargest.body));
@@ -226,8 +227,8 @@
     reload_asked_.signal();
 }
 
-// A file that cannot be used may be in the middle of its replacement: it is read again for a while. Each
-// fault is logged once.
+// An invalid file may be in the middle of its replacement, so it is read again for a while. Each fault is
+// logged once.
 net::Task FrontDoor::reloading() {
     for (std::string told;;) {
         co_await reload_asked_.wait(0, readings_ > 0 ? scheduler_.now() + kReadAgain : net::kNever);
@@ -241,7 +242,6 @@
     }
 }
 
-// What is wrong with the file, or nothing.
 std::string FrontDoor::take_file() {
     try {
         const auto newer = launch_.read_again();
--- a/src/service/front_door.hpp
+++ b/src/service/front_door.hpp
@@ -1,5 +1,6 @@
-// One front node, put together: the exchange with the decision module, and the sides round it. To embed
-// pinedoor, make a scheduler and a FrontDoor, start it, and run the scheduler until done().
+// A complete front node: the dispatcher with the decision module, the client and server connections and the
+// optional components. To embed pinedoor, create a scheduler and a FrontNodeService, start it, and run the
+// scheduler until done().
 #pragma once
 
 #include <cstdio>
@@ -25,24 +26,29 @@
 
 namespace pinedoor::service {
 
+// Creates and connects the components that the configuration asks for.
 class FrontDoor {
 public:
     FrontDoor(net::Scheduler& scheduler, const stated::Launch& launch,
               const stated::Installation& installation, std::FILE* log, LogTerms log_terms = {});
 
-    void start();   // listens; throws if it cannot
-    void stop();    // finishes what was taken
-    void reload();  // reads the file again; a fault in it is logged, and leaves everything as it was
+    void start();  // listens; throws if it cannot
+    void stop();   // answers the accepted multigets first
+    // Reads the configuration again; if it is invalid the fault is logged and nothing changes.
+    void reload();
     bool done();
     std::string print_counters() const;
 
 private:
     net::Task reloading();
+    // Returns what is wrong with the configuration, or an empty string.
     std::string take_file();
     std::unique_ptr<store::Keeper> make_keeper(const stated::Installation& installation);
     std::unique_ptr<PlacementSide> make_placement(const stated::Installation& installation);
     std::unique_ptr<peers::Carrier> make_peers(const stated::Installation& installation);
     std::unique_ptr<LimitSide> make_limits(const stated::Installation& installation);
+    // The layers that handle requests, from the outermost to the innermost: limits, store, placement,
+    // dispatcher.
     RequestHandler& request_handler();
     RequestHandler& recording_handler();
     RequestHandler& inner_handler();
@@ -52,19 +58,20 @@
     Counters counters_;
     Log log_;
     const Descriptors descriptors_;
-    std::unique_ptr<PlacementSide> placement_;  // null: shards are where the ring says
+    std::unique_ptr<PlacementSide> placement_;  // null: shards are placed by the ring
     Exchange exchange_;
     std::unique_ptr<store::Keeper> keeper_;  // null: nothing is recorded
-    std::unique_ptr<FleetSide> fleet_;       // with peers
-    std::unique_ptr<ListShare> share_;       // with peers; before them, since they serve its guests
-    std::unique_ptr<peers::Carrier> peers_;  // null: this node knows no other
-    std::unique_ptr<LimitSide> limits_;      // null: nothing is limited over the whole fleet
+    std::unique_ptr<FleetSide> fleet_;       // only with peers
+    std::unique_ptr<ListShare>
+        share_;  // only with peers; declared before `peers_`, which runs the tasks that serve its followers
+    std::unique_ptr<peers::Carrier> peers_;  // null: no peers are configured
+    std::unique_ptr<LimitSide> limits_;      // null: no limits for the whole fleet
     ServerSide servers_;
     ListWatch list_;
     ClientSide clients_;
-    int readings_ = 0;  // of the file, still to be tried
+    int readings_ = 0;  // remaining attempts to read the configuration
     net::Waiter reload_asked_;
-    net::Task reloading_;  // last: goes first
+    net::Task reloading_;  // last member: destroyed first
 };
 
 }  // namespace pinedoor::service
--- a/src/service/limit_side.cpp
+++ b/src/service/limit_side.cpp
@@ -10,7 +10,7 @@
 namespace pinedoor::service {
 namespace {
 
-constexpr Time kLook = 1'000;  // between two looks at what others say, and at what the module does
+constexpr Time kLook = 1'000;  // interval at which the needs of others and the module's use are read
 
 int index_of(const std::vector<std::string>& names, const std::string& name, const std::string& what) {
     if (name.empty()) return -1;
@@ -25,7 +25,7 @@
     switch (terms.of) {
         case Of::kMultigets: return gate.need(now);
         case Of::kFurtherSends:
-            return 1 + further_demand.need(now);  // nobody sees what a share kept from going out
+            return 1 + further_demand.need(now);  // sends that the share prevented are not visible
         case Of::kConnections: return pace.need(now, may_use(now));
         case Of::kPartsOut: return parts_out.need();
     }
@@ -127,7 +127,7 @@
     about_at_ = net::kNever;
     if (carrier_ == nullptr) return;
     caught_up_ = caught_up_ || !carrier_->gossip().behind();
-    std::map<std::string, std::vector<double>> needs;  // of others, by limit
+    std::map<std::string, std::vector<double>> needs;  // limit -> needs of the other nodes
     std::size_t members = 0;
     for (auto& each : limits_) {
         if (!each->about) continue;
@@ -157,8 +157,8 @@
     if (news) carrier_->publish(fleet::kNeedsTopic, fleet::write_needs(said), lives);
 }
 
-// What it was told holds for a few looks, and no longer than the share that it goes by: a process that stood
-// still must not go on by it.
+// A share is valid for a few intervals and no longer than the lease it is based on, so that a process that
+// was suspended does not go on using it.
 void LimitSide::tell_module(Time now) {
     FleetShare share;
     share.until = now + 3 * kLook;
@@ -220,14 +220,14 @@
 void LimitSide::tell_members() {
     std::vector<std::string> names;
     for (const auto& claim : carrier_->membership().members()) {
-        names.push_back(claim.name);  // suspects too: they are members until they are found dead
+        names.push_back(claim.name);  // suspected ones, too: they are members until found dead
     }
     for (auto& each : limits_) {
         if (each->leases) each->leases->set_members(names);
     }
 }
 
-// The clock is read anew for each: a process that stood still uses nothing of what ended meanwhile.
+// Reads the clock for each request: after a suspension nothing that has expired meanwhile is used.
 TakenRequest LimitSide::ask(MultigetAsked asked, std::function<void(Ending)> ended) {
     if (const auto could = inner_.could_take(asked.name); could != Acceptance::kTaken) return {could, 0};
     const auto now = scheduler_.now();
--- a/src/service/limit_side.hpp
+++ b/src/service/limit_side.hpp
@@ -1,8 +1,8 @@
-// Limits of the whole fleet. Of multigets, in front of the exchange: what a limit turns away is pushed back
-// at once, before anything is sent. Of further sends and of parts out at a server: the module is told what
-// this node's share allows, and decides with it. Of connections: the server side asks before it opens one.
-// Shares are lent among members (fleet/leases), or worked out from what all say that they need (fleet/about);
-// or each node has its even part for good, and says nothing to others.
+// Limits that hold for the whole fleet. Multigets are limited in front of the dispatcher: a rejected one is
+// pushed back at once, before anything is sent. For further sends, and for parts outstanding at a server, the
+// module receives this node's share and decides with it. For connections, the server connections ask before
+// opening one. Shares are lent among members (fleet/leases) or computed from the needs that all of them
+// publish (fleet/about); or each node has a fixed even share and exchanges nothing with others.
 #pragma once
 
 #include <map>
@@ -20,20 +20,21 @@
 
 namespace pinedoor::service {
 
+// Request handler that enforces the fleet limits.
 class LimitSide : public RequestHandler {
 public:
     struct Names {
         std::vector<std::string> tenants, op_types;
         int nodes = 1;
-        Time longest_wait = 0;  // 0: nobody is told when to return
+        Time longest_wait = 0;  // longest Retry-After advice, in tenths of a millisecond; 0: none is given
     };
-    // `carrier`: null where no limit needs others. Throws std::invalid_argument if a limit names a tenant or
-    // an op type that is none.
+    // `carrier`: null if no limit needs other nodes. Throws std::invalid_argument if a limit names an unknown
+    // tenant or op type.
     LimitSide(net::Scheduler& scheduler, RequestHandler& inner, Exchange& exchange, peers::Carrier* carrier,
               Log& log, const fleet::FleetTerms& terms, Names names, std::uint64_t seed);
 
     void start();
-    void stop();  // gives back what was lent
+    void stop();  // gives back leased shares
     TakenRequest ask(MultigetAsked asked, std::function<void(Ending)> ended) override;
     store::PartFates leave(Ticket multiget) override { return inner_.leave(multiget); }
     Acceptance could_take(const std::string& name) const override { return inner_.could_take(name); }
@@ -46,10 +47,10 @@
     struct Limit {
         fleet::LimitTerms terms;
         int tenant = -1, op_type = -1;  // -1: any
-        double part = 0;                // even, for good; or one of these two
+        double part = 0;                // fixed even share, where neither of the next two is set
         std::optional<fleet::Leases> leases;
         std::optional<fleet::AboutShare> about;
-        fleet::Gate gate;  // one of these, by what is limited
+        fleet::Gate gate;  // used according to what is limited
         fleet::ConnectionPace pace;
         fleet::PartsOut parts_out;
         fleet::Bucket further;
@@ -64,11 +65,13 @@
     bool limits(Of what) const;
 
     net::Task run();
+    // Registers the handlers for membership changes, lease messages and operator queries.
     void talk();
     void carry(std::vector<fleet::SendLease> all);
     void take(const std::string& from, const std::string& bytes);
     void tell_members();
-    void share_about(Time now);  // hears what others need, and says what this node does
+    void share_about(Time now);  // reads the needs of other nodes and publishes this node's
+    // Passes this node's share to the decision module.
     void tell_module(Time now);
     std::string print() const;
 
@@ -81,9 +84,9 @@
     std::vector<std::unique_ptr<Limit>> limits_;
     std::uint64_t unread_ = 0;
     Time about_at_ = 0;
-    Time tell_at_ = net::kNever;  // never: nothing that the module has to know is limited
-    double further_sent_ = 0;     // as last seen
-    bool caught_up_ = false;      // held all that others did, once since the start
+    Time tell_at_ = net::kNever;  // kNever: no limit concerns the module
+    double further_sent_ = 0;     // as last read
+    bool caught_up_ = false;      // the gossip state has been complete once since the start
     net::Waiter waiter_;
     net::Task task_;
 };
--- a/src/service/line_watch.cpp
+++ b/src/service/line_watch.cpp
@@ -33,7 +33,7 @@
     std::optional<net::Stream> opened;
     try {
         opened.emplace(scheduler, std::move(fd));
-    } catch (const std::system_error&) {  // there is no room for it on epoll: a call that failed
+    } catch (const std::system_error&) {  // not accepted by epoll: the call has failed
         co_return;
     }
     state.end = CallEnd::kUnderWay;
@@ -70,13 +70,13 @@
             if (!take(*object)) co_return end(CallEnd::kUnusable);
             ++state.objects;
         }
-        // Half a change says nothing, however slowly it grows.
+        // An incomplete object does not count as contact, however slowly it grows.
         const bool is_whole = state.objects > 0 && objects.is_between();
         if (more_came && (state.objects == 0 || is_whole)) state.heard = scheduler.now();
         if (!came.empty() && is_whole && words.alive) words.alive();
         if (objects.bad()) co_return end(CallEnd::kMalformed);
         if (reader.state() == parse::HttpReader::State::kDone) co_return end(CallEnd::kWhole);
-        // Judged after reading: what came while this process stood still counts.
+        // Checked after reading: input that arrived while this process was suspended counts.
         if (scheduler.now() - state.heard >= words.silence) co_return end(CallEnd::kSilent);
         co_await waiter.wait(net::kRead | (written < request.size() ? net::kWrite : 0U),
                              state.heard + words.silence);
--- a/src/service/line_watch.hpp
+++ b/src/service/line_watch.hpp
@@ -1,5 +1,5 @@
-// Asks discovery for something that comes as JSON objects, and hands each object on as it comes: mostly one
-// stands on a line, but any may be laid out over several.
+// Requests a stream of JSON objects from discovery and passes on each object as soon as it is complete.
+// Objects usually take one line each, but may be laid out over several.
 #pragma once
 
 #include <cstddef>
@@ -12,40 +12,42 @@
 
 namespace pinedoor::service {
 
-// How a call ended, for the log and for whoever decides on the next one.
+// How a call ended, for the log and for the decision on the next call.
 enum class CallEnd {
     kUnderWay,
-    kNoConnection,  // refused, not to be had on this machine, or broken before anything came
+    kNoConnection,  // refused, not possible on this machine, or broken before any input
     kRefused,       // answered with a status other than 200
-    kBroken,        // ended or reset after the first byte of its answer
+    kBroken,        // ended or reset after the first byte of the answer
     kSilent,
     kMalformed,  // neither HTTP nor JSON objects
-    kUnusable,   // an object was not taken
-    kWhole,      // the answer's last byte came
+    kUnusable,   // an object was not accepted
+    kWhole,      // the last byte of the answer was read
 };
 
 std::string_view name_of(CallEnd end);
 
-// The state of one call. watch_lines writes it, whoever made the call reads it.
+// The state of one call, written by watch_lines() and read by its caller.
 struct CallState {
     CallEnd end = CallEnd::kUnderWay;
-    int status = 0;           // of HTTP; 0 before it came
-    net::Moment heard = 0;    // when something whole last came, or any bytes of the first answer
-    std::size_t objects = 0;  // that were taken
+    int status = 0;  // HTTP status; 0 before it is read
+    net::Moment heard =
+        0;  // time of the last complete object or blank line, or of any input before the first object
+    std::size_t objects = 0;  // accepted objects
 };
 
+// Parameters of a call.
 struct LineWatch {
     net::Endpoint discovery;
-    std::string target;           // of a GET
-    bool stream = false;          // the call goes on until the other end ends it; else its answer is the end
-    std::size_t longest = 0;      // bytes of an object
-    net::Moment silence = 0;      // after which the call is given up
-    std::function<void()> alive;  // told whenever something whole came, blank lines too, if it is there
-    CallState* state = nullptr;   // kept up to date, if it is there; must outlive the call
+    std::string target;   // target of the GET request
+    bool stream = false;  // the call continues until the other end closes it; else it ends with its answer
+    std::size_t longest = 0;      // largest size of an object, in bytes
+    net::Moment silence = 0;      // time without input after which the call is given up, in ticks of 0.1 ms
+    std::function<void()> alive;  // if set, called for each complete object and for blank lines
+    CallState* state = nullptr;   // if set, updated during the call; must outlive it
 };
 
-// Ends with the call: when the other end ends it, breaks HTTP, keeps silent, or `take` returns false. What
-// the task captures must outlive it.
+// Makes one call. The task ends when the other end closes the connection, violates HTTP or stays silent, or
+// when `take` returns false. Whatever `take` refers to must outlive the task.
 net::Task watch_lines(net::Scheduler& scheduler, LineWatch words,
                       std::function<bool(const std::string&)> take);
 
--- a/src/service/list_share.cpp
+++ b/src/service/list_share.cpp
@@ -13,14 +13,16 @@
 namespace {
 
 constexpr Time kBeat = 10'000;
-constexpr Time kBeatWithout = 2'000;  // looks for somebody that has the list
-// News of the list counts as told 6 s after the fact, whether it came or not: an older word is none.
+constexpr Time kBeatWithout = 2'000;  // interval while this node has no list and looks for a source
+// A change of the list counts as received 6 s after it happened, whether it has arrived or not: an older
+// confirmation is worthless.
 constexpr Time kOldest = 60'000;
-constexpr Time kPatience = 30'000;     // with a source that says nothing
-constexpr Time kClaimLives = 100'000;  // what holders say they hold; said anew at a third of it
+constexpr Time kPatience = 30'000;  // time without messages after which a source, or a request, is given up
+constexpr Time kClaimLives =
+    100'000;  // lifetime of a published revision; published again after a third of it
 constexpr const char* kListTopic = "list";
 constexpr std::size_t kMostFollowers = 64;
-constexpr std::size_t kMostOut = std::size_t{1} << 20U;  // bytes that a follower has not taken yet
+constexpr std::size_t kMostOut = std::size_t{1} << 20U;  // bytes that a follower has not read yet
 
 std::string chunk(const std::string& text) {
     char size[20];
@@ -53,10 +55,11 @@
     for (;;) {
         const auto now = scheduler_.now();
         tell_members();
-        // A member whose own word grows old has lost its source; who says nothing at all is as lost.
+        // A source that sends old confirmations has lost its own source; one that sends nothing at all is
+        // treated alike.
         if (called_ && !called_->discovery && now - called_at_ > kPatience && age() > kOldest)
             lose("its word is old");
-        // Guards against a source that stands still: its system takes the call, and nothing comes.
+        // The system of a suspended source accepts the call, but nothing is sent.
         if (source_.is_silent(now)) lose("it does not answer");
         if (const auto source = source_.tick(now)) follow(*source);
         if (now >= beat_at_) {
@@ -99,8 +102,8 @@
     waiter_.signal();
 }
 
-// Some of those that have the list say which revision; whoever has none asks them, and whoever finds its own
-// source behind for a while leaves it for one that is not.
+// Some of the members that have the list publish its revision. A node without a list calls one of them, and a
+// node whose source stays behind for a while changes to one that is up to date.
 void ListShare::compare() {
     const auto now = scheduler_.now();
     const bool says = source_.says() && fresh();
@@ -147,17 +150,17 @@
     const bool same = whole && have_ && revision == revision_ && digest() == before;
     revision_ = revision;
     have_ = true;
-    // Guards against changes that were missed, or told out of their order: whoever holds another list than
-    // its source asks for the whole one anew, and passes nothing on that it does not hold whole.
+    // A different digest means that changes were missed or arrived out of order: request the full list again,
+    // and relay nothing meanwhile.
     if (!word.digest.empty() && word.digest != digest()) {
         ++digests_differed_;
         have_ = false;
         return lose("its digest differs from what is held here");
     }
     still(word);
-    if (!have_ || same) return;  // a circle; or followers hold it
+    if (!have_ || same) return;  // the followers have this list already
     if (whole) {
-        // Followers hold what was before: they get it whole, too.
+        // Followers have the list before this one: send them the full list, too.
         std::vector<Member> all;
         all.reserve(members_.size());
         for (const auto& [name, member] : members_) all.push_back(member);
@@ -166,9 +169,9 @@
     pass_on(line(false, members));
 }
 
-// Guards against circles of members that have the list from each other: each says by whom its own came, and
-// whoever finds itself among them has no source. (Without, two passed one whole list to and fro, thousands of
-// times a second and never growing old, and heard of no change.)
+// Detects circles of members that get the list from each other: each message names the members that the list
+// passed through, and a node that finds itself among them has no source. Without this check two nodes relayed
+// one full list to each other thousands of times a second; it never grew old, and they missed every change.
 void ListShare::still(const Word& word) {
     if (source_.is_circle(word.via)) {
         ++circles_;
@@ -239,9 +242,10 @@
     }
 }
 
-// A member asks as it would ask discovery. It is told the whole list, then changes, and a word each second.
+// Serves a member, which sends the same request as to discovery: first the full list, then changes, and its
+// age every second.
 net::Task ListShare::serve(net::Stream& stream) {
-    struct Place {  // among the followers, for as long as this runs
+    struct Place {  // an entry among the followers for as long as this task runs
         std::list<Follower>& all;
         std::list<Follower>::iterator at;
         ~Place() { all.erase(at); }
--- a/src/service/list_watch.cpp
+++ b/src/service/list_watch.cpp
@@ -9,7 +9,7 @@
 namespace pinedoor::service {
 namespace {
 
-// A whole list of the largest fleet that is stated, 3,200 servers, with room for long names and indentation.
+// Bytes of a full list of the largest supported fleet, 3,200 servers, with long names and indentation.
 constexpr std::size_t kLongestList = 4 * 1024 * 1024;
 constexpr double kMostMs = 1e13;
 constexpr int kMostPlaces = 1'000'000;
@@ -36,7 +36,8 @@
     if (keeper_ == nullptr) start(false, 0);
 }
 
-// What is under way ends without word. The whole list is asked for: its revisions may be another's.
+// Calls in progress are dropped without a notification. The full list is requested, since the revisions of
+// another source may differ.
 void ListWatch::call(net::Endpoint source) {
     source_ = source;
     revision_.clear();
@@ -49,8 +50,8 @@
     discovery_ = discovery;
     if (keeper_ != nullptr) return keeper_->moved(discovery);
     source_ = discovery;
-    // Whether revisions mean the same there is not known: without one the whole list is told, so nothing that
-    // changed while nobody was asked is missed.
+    // The revisions at the new address may differ. Without a revision the full list is sent, so that no
+    // change in between is missed.
     revision_.clear();
     drop_calls();
     if (!wanted_) return;
@@ -60,7 +61,7 @@
 
 void ListWatch::drop_calls() { calls_.clear(); }
 
-// Calls that are under way go on: each ends by itself, and then says so.
+// Calls in progress continue: each one ends by itself and then reports it.
 void ListWatch::start(bool stream, int beside) {
     std::erase_if(calls_, [](const Call& call) { return call.task.done(); });
     if (calls_.size() > static_cast<std::size_t>(beside)) return;
@@ -106,7 +107,7 @@
                        [this, &call](const std::string& text) { return take_answer(call, text); });
 }
 
-// The first call that is answered is the watch from then on; the others are of no more use.
+// The first call that is answered becomes the watch; the others are dropped.
 bool ListWatch::take_answer(Call& call, const std::string& text) {
     if (!take_object(text)) return false;
     if (call.state.objects == 0) keep_only(call);
@@ -188,7 +189,7 @@
         exchange_.list_news(kind, std::move(read));
         return true;
     }
-    // Whoever keeps it for this node's starts may say when it was known to hold, by the wall clock.
+    // The stored list may contain the wall-clock time at which it was last known to be valid.
     const auto* held = list.member("saved_unix_ms");
     const bool told = held != nullptr && held->number() != nullptr;
     const Time age =
@@ -232,7 +233,7 @@
     const auto at = net::parse_endpoint(*address);
     if (!at || *place != std::floor(*place)) return std::nullopt;
     Member member{*id, *at, {}, 0};
-    // A zone that the settings do not name is one more, which is none of ours.
+    // A zone that is not in the settings counts as one more zone, which differs from this node's.
     const auto known = zone == nullptr ? zones_.end() : std::find(zones_.begin(), zones_.end(), *zone);
     member.entry.zone = static_cast<int>(known - zones_.begin());
     member.entry.place = static_cast<int>(*place);
--- a/src/service/list_watch.hpp
+++ b/src/service/list_watch.hpp
@@ -1,4 +1,5 @@
-// Follows discovery's list, at the exchange's word, on connections of its own.
+// Client for the server list: calls discovery, or another source, when the dispatcher asks for the list, on
+// connections of its own.
 #pragma once
 
 #include <list>
@@ -17,36 +18,42 @@
 
 namespace pinedoor::service {
 
-// Who decides whom to ask for the list, and passes it on, where that is not discovery alone.
+// Chooses the source of the server list and receives everything that the source sends, where discovery is not
+// the only source.
 class ListKeeper {
 public:
     virtual ~ListKeeper() = default;
-    struct Word {                      // what a member says beside the list itself; of discovery it is empty
-        Time age = 0;                  // since discovery said so, at least
-        std::string digest;            // of the whole list now
-        std::vector<std::string> via;  // members that it came by, the one that asks discovery first
+    // Data that a front node sends together with the list; empty for discovery.
+    struct Word {
+        Time age = 0;        // time since discovery confirmed the list, at least
+        std::string digest;  // of the whole current list
+        std::vector<std::string>
+            via;  // front nodes that the list passed through, starting with the one that calls discovery
     };
-    // What came from whoever is asked now.
+    // A list or a change from the current source.
     virtual void came(const std::string& revision, bool whole, const std::vector<Member>& members,
                       const Word& word) = 0;
-    virtual void still(const Word& word) = 0;  // nothing new; the list held still holds
-    virtual void ended() = 0;                  // the call
+    // The list is unchanged and still valid.
+    virtual void still(const Word& word) = 0;
+    virtual void ended() = 0;  // the current call
     virtual void moved(net::Endpoint discovery) = 0;
 };
 
+// Watches or fetches the server list and passes its entries to the dispatcher.
 class ListWatch : public Lister {
 public:
     ListWatch(net::Scheduler& scheduler, Exchange& exchange, Counters& counters, Log& log,
               net::Endpoint discovery, std::vector<std::string> zones);
 
-    void take_known(const parse::Json& known);  // the list as this front node had it last
+    // Loads the list that this front node has stored.
+    void take_known(const parse::Json& known);
     void watch(const WatchList& terms) override;
     void fetch() override;
-    // Discovery is at another address now. What is under way at the old one ends without word, and is asked
-    // for at the new one at once; the list held stays in use.
+    // Discovery has moved to another address. Calls to the old address are dropped without a notification and
+    // the list is requested from the new one at once; the current list stays in use.
     void move_to(net::Endpoint discovery);
 
-    // From now on the keeper says when to call whom, by call().
+    // From now on the listener decides which source is called and when, with call().
     void keep_by(ListKeeper& keeper) { keeper_ = &keeper; }
     void call(net::Endpoint source);
     net::Endpoint discovery() const { return discovery_; }
@@ -55,7 +62,7 @@
 private:
     struct Call {
         CallState state;
-        net::Task task;  // behind what it writes to
+        net::Task task;  // declared after the state that it writes
     };
 
     net::Task follow(bool stream, Call& call);
@@ -65,7 +72,7 @@
     void keep_only(const Call& call);
     bool take_answer(Call& call, const std::string& text);
     std::optional<Time> unheard() const;
-    // A member that is asked for the list says something each second.
+    // Other front nodes that serve the list send something each second.
     static constexpr Time kSilenceOfPeers = 30'000;
 
     void log_told(ListKind kind, std::size_t entries);
@@ -80,14 +87,14 @@
     Counters& counters_;
     Log& log_;
     net::Endpoint discovery_;
-    net::Endpoint source_;  // that is asked
+    net::Endpoint source_;  // the current source
     ListKeeper* keeper_ = nullptr;
     const std::vector<std::string> zones_;
     ServerStarts starts_;
-    std::string revision_;  // the last one held, as discovery wrote it
-    bool wanted_ = false;   // a watch, at some time
+    std::string revision_;  // revision of the current list, as discovery wrote it
+    bool wanted_ = false;   // whether a watch has been requested
     Time longest_silence_ = kSilenceOfPeers;
-    net::Moment heard_ = 0;  // when discovery last said something whole on a watch; 0: never
+    net::Moment heard_ = 0;  // last complete message on a watch; 0: none
     std::list<Call> calls_;
 };
 
--- a/src/service/log.cpp
+++ b/src/service/log.cpp
@@ -14,10 +14,11 @@
 namespace {
 
 constexpr net::Moment kSecond = 10'000;
-constexpr int kMostLines = 50;             // of one event in a second
-constexpr std::size_t kLongestText = 500;  // a line stays well under what a pipe that is ready takes at once
+constexpr int kMostLines = 50;  // lines of one event per second
+constexpr std::size_t kLongestText =
+    500;  // bytes of a value; a line stays well below what a writable pipe accepts at once
 
-// One write for each line, so that lines of several processes on one pipe stay whole.
+// Writes each line in one call, so that lines of several processes on one pipe are not mixed.
 class LineSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
 public:
     explicit LineSink(std::FILE* out) : out_(out) {}
@@ -55,7 +56,7 @@
     return spdlog::level::err;
 }
 
-// Cut to a line's share, with nothing in it that could pass for a line or a key of its own.
+// Truncates the text and replaces control characters, so that it cannot start a line or a key of its own.
 std::string shown(std::string_view text) {
     std::string out(text.substr(0, kLongestText));
     std::replace_if(
--- a/src/service/log.hpp
+++ b/src/service/log.hpp
@@ -1,5 +1,5 @@
-// The log: one event a line on spdlog, so many a second of each event at most, and none while its reader is
-// stuck: a full pipe must not hold up the loop.
+// Log with one event per line, based on spdlog. The lines per second are limited for each event, and no line
+// is written while the output is not writable: a full pipe must not block the event loop.
 #pragma once
 
 #include <cstdio>
@@ -36,10 +36,10 @@
     Log(std::FILE* out, const net::Scheduler& scheduler, Counters& counters, LogTerms terms = {});
     ~Log();
 
-    bool writes(Level level) const;  // so that lines that nobody wants need not be made
+    bool writes(Level level) const;  // whether lines of this level are written
 
-    // `event` names what happened, in snake case, and stays the same from release to release; `text` says it
-    // to a person.
+    // Writes an event. `event` is its name in snake case, which is stable across releases; `text` is a
+    // message for people.
     void event(Level level, std::string_view event, std::string_view text,
                std::initializer_list<Field> fields = {});
 
@@ -53,7 +53,7 @@
     const LogTerms terms_;
     std::unique_ptr<spdlog::logger> logger_;
     net::Moment second_began_ = 0;
-    std::map<std::string, int, std::less<>> lines_;  // of this second, by event
+    std::map<std::string, int, std::less<>> lines_;  // event -> lines in the current second
     int suppressed_ = 0;
 };
 
--- a/src/service/placement_side.cpp
+++ b/src/service/placement_side.cpp
@@ -11,7 +11,7 @@
 using namespace placement;
 constexpr std::size_t kLongestMap = std::size_t{64} << 20U;
 constexpr Time kSilence = 30'000;
-constexpr std::size_t kHottest = 20;  // shards that the counters name
+constexpr std::size_t kHottest = 20;  // hottest shards to be listed among the counters
 
 store::PartFate to_store(PieceFate fate) { return static_cast<store::PartFate>(fate); }
 PieceFate from_store(store::PartFate fate) { return static_cast<PieceFate>(fate); }
@@ -31,7 +31,7 @@
     });
 }
 
-// A watch tells the whole map first, then its changes; a fetch the whole map alone.
+// A watch sends the full map and then its changes; a fetch sends the full map only.
 void PlacementSide::watch() {
     const auto begin = [this](net::Task& task, bool stream) {
         if (!task.done()) return;
@@ -150,7 +150,7 @@
     return servers;
 }
 
-// One at a time, in order: what is done may bring further actions.
+// Executes one action at a time, in order: an action may add further ones.
 void PlacementSide::act(Gatherer::Actions actions) {
     for (auto& action : actions) to_do_.push_back(std::move(action));
     if (acting_) return;
@@ -165,7 +165,7 @@
 
 void PlacementSide::carry_out(const gathering::AskLeg& leg) {
     const auto at = open_.find(leg.number);
-    if (at == open_.end()) return;  // its client has left meanwhile
+    if (at == open_.end()) return;  // the client has left
     const auto& first = at->second.asked;
     MultigetAsked asked;
     asked.name = leg.leg == 0 ? first.name : first.name + '~' + std::to_string(leg.leg);
@@ -175,7 +175,7 @@
     asked.not_after = first.not_after;
     asked.text = first.text;
     asked.tells_parts = true;
-    // The module takes a multiget's weights as shares of one.
+    // The module expects the weights of a multiget's parts to sum to 1.
     double weight = 0;
     for (const auto& piece : leg.pieces) weight += piece.weight;
     const double scale = leg.leg == 0 || weight <= 0 ? 1 : 1 / weight;
--- a/src/service/placement_side.hpp
+++ b/src/service/placement_side.hpp
@@ -1,6 +1,7 @@
-// Carries out what the gatherer and the follower decide: stands between the client sides and the exchange,
-// watches the map at discovery, and tells the decision module which servers hold a piece, by the present map.
-// Each leg is a multiget of the exchange, and passes through the module as any other.
+// Executes the decisions of the gatherer and the map follower: sits between the client connections and the
+// dispatcher, watches the placement map at discovery, and tells the decision module which servers hold a
+// piece according to the current map. Each leg is a multiget of the dispatcher and passes through the module
+// like any other.
 #pragma once
 
 #include <cstdint>
@@ -20,6 +21,7 @@
 
 namespace pinedoor::service {
 
+// Request handler that divides multigets by the placement map and gathers their results.
 class PlacementSide : public RequestHandler, public Routes, public Holders {
 public:
     PlacementSide(net::Scheduler& scheduler, Log& log, placement::PlacementTerms terms,
@@ -27,7 +29,8 @@
 
     void join(Exchange& exchange) { exchange_ = &exchange; }
     void start();
-    void move_to(net::Endpoint discovery);  // as ListWatch's
+    // Discovery has moved; the map is requested at the new address.
+    void move_to(net::Endpoint discovery);
 
     TakenRequest ask(MultigetAsked asked, std::function<void(Ending)> ended) override;
     store::PartFates leave(Ticket multiget) override;
@@ -76,7 +79,7 @@
     net::Waiter waiter_;
     net::Task watching_;
     net::Task fetching_;
-    net::Task task_;  // last: goes first
+    net::Task task_;  // last member: destroyed first
 };
 
 }  // namespace pinedoor::service
--- a/src/service/request_handler.hpp
+++ b/src/service/request_handler.hpp
@@ -1,4 +1,4 @@
-// A multiget as a client side hands it over, and how it ended: plain types, which know no protocol.
+// A multiget as submitted by a client connection, and its result: plain types, independent of any protocol.
 #pragma once
 
 #include <cstdint>
@@ -12,22 +12,24 @@
 
 namespace pinedoor::service {
 
+// A multiget as its client asked for it.
 struct MultigetAsked {
-    std::string name;  // the client's, new with every request
+    std::string name;  // chosen by the client, unique among its requests
     int op_type = 0;
     int tenant = 0;
     bool repeat = false;
     Time not_after = 0;
-    std::string text;                // what every part carries
-    std::vector<PartArrival> parts;  // their ids are given by whoever takes it
+    std::string text;                // query, sent with every part
+    std::vector<PartArrival> parts;  // the handler assigns their ids
     std::string key;                 // the client's Idempotency-Key; empty: none
-    std::string fingerprint;         // with a key: of what is asked
-    bool tells_parts = false;        // its ending is to say what is known of each part
+    std::string fingerprint;         // with a key: fingerprint of op type and body
+    bool tells_parts = false;        // whether the result must contain the fate of each part
 };
 
+// How a multiget ended.
 struct Ending {
-    // The last three come from the record alone: a multiget of the same key was answered, is under way, or
-    // asked for something else. Nothing was sent.
+    // The last three come from the store alone: a multiget with the same key was answered, is in progress, or
+    // had another body. Nothing was sent.
     enum class Kind {
         kAnswered,
         kPushedBack,
@@ -37,33 +39,34 @@
         kOtherBody
     } kind = Kind::kFailed;
     bool whole = false;
-    Time wait = 0;                                    // advice with a pushback or kUnderWay; 0: none
-    std::vector<std::pair<int, std::string>> values;  // shard and value of each part that is in
-    store::PartFates parts;                           // what is known of each part's sends, if asked for
-    std::string told;                                 // kRecorded: the answer's body; else words for a person
+    Time wait = 0;  // Retry-After advice with kPushedBack or kUnderWay; 0: none
+    std::vector<std::pair<int, std::string>> values;  // shard and value of each answered part
+    store::PartFates parts;                           // fate of each part, if requested
+    std::string told;  // kRecorded: the body of the answer; else a message for people
 };
 
-// How an answer stands in the body that the client gets.
+// Returns the JSON body of an answer.
 std::string answer_body(const Ending& ending);
 
 enum class Acceptance { kTaken, kNoRoom, kNameInUse };
-using Ticket = std::uint64_t;  // names a taken multiget until its ending
+using Ticket = std::uint64_t;  // identifies an accepted multiget until its end
 
 struct TakenRequest {
     Acceptance acceptance = Acceptance::kNoRoom;
-    Ticket ticket = 0;  // 0: it was not taken, or has ended already
+    Ticket ticket = 0;  // 0: it was not accepted, or has ended already
 };
 
-// Who takes requests: the exchange with the index servers, or a layer before it that limits, records or
-// splits them. All in the scheduler's thread.
+// Accepts requests: the dispatcher, or a layer in front of it that limits, records or divides them. All calls
+// are made in the scheduler's thread.
 class RequestHandler {
 public:
     virtual ~RequestHandler() = default;
-    // The ending is told once, maybe from within ask(), unless leave() comes first.
+    // Calls `ended` exactly once, possibly before submit() returns, unless abandon() is called first.
     virtual TakenRequest ask(MultigetAsked asked, std::function<void(Ending)> ended) = 0;
-    // What is known of its parts' sends; nothing if it has ended.
+    // Abandons a multiget. Returns the fates of its parts; empty if it has ended.
     virtual store::PartFates leave(Ticket multiget) = 0;
-    virtual Acceptance could_take(const std::string& name) const = 0;  // what ask() would say now
+    // What submit() would return now.
+    virtual Acceptance could_take(const std::string& name) const = 0;
 };
 
 }  // namespace pinedoor::service
--- a/src/service/request_log.hpp
+++ b/src/service/request_log.hpp
@@ -1,6 +1,6 @@
-// The life of each request in the log, at level debug: taken or refused, its attempts and how each ended, its
-// answer and why it was refused. Each line bears the request's name as its client gave it. Nothing is
-// formatted while the level is off.
+// Logs the life of each request at level debug: acceptance or rejection, each attempt and its outcome, and
+// how the request ended and why. Each line has the name that the client gave to the request. Nothing is
+// formatted while the level is disabled.
 #pragma once
 
 #include <string>
--- a/src/service/server_side.cpp
+++ b/src/service/server_side.cpp
@@ -10,10 +10,11 @@
 namespace {
 
 constexpr std::size_t kLargestFrame = 128 * 1024;  // a value may be as long as a whole answer's body
-constexpr std::size_t kEndedKept = 1024;           // names of given up parts, for each connection
+constexpr std::size_t kEndedKept = 1024;           // names of cancelled parts, for each connection
 constexpr Time kTicksPerMs = 10;
-constexpr Time kStallShare = 5;         // of a connect time-out, for the rest of a frame that has begun
-constexpr std::size_t kSpareShare = 8;  // of all connections: so many are kept free while others stand idle
+constexpr Time kStallShare =
+    5;  // the rest of a frame must be written within this fraction of the connect timeout
+constexpr std::size_t kSpareShare = 8;  // this fraction of all connections is kept free while others are idle
 constexpr double kMostReported = 1e9;
 
 }  // namespace
@@ -25,7 +26,8 @@
     : scheduler_(scheduler), exchange_(exchange), counters_(counters), log_(log),
       report_fields_(std::move(report_fields)), parts_per_call_(static_cast<std::size_t>(parts_per_call)),
       streams_(static_cast<std::size_t>(streams)), connect_timeout_(connect_timeout),
-      // The server closes what stands idle for the stated time: what is written then ends in a reset.
+      // Servers close connections that are idle for the configured time, and a frame written at that moment
+      // ends in a reset. Close them earlier here.
       idle_(connection_idle * 3 / 4), most_connections_(most_connections), most_idle_(most_idle),
       waiter_(scheduler) {}
 
@@ -44,12 +46,11 @@
     server.at = at;
     server.state = state;
     server.started = started;
-    // What waits for a connection was sent to a server that was ready, and as warm as it was known to be
-    // then.
+    // Queued sends were chosen for a server that was ready and for its warm-up state at that time.
     if (moved || restarted || state != ServerState::kReady) drop_unwritten(server);
     for (auto& connection : server.connections) {
         connection->retired = connection->retired || moved;
-        // A connection older than its server's process cannot live, though nothing may ever say so.
+        // A connection older than its server's process cannot be alive, even if no reset ever arrives.
         if (std::max(connection->opened, connection->read) < started)
             close(*connection, Count::kClosedRestarted);
         connection->stream.waiter().signal();
@@ -74,8 +75,8 @@
     }
 }
 
-// Guards sends that waited for a connection: meanwhile the client may have left or its time may be over, and
-// the server may have begun to drain.
+// While a send is queued for a connection, the client may leave, the deadline may pass or the server may
+// begin to drain.
 bool ServerSide::may_be_written(const Sent& sent, const Server& server) const {
     return server.state == ServerState::kReady && scheduler_.now() < sent.call.until &&
            exchange_.wants(sent.call.part);
@@ -128,17 +129,17 @@
     connection->stream.waiter().signal();
 }
 
-// The fullest open connection with room, so that the others fall idle; one that is doubted takes nothing new,
-// lest a machine that vanished without word swallow part after part. A new one is opened only if none has
-// room.
+// Picks the open connection with the most sends that has free slots, so that others become idle. A suspected
+// connection takes no new sends: a machine that vanished without closing its connections would swallow part
+// after part. A new connection is opened only if none has a free slot.
 ServerSide::Choice ServerSide::choose(Server& server, std::size_t parts) {
     if (server.state != ServerState::kReady) return {nullptr, Outcome::kNeverSent};
     Connection* best = nullptr;
     Connection* least = nullptr;
     const Time now = scheduler_.now();
     for (auto& connection : server.connections) {
-        // However briefly each of its sends was out: what has been asked for so long and said nothing is
-        // silent.
+        // A connection that has owed an answer for this long without sending any is silent, however short its
+        // sends were outstanding.
         if (connection->asked != net::kNever && now - connection->asked >= connect_timeout_) {
             connection->doubted = true;
             connection->stream.waiter().signal();
@@ -146,7 +147,7 @@
         if (connection->ending || connection->doubted || connection->retired) continue;
         if (!connection->up && now - connection->opened >= connect_timeout_) continue;
         if (!connection->busy() && now - connection->used >= idle_) continue;
-        // Something came while it was idle, most likely its end: what is written now would be lost.
+        // Input on an idle connection is most likely its end; what is written now would be lost.
         if (connection->up && !connection->busy() && net::is_readable(connection->stream.fd().get())) {
             connection->stream.waiter().signal();
             continue;
@@ -158,11 +159,11 @@
     }
     if (best != nullptr && best->up) counters_.add(Count::kReused);
     if (best != nullptr) return {best, Outcome::kNeverSent};
-    if (connections_ >= most_connections_) close_longest_idle();  // there is room for the next one
+    if (connections_ >= most_connections_) close_longest_idle();  // makes room for a later connection
     const bool may = connections_ < most_connections_ && (!may_open_ || may_open_(server.at));
     const auto opened = may ? open(server) : Choice{nullptr, Outcome::kNeverSent};
-    // Whatever keeps this node from another connection tells nothing about the server: the ones it has must
-    // do.
+    // If this node cannot open another connection, that says nothing about the server: use the least loaded
+    // existing connection.
     const bool kept_from_it = opened.connection == nullptr && opened.otherwise == Outcome::kNeverSent;
     return kept_from_it ? Choice{least, Outcome::kNeverSent} : opened;
 }
@@ -172,7 +173,7 @@
     std::unique_ptr<Connection> opened;
     try {
         if (fd) opened = std::make_unique<Connection>(scheduler_, std::move(fd), server);
-    } catch (const std::system_error& failure) {  // there is no room for it on epoll
+    } catch (const std::system_error& failure) {  // not accepted by epoll
         error = failure.code().value();
     }
     if (!opened) {
@@ -194,7 +195,8 @@
     auto& stream = connection.stream;
     auto& waiter = stream.waiter();
     while (!connection.up && !connection.ending) {
-        // What waited for it may have been taken back: then it is given up like one that nobody waits for.
+        // The sends queued for it may have been withdrawn: then the connection attempt is given up after the
+        // connect timeout.
         const Time give_up_at = connection.opened + connect_timeout_;
         if (connection.sends == 0 && scheduler_.now() >= give_up_at) {
             close(connection, Count::kConnectFailed);
@@ -216,7 +218,7 @@
         if (over() || connection.ending) break;
         write_frames(connection);
         note_idle(connection);
-        if (stream.broken()) {  // what had come before it broke counts
+        if (stream.broken()) {  // input that arrived before the failure is still used
             do got = read_frames(connection);
             while (got == net::Stream::Got::kBytes && !connection.ending);
             break;
@@ -225,11 +227,11 @@
         const bool writing = connection.written < connection.frame.size();
         const Time idle_at = connection.busy() ? net::kNever : connection.used + idle_;
         if (scheduler_.now() >= idle_at) close(connection, Count::kClosedIdle);
-        // Nothing is out on it any more, and it has said nothing since the last send timed out.
+        // Nothing is outstanding and nothing has been read since the last send timed out.
         if (connection.doubted && !connection.busy()) close(connection, Count::kClosedDoubted);
         const bool unwanted = connection.retired || connection.server.state == ServerState::kGone;
         if (unwanted && !connection.busy()) close(connection, Count::kClosedIdle);
-        // What begins a frame and never ends it would swallow answer after answer.
+        // A frame that is begun and never completed would hide all later answers.
         const Time whole_by =
             connection.begun == net::kNever ? net::kNever : connection.begun + connect_timeout_;
         if (scheduler_.now() >= whole_by) take_spoilt(connection, {});
@@ -242,8 +244,9 @@
         const Time look_again = std::min({idle_at, whole_by, stalled});
         co_await waiter.wait(net::kRead | (writing ? net::kWrite : 0U), look_again);
     }
-    // A process that dies has its connections reset. One that closes in order, or in the middle of an answer,
-    // lives, though what is out there is lost: else each close that crosses a call would make a server cold.
+    // A dying process has its connections reset. A server that closes in order, or in the middle of an
+    // answer, is alive, although the outstanding sends are lost: otherwise each close that crosses a call
+    // would make a server count as cold.
     if (!connection.ending && (got == net::Stream::Got::kEnd || connection.begun != net::kNever)) {
         lose(connection, {});
     }
@@ -267,7 +270,8 @@
             take_spoilt(connection, frame.rest);
             return got;
         }
-        // Only whole, good frames show life: bytes that never make one must not keep a connection in use.
+        // Only complete, valid frames show that the server is alive: other bytes must not keep a connection
+        // in use.
         connection.read = connection.used;
         connection.asked = connection.sends > 0 ? connection.read : net::kNever;
         connection.doubted = false;
@@ -284,10 +288,10 @@
     lose(connection, rest);
 }
 
-// The connection is of no further use, though its server lives. That is one reset: of the send that is named,
-// else of the one that is out for longest. What else is out goes with the connection, which tells nothing
-// about its server. Guards against blaming a server for each send on a connection of which one answer was
-// spoilt, or that closed under a call.
+// Makes the connection unusable although its server is alive. One send is reported as reset: the one that is
+// named in `rest`, else the one that has been outstanding longest. The other outstanding sends are reported
+// as cancelled, which says nothing about the server. This keeps a server from being blamed for every send on
+// a connection on which one answer was malformed or that was closed during a call.
 void ServerSide::lose(Connection& connection, std::string_view rest) {
     connection.lost = true;
     const auto named = connection.out.find(std::string(rest.substr(0, rest.find(' '))));
@@ -307,7 +311,7 @@
     if (!result) return false;
     const auto at = connection.out.find(std::string(result->id));
     if (at == connection.out.end()) {
-        // A second copy right after a good answer takes nothing from it.
+        // A duplicate right after a valid answer does no harm.
         if (std::exchange(connection.answered, {}) == result->id) {
             counters_.add(Count::kLateResults);
             return true;
@@ -320,7 +324,7 @@
         return true;
     }
     const auto key = at->second;
-    if (sent_.at(key).stage != Stage::kOut) return false;  // answered before it was asked
+    if (sent_.at(key).stage != Stage::kOut) return false;  // answered before the request was written
     if (result->end == parse::ResultEnd::kMoved) {
         std::uint64_t epoch = 0;
         const auto* last = result->value.data() + result->value.size();
@@ -338,7 +342,6 @@
     return true;
 }
 
-// Nothing, unless each field is there with a number: what is missing must not pass for an idle server.
 std::vector<double> ServerSide::read_report(std::string_view report) const {
     std::vector<double> values(report_fields_.size());
     std::size_t found = 0;
@@ -375,7 +378,7 @@
     }
 }
 
-// What gives parts up goes before new calls: a part may be sent again on the connection it was given up on.
+// Cancel frames go before new calls: a part may be sent again on the connection on which it was cancelled.
 void ServerSide::fill_frame(Connection& connection) {
     connection.written = 0;
     connection.frame = std::exchange(connection.commands, {});
@@ -403,15 +406,15 @@
     parse::end_frame(connection.frame);
 }
 
-// Beyond the stated number a server leaves sends unread, and then they cannot be taken back.
+// A server leaves sends beyond the configured number of streams unread, and these could not be withdrawn.
 bool ServerSide::has_room_for_next(const Connection& connection) const {
     if (connection.waiting.empty()) return false;
     return connection.out.empty() || connection.out.size() + connection.waiting.front().size() <= streams_;
 }
 
-// A frame that is not written whole has not run, and may still be taken back with its connection. Guards what
-// stands in it: once the server reads on, its client may be gone, and what it was told of the time left
-// untrue.
+// A frame that is not written completely has not run and can still be withdrawn by closing its connection.
+// Without this limit a server might read on after the client has left, and after the remaining time in the
+// frame has become wrong.
 Time ServerSide::stalls_at(const Connection& connection) const {
     if (connection.writing.empty()) return net::kNever;
     return connection.frame_begun + connect_timeout_ / kStallShare;
@@ -426,7 +429,7 @@
     const Time now = scheduler_.now();
     for (const auto& key : std::exchange(connection.writing, {})) {
         const auto at = sent_.find(key);
-        if (at == sent_.end()) continue;  // given up while it was being written
+        if (at == sent_.end()) continue;  // cancelled while it was being written
         at->second.stage = Stage::kOut;
         at->second.written = now;
         if (connection.asked == net::kNever) connection.asked = now;
@@ -437,7 +440,7 @@
 void ServerSide::call_off(Id part, int send) {
     const SendKey key{part, send};
     const auto at = sent_.find(key);
-    if (at == sent_.end()) {  // gathered in this very turn
+    if (at == sent_.end()) {  // queued in the current turn
         for (const auto& id : gathered_) {
             auto& gathered = servers_.at(id).gathered;
             const auto which = std::find_if(gathered.begin(), gathered.end(), [&](const auto& call) {
@@ -469,9 +472,8 @@
 
 void ServerSide::give_up(Sent& sent) {
     auto& connection = *sent.on;
-    // Whoever gave it up first, the module or the clock: it was out for as long as a new connection may take,
-    // and the connection said nothing. The next part asks a new one, which tells a machine that is gone from
-    // one that is slow.
+    // The send was outstanding for at least the connect timeout and the connection has been silent since. The
+    // next part goes to a new connection, which tells a dead machine from a slow one.
     const bool silent = sent.stage == Stage::kWriting || connection.read < sent.written;
     if (silent && scheduler_.now() - sent.call.sent >= connect_timeout_) connection.doubted = true;
     auto frame = parse::begin_frame('C');
@@ -487,7 +489,6 @@
     if (const auto call = take_sent(key)) exchange_.over(*call, outcome, std::move(load), std::move(value));
 }
 
-// The send is over here; whoever takes it tells the exchange.
 std::optional<PartCall> ServerSide::take_sent(const SendKey& key) {
     const auto at = sent_.find(key);
     if (!must_hold(at != sent_.end(), counters_)) return std::nullopt;
@@ -536,7 +537,7 @@
     const bool ran_out = now >= sent.call.until;
     switch (sent.stage) {
         case Stage::kWaiting: {
-            // No connection came up in time, or the one that is up takes no more bytes.
+            // No connection was established in time, or the connection does not accept more bytes.
             drop_waiting(connection, key);
             const bool waited = now - sent.call.sent >= connect_timeout_;
             end_send(key, waited ? Outcome::kNoConnection : Outcome::kNeverSent);
@@ -550,7 +551,7 @@
     }
 }
 
-// To be called whenever what the connection owes or is owed has changed.
+// To be called whenever the connection's open sends or unwritten bytes change.
 void ServerSide::note_idle(Connection& connection) {
     const bool is_idle = connection.up && !connection.busy() && !connection.ending;
     if (is_idle == (connection.idle_since != net::kNever)) return;
@@ -565,8 +566,8 @@
     if (are_scarce || idle_connections_.size() > most_idle_) close_longest_idle();
 }
 
-// Guards large fleets: idle connections to servers that are seldom needed took up all that there may be, and
-// attempts at other servers were turned away for want of one.
+// With many servers, idle connections to rarely used ones could take up the whole limit, and sends to other
+// servers would be rejected for want of a connection.
 void ServerSide::close_longest_idle() {
     if (!idle_connections_.empty()) close(*idle_connections_.begin()->second, Count::kClosedIdle);
 }
@@ -580,7 +581,8 @@
     connection.stream.waiter().signal();
 }
 
-// The connection is over: what was not written whole has never run, the rest may have.
+// Reports the outcomes of all sends on a closed connection: those whose frame was not written completely have
+// never run, the others may have.
 void ServerSide::finish(Connection& connection) {
     close(connection, connection.cause);
     counters_.add(connection.cause);
--- a/src/service/server_starts.cpp
+++ b/src/service/server_starts.cpp
@@ -5,13 +5,13 @@
 namespace pinedoor::service {
 namespace {
 
-// Clocks of two machines differ by so much without any step. 0.1 s, in ticks.
+// Clocks of two machines may differ by this much without any step: 0.1 s, in ticks.
 constexpr net::Moment kUsualDifference = 1'000;
 
-// Whether discovery's clock was stepped together with this machine's is not known: a start is dated by the
-// clock as it was when this process began, or as it is now. What lies in the future is dated by the other
-// one. Of two that may be so the later one is taken: a server that is taken for colder than it is gets less,
-// and is not pushed over.
+// It is unknown whether discovery's clock was stepped together with this machine's. So the start is computed
+// with the wall clock as it was when this process began, and as it is now; a result in the future is
+// discarded. Of two possible results the later one is used: a server that is taken for colder than it is gets
+// fewer sends and is not overloaded.
 net::Moment on_own_clock(net::Moment told, net::Moment now, net::Moment wall) {
     const net::Moment by_clock_at_begin = told;
     const net::Moment by_clock_now = told - (wall - now);
--- a/src/service/server_starts.hpp
+++ b/src/service/server_starts.hpp
@@ -1,8 +1,8 @@
-// When index servers started, by this process's own clock.
+// Start times of index servers by this process's clock.
 //
-// Discovery dates starts by the wall clock, which may be stepped; this process counts time by a clock that
-// never jumps (net/scheduler.hpp). A start is taken over once, when it is first told, and stays as it was
-// taken: a later step of the wall clock makes no server young or old.
+// Discovery reports start times by the wall clock, which may be stepped; this process uses a clock that never
+// jumps (net/scheduler.hpp). A start time is converted once, when it is first received, and is not converted
+// again: a later step of the wall clock does not change the age of a server.
 #pragma once
 
 #include <map>
@@ -13,13 +13,14 @@
 
 namespace pinedoor::service {
 
+// Converts and keeps the start times of listed servers.
 class ServerStarts {
 public:
-    // The start of the server of this name, told as wall time; 0 stays 0: long ago. `now` and `wall` are read
-    // from this process's clock and from the wall clock at the same moment.
+    // Returns the start time of a server that was reported as wall time; 0 (long ago) stays 0. `now` and
+    // `wall` are this process's clock and the wall clock, read at the same moment.
     net::Moment take(const std::string& server, net::Moment told, net::Moment now, net::Moment wall);
     void forget(const std::string& server) { known_.erase(server); }
-    // A whole list is in: servers that it does not name are forgotten.
+    // Forgets all servers except these, which a full list names.
     void keep_only(const std::set<std::string>& servers);
 
 private:
@@ -27,7 +28,7 @@
         net::Moment told = 0;
         net::Moment started = 0;
     };
-    std::map<std::string, Start> known_;  // of listed servers
+    std::map<std::string, Start> known_;  // start times of listed servers
 };
 
 }  // namespace pinedoor::service
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,6 +1,5 @@
-// What happens when two things cross at the front node's sides: a request and a close, a send and a drain, an
-// answer and a signal. Each crossing is forced: one side is held until the other has acted
-// (docs/lifecycle.md).
+// Races at the front node's edges: a request and a close, a send and a drain, an answer and a signal. Each
+// race is forced: one side is held until the other one has acted (docs/lifecycle.md).
 #include <doctest/doctest.h>
 #include <poll.h>
 
@@ -18,12 +17,12 @@
 using namespace pinedoor::test;
 namespace net = pinedoor::net;
 
-// A server whose queue of new connections is full: what connects to it waits until there is room.
+// A server whose queue of new connections is full: further connections wait until one is accepted.
 class SlowToAccept {
 public:
     SlowToAccept() : listener_(0), first_(listener_.at()) {}
     net::Endpoint at() const { return listener_.at(); }
-    // Makes room, and takes the connection that waited.
+    // Frees a place in the queue and accepts the connection that waited.
     Peer let_in() {
         listener_.accept();
         return listener_.accept();
@@ -34,8 +33,8 @@
     Peer first_;
 };
 
-// A discovery that the front node watches, and two servers: one slow to accept, the other not listed at
-// first.
+// A discovery that the front node watches, and two servers: one that is slow to accept, and one that is not
+// listed at first.
 struct SlowServer {
     SlowToAccept slow;
     Listener other;
@@ -48,7 +47,7 @@
         program.with("\"connect_timeout_ms\":250.0", "\"connect_timeout_ms\":3500.0")
             .with("\"max_attempts\":1", "\"max_attempts\":3");
     }
-    // A request whose send waits for a connection.
+    // Sends a request whose send waits for a connection.
     void ask() {
         client = program.start().client();
         watch = discovery.accept();
@@ -64,8 +63,8 @@
     }
 };
 
-// Guards drains: what waited for a connection was written once it was up, up to a connect time-out after its
-// server had been told to drain.
+// A queued send must be checked again once its connection is up, which may be a connect timeout after the
+// server was told to drain.
 TEST_CASE("a send that waits for a connection does not reach a server that has begun to drain") {
     SlowServer two;
     two.ask();
@@ -81,8 +80,8 @@
     CHECK(two.program.counter("calls") == 1);
 }
 
-// Held before too, since connections older than their server's start are closed. Guards slow start: the
-// server that the send was meant for was warm, the one that it would reach is not.
+// Connections older than their server's start are closed, so the send goes elsewhere. This protects slow
+// start: the send was meant for a warm server, and the restarted one is cold.
 TEST_CASE("a send that waits for a connection is thought over when its server has begun anew") {
     SlowServer two;
     two.program.with("\"warm_after_ms\":16000.0", "\"warm_after_ms\":1600000.0");
@@ -93,7 +92,7 @@
     CHECK(link.frame() == "St.1 1 1\nq");
 }
 
-// Guards the rule that nothing begins for a client that has gone, also where sends may not be cancelled.
+// Nothing may begin for a client that has left, even where sends may not be cancelled.
 TEST_CASE("a send that waits for a connection is not written once its client has gone") {
     SlowServer two;
     two.program.with("\"cancel\":true", "\"cancel\":false");
@@ -106,7 +105,7 @@
     CHECK(late.frame() == "Su.2 2 1\nq");
 }
 
-// Guards servers whose connections never come up: one whose sends had all been taken back was kept for good.
+// A connection that is never established must be given up even if all of its sends have been withdrawn.
 TEST_CASE("a connection that nobody waits for any more is given up after a connect time-out") {
     SlowServer two;
     two.ask();
@@ -116,7 +115,7 @@
     CHECK(two.program.counter_at("connections_open", 0) == 0);
 }
 
-// The front node with faulty system calls, one server, and a folder in which it can be told to pause.
+// The front node with faulty system calls, one server, and a folder with files that make it pause.
 struct Faulty {
     Listener server;
     Listener discovery;
@@ -147,14 +146,14 @@
     }
 };
 
-// Guards what may not run twice: written to a connection that its server had closed, a send may have run, and
-// its request failed.
+// A send that is written to a connection which the server has closed may have run, so its request fails. The
+// close must be noticed before the write.
 TEST_CASE("a server's close that comes just before a request is seen before the request is written") {
     Faulty one;
     one.serve_one("t1");
     one.put("pause");
     one.client.say(post("once", "t2", asks({2})));
-    one.wait_for("paused");  // with the request in hand, and not yet told of the close
+    one.wait_for("paused");  // the request is read, the close is not noticed yet
     SUBCASE("closed") { one.link = Peer{}; }
     SUBCASE("closed for writing only") { one.link.end_writing(); }
     SUBCASE("reset") { one.link.reset(); }
@@ -165,17 +164,17 @@
     CHECK(one.client.answer() == R"(200 {"whole":true,"results":[{"partition":2,"value":"two"}]})");
 }
 
-// Guards the rule that nothing begins for a client that has gone, and what a server is told of the time left:
-// a frame of which a part was written went on whenever its server read on.
+// A partly written frame must not be completed when its server reads on later: the client may have left by
+// then, and the remaining time in the frame is wrong.
 TEST_CASE("a frame that its server does not take is taken back with its connection") {
     Faulty one;
-    // The first write is the call for the list, the second one the frame.
+    // The first write is the call for the server list, the second one is the frame.
     one.program.with_environment("PINEDOOR_FAULT", "transmit 2 stall");
     one.client = one.program.start().client();
     REQUIRE(one.discovery.accept().read_to("\r\n\r\n").starts_with("GET "));
     one.client.say(post("once", "t", asks({1})));
     one.link = one.server.accept();
-    CHECK(one.link.frame() == "S");  // the letter, and then the end
+    CHECK(one.link.frame() == "S");  // the frame's letter, and then the end of the connection
     CHECK(one.link.ended());
     CHECK(is_pushback(one.client.answer(), 0.625, 1.25));  // it has never run
     CHECK(one.program.counter("connections_closed_stalled") == 1);
@@ -213,8 +212,8 @@
     CHECK(client.ended());
 }
 
-// A front node with room for eight connections to its server, on each of which four attempts may be out. A
-// request of 36 parts fills them; four of its attempts wait for room.
+// A front node that may open eight connections to its server, with four sends on each. A request of 36 parts
+// fills them; four of its sends wait for a free stream.
 struct FullConnections {
     static constexpr std::size_t kConnections = 8;
     static constexpr int kRoom = 32;
@@ -240,7 +239,7 @@
     struct Heard {
         std::size_t link = 0;
         std::string frame;
-        // The names of the parts in it, two at most.
+        // The names of the parts in the frame, at most two.
         std::vector<std::string> parts() const {
             std::vector<std::string> names;
             for (auto at = frame.find("t."); at != std::string::npos; at = frame.find("t.", at + 1))
@@ -248,7 +247,7 @@
             return names;
         }
     };
-    // On whichever connection it comes; one that has ended is passed over.
+    // Reads the next frame from any connection; closed connections are skipped.
     Heard next_frame() {
         for (std::size_t ended = 0; ended < kConnections;) {
             const auto link = readable_link();
@@ -291,7 +290,7 @@
     CHECK(full.client.answer().starts_with("200 {\"whole\":true"));
 }
 
-// Guards the rule that nothing begins for a client that has gone: room and its leaving come together.
+// Nothing may begin for a client that has left: here a stream becomes free while it leaves.
 TEST_CASE("an attempt that waits for room is not written when its client leaves as room comes up") {
     FullConnections full;
     full.fill();
@@ -300,17 +299,17 @@
     for (const auto& call : full.out) full.answer(call);
     full.client = full.program.client();
     full.client.say(post("again", "u", asks({7})));
-    // Parts that were answered before they could be cancelled are not cancelled.
+    // Parts that were answered before their cancellation are not cancelled.
     auto next = full.next_frame();
     while (next.frame.starts_with("Ct.")) next = full.next_frame();
     CHECK(next.frame == "Su.7 7 1\nq");
     CHECK(full.program.counter("calls") == FullConnections::kRoom / 2 + 1);
 }
 
-// Guards large fleets: once idle connections took up all that there may be, attempts at any other server were
-// turned away.
+// With many servers, idle connections must not take up the whole limit and keep sends to other servers from
+// getting a connection.
 TEST_CASE("idle connections make room for one to a server that has none") {
-    constexpr std::size_t kServers = 12;  // connections there may be: eight
+    constexpr std::size_t kServers = 12;  // more than the eight connections that may be open
     std::vector<Listener> servers(kServers);
     Listener discovery;
     std::vector<Listed> listed;
@@ -331,12 +330,12 @@
         links.back().reply(part, "done", "v");
         CHECK(client.answer().starts_with("200 "));
     }
-    CHECK(links.front().ended());  // the longest idle goes first
+    CHECK(links.front().ended());  // the connection that is idle longest is closed first
     CHECK(program.counter("connections_open") <= 8);
 }
 
-// Guards what may not run twice: a server remembers what it has run for so long only. The retry is decided in
-// that time, and its connection comes up after it.
+// A server recognises duplicates only within the deduplication window. The retry is decided within the
+// window, and its connection is established after the end of it.
 TEST_CASE("a retry that waits for a connection is not written once the deduplication window has passed") {
     constexpr int kWindowMs = 1'200;
     SlowServer two;
@@ -355,16 +354,16 @@
     REQUIRE(link.frame() == "St.1 1 1\nq");
     watch.say(chunk(list_object(3, true, {{"s-1", two.slow.at()}}) + "\n"));
     REQUIRE(two.program.counter_at("list_news", 3) == 3);
-    link.reset();  // the retry can go to the slow one alone
+    link.reset();  // only the slow server is left for the retry
     REQUIRE(two.program.counter_at("connections_opened", 2) == 2);
     CHECK(client.answer().starts_with("50"));  // it may have run
     CHECK(std::chrono::steady_clock::now() - sent < std::chrono::milliseconds(kWindowMs));
-    CHECK(two.program.counter_at("connections_open", 0) == 0);  // none is left on which it could be written
+    CHECK(two.program.counter_at("connections_open", 0) ==
+          0);  // no connection is left on which it could be written
     CHECK(two.program.counter("calls") == 1);
 }
 
-// Guards deadlines: the time of a request that was sent before the one ahead of it was answered ran from its
-// turn.
+// The time of a pipelined request must not run from the end of the request before it.
 TEST_CASE("the time of a request that waits behind another one runs from when it came") {
     Listener server;
     Listener discovery;
@@ -373,7 +372,7 @@
     client.say(post("again", "t1", asks({1})) + post("again", "t2", asks({2}), 1'500));
     auto link = server.accept();
     REQUIRE(link.frame() == "St1.1 1 1\nq");
-    usleep(200'000);  // of the second one's time
+    usleep(200'000);  // this time counts against the second request
     link.reply("t1.1", "done", "one");
     const auto frame = link.frame_with_time();
     CHECK(frame.starts_with("St2.2 2 d="));
@@ -381,8 +380,7 @@
     CHECK(std::stoi(frame.substr(10)) <= 1'300);
 }
 
-// Guards requests that were read in part: their connection was closed without a word when its descriptor was
-// wanted.
+// A connection with a partly read request must not be closed without an answer when its descriptor is needed.
 TEST_CASE("a client whose connection is wanted in the middle of its request is told") {
     Listener server;
     Listener discovery;
@@ -401,8 +399,8 @@
     CHECK(slow.answer() == "503 connection=close no room\n");
 }
 
-// Guards shutdown: a server that hangs through the whole of it, and clients that hold on, must not keep a
-// request from its answer, nor the program from its end.
+// Neither a server that hangs during the whole shutdown nor clients that keep their connections may keep a
+// request from its answer or the program from its end.
 TEST_CASE("servers that hang through a whole shutdown keep no request from its answer before the kill") {
     Listener server;
     Listener discovery;
@@ -422,7 +420,7 @@
     CHECK(client.ended());
     CHECK(program.wait() == 0);
     const auto took = std::chrono::steady_clock::now() - begun;
-    CHECK(took < std::chrono::milliseconds(700 + 700));  // the longest deadline, and what comes on top
+    CHECK(took < std::chrono::milliseconds(700 + 700));  // the longest deadline plus the shutdown margin
 }
 
 TEST_CASE("a request with hardly any time left is refused, and no server hears of it") {
@@ -435,8 +433,7 @@
     CHECK(program.counter("sends") == 0);
 }
 
-// Guards lists that come indented: each line was taken for an object, and the watch ended as one that speaks
-// nonsense.
+// Lists may be indented: an object does not end with its line.
 TEST_CASE("a list that is laid out over many lines and comes in pieces is taken") {
     Listener first, second, discovery;
     Program program({{"s-1", first.at()}}, discovery.at());
@@ -455,8 +452,7 @@
     CHECK(program.counter("list_failures") == 0);
 }
 
-// Guards customers whose lists are pushed: nobody asked the agent for them, so that no drain was ever heard
-// of.
+// Where lists are pushed, the agent must be watched: otherwise no drain is ever received.
 TEST_CASE("where lists are pushed the agent is watched from the start, and again whenever a watch ends") {
     Listener first, second, agent;
     Program program({{"s-1", first.at()}}, agent.at());
@@ -467,7 +463,7 @@
     CHECK(watch.read_to("\r\n") == "GET /discovery/hosts?stream=1&index=1 HTTP/1.1\r\n");
     watch.say(kStream + chunk(list_object(2, true, {{"s-1", first.at()}, {"s-2", second.at()}}) + "\n"));
     REQUIRE(program.counter_at("list_news", 2) == 2);
-    watch = Peer{};  // it ends instead of telling
+    watch = Peer{};  // the watch ends instead of sending a change
     watch = agent.accept();
     watch.say(kStream + chunk(list_object(3, false, {{"s-1", first.at(), "Terminating"}}) + "\n"));
     REQUIRE(program.counter_at("list_news", 3) == 3);
--- a/tests/discovery_trouble_test.cpp
+++ b/tests/discovery_trouble_test.cpp
@@ -1,5 +1,5 @@
-// Discovery that is crowded, slow, or down for a while, and configurations in a row: requests are served by
-// what is known, discovery is not asked in a storm, and what it tells in the end is used.
+// Discovery that is overloaded, slow or temporarily down, and several configurations in a row: requests are
+// served by the known list, discovery is not flooded with calls, and the list that it finally sends is used.
 #include <doctest/doctest.h>
 
 #include <atomic>
@@ -14,7 +14,7 @@
 
 using namespace pinedoor::test;
 
-// A front node that knows one server; discovery will tell of another one in its place.
+// A front node that knows one server; discovery will name another one in its place.
 struct TwoServers {
     Listener known;
     Listener later;
@@ -68,7 +68,8 @@
     }
     auto watch = discovery.accept();
     const auto took = std::chrono::steady_clock::now() - begun;
-    CHECK(took > std::chrono::milliseconds(80 * kRefusals));  // a sixteenth of the time in which it must ask
+    CHECK(took >
+          std::chrono::milliseconds(80 * kRefusals));  // a sixteenth of the time within which it must call
     watch.read_to("\r\n\r\n");
     watch.say(kStream + chunk(fleet.later_list(2)));
     REQUIRE(fleet.program.counter_at("list_news", 2) == 2);
@@ -99,7 +100,7 @@
 TEST_CASE("after an outage of discovery its list is asked for once, and used") {
     constexpr int kFailures = 5;
     TwoServers fleet;
-    fleet.start();  // nobody listens at discovery's port
+    fleet.start();  // nothing listens at discovery's port
     REQUIRE(fleet.program.counter_at("list_failures", kFailures) == kFailures);
     fleet.serve_by_known();
     Listener discovery(64, fleet.discovery_port.at());
@@ -138,7 +139,7 @@
     trickle.join();
     anew.say(kStream + chunk(change));
     REQUIRE(fleet.program.counter_at("list_news", 3) == 3);
-    fleet.client = fleet.program.client();  // the first one has stood idle
+    fleet.client = fleet.program.client();  // the first connection was idle for too long
     fleet.serve_by_later();
 }
 
@@ -151,7 +152,7 @@
     watch.say(kStream + chunk(list_object(2, true, {{"s-1", fleet.known.at()}}) + "\n"));
     REQUIRE(fleet.program.counter_at("list_news", 2) == 2);
     fleet.program.kill(SIGSTOP);
-    fleet.ask();  // first, so that it is read first
+    fleet.ask();  // sent first, so that it is read first
     watch.say(chunk(fleet.later_list(3)));
     std::this_thread::sleep_for(std::chrono::seconds(4));
     fleet.program.kill(SIGCONT);
--- a/tests/quiet_time_test.cpp
+++ b/tests/quiet_time_test.cpp
@@ -1,5 +1,4 @@
-// Trouble that begins after a time in which nobody asked anything: idle connections have gone, and what was
-// learnt is old.
+// Faults after a period without requests: idle connections are closed by then, and learned data is old.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -10,7 +9,8 @@
 
 using namespace pinedoor::test;
 
-// Two servers and a client, served once, and then quiet until no connection to a server is left.
+// Two servers and a client that has been served once, followed by a quiet period until no connection to a
+// server is left.
 struct Quiet {
     Listener first;
     Listener second;
@@ -41,7 +41,8 @@
         CHECK(frame.substr(0, part.size() + 1) == 'S' + part);
         link.reply(part, "done", "v");
     }
-    // A request of two calls, which go to two servers where both are fit; the second server answers all four.
+    // Sends a request of two calls, which go to two servers if both are usable; the second server answers all
+    // four parts.
     void serve_two_calls_by_second() {
         client.say(post("once", "u", asks({1, 2, 3, 4})));
         link = second.accept();
@@ -60,7 +61,7 @@
     Quiet fleet;
     fleet.first.close();
     fleet.serve_two_calls_by_second();
-    CHECK(fleet.program.counter("connections_failed") == 1);  // the first one was tried
+    CHECK(fleet.program.counter("connections_failed") == 1);  // the first server was tried
 }
 
 TEST_CASE("a drain told during a quiet time is kept by the first request after it") {
@@ -68,7 +69,7 @@
     fleet.watch.say(chunk(list_object(4, false, {{"s-1", fleet.first.at(), "Terminating"}}) + "\n"));
     REQUIRE(fleet.program.counter_at("list_news", 4) == 4);
     fleet.serve_two_calls_by_second();
-    CHECK(fleet.program.counter("connections_opened") == 2);  // the one before the quiet time, and this
+    CHECK(fleet.program.counter("connections_opened") == 2);  // one before the quiet period and this one
 }
 
 TEST_CASE("a shutdown after a quiet time answers the request that comes with it, and ends") {
--- a/tests/service/exchange_test.cpp
+++ b/tests/service/exchange_test.cpp
@@ -1,4 +1,4 @@
-// The exchange between a caller that a test scripts and the decision module.
+// Tests the dispatcher between a scripted transport and the decision module.
 #include "service/exchange.hpp"
 
 #include <doctest/doctest.h>
@@ -65,9 +65,9 @@
     }
 };
 
-// Guards a server's place for parts: the outcome of a retry whose client had left in the same turn named the
-// first attempt, so that the retry stayed out at its server for good. One that was on trial was then never
-// tried again: in 45 minutes a third of all requests were refused for want of servers.
+// If the client leaves in the turn in which a retry is decided, the outcome must name the retry and not the
+// first attempt. Otherwise the retry counts as outstanding at its server for good, and a server on trial is
+// never tried again: within 45 minutes a third of all requests were rejected for lack of servers.
 TEST_CASE("a retry whose client leaves in the same turn is out at no server") {
     Played one;
     MultigetAsked asked;
--- a/tests/service/request_log_test.cpp
+++ b/tests/service/request_log_test.cpp
@@ -1,4 +1,4 @@
-// One id is followed through the log from a request's arrival to its end, with reasons.
+// Follows one request through the log from its arrival to its end, with reasons.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -9,7 +9,7 @@
 
 using namespace pinedoor::test;
 
-// The lines of one request, each as its event and its reason.
+// Returns the lines of one request, each with its event, message and reason.
 std::string lines_of(const Program& program, const std::string& request) {
     std::istringstream log(program.log());
     std::string found;
--- a/tests/service/server_starts_test.cpp
+++ b/tests/service/server_starts_test.cpp
@@ -1,4 +1,4 @@
-// When servers started, while the wall clock is stepped by seconds or an hour, either way.
+// Start times of servers while the wall clock is stepped by seconds or by an hour in either direction.
 #include "service/server_starts.hpp"
 
 #include <doctest/doctest.h>
@@ -10,7 +10,7 @@
 
 constexpr Moment kSecond = 10'000;
 constexpr Moment kHour = 3'600 * kSecond;
-constexpr Moment kBegin = 1'800'000'000 * kSecond;  // of this process, by both clocks
+constexpr Moment kBegin = 1'800'000'000 * kSecond;  // start of this process by both clocks
 
 TEST_CASE("a start is where the list says while no clock is stepped, and never in the future") {
     ServerStarts starts;
@@ -19,22 +19,22 @@
     CHECK(starts.take("b", kBegin + kHour, kBegin, kBegin) == kBegin);
 }
 
-// Guards slow start: a server that had begun 2 s before was taken for an hour old after a step back, and
-// filled as a warm one, and for cold over an hour after a step forward.
+// After the wall clock is stepped back, a server that started 2 s ago must not count as an hour old and
+// receive the load of a warm one; after a step forward it must not stay cold for over an hour.
 TEST_CASE("a start that is told after a step of the wall clock is as long ago as it was") {
     constexpr Moment kAgo = 2 * kSecond;
     const Moment now = kBegin + 60 * kSecond;
     for (const Moment step : {kHour, -kHour, 30 * kSecond, -30 * kSecond}) {
         CAPTURE(step);
-        ServerStarts both;  // discovery's clock was stepped too
+        ServerStarts both;  // discovery's clock is stepped, too
         CHECK(both.take("a", now + step - kAgo, now, now + step) == now - kAgo);
-        ServerStarts own;  // this machine's alone
+        ServerStarts own;  // only this machine's clock is stepped
         CHECK(own.take("a", now - kAgo, now, now + step) == now - kAgo);
     }
 }
 
-// Guards connections: a list that names the same start again after a step made a server look as if it had
-// begun anew.
+// A list that names the same start time again after a clock step must not make the server look restarted,
+// which would close its connections.
 TEST_CASE("a start that was told before a step stays as it was") {
     for (const Moment step : {kHour, -kHour, 5 * kSecond, -5 * kSecond}) {
         CAPTURE(step);
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -9,16 +9,16 @@
 using namespace pinedoor::test;
 namespace net = pinedoor::net;
 
-// One index server and a discovery that is never asked in time; the program is started by go().
+// One index server and a discovery that never answers; go() starts the program.
 struct OneServer {
     Listener server;
     Listener discovery;
     Program program{{{"s-1", server.at()}}, discovery.at()};
     Peer client;
-    Peer link;  // of the server, once it was sent something
+    Peer link;  // connection to the server, once it has received a call
 
     void go() { client = program.start().client(); }
-    // Asks and takes the call at the server.
+    // Sends a multiget and returns the call frame that the server receives.
     std::string ask(const std::string& op_type, const std::string& name, const std::vector<int>& shards) {
         client.say(post(op_type, name, asks(shards)));
         link = server.accept();
@@ -256,7 +256,7 @@
     other.say(post("again", "u", asks({3})));
     CHECK(one.link.frame() == "Su.3 3 1\nq");
     CHECK(answer_to(post("again", "v", asks({1}))) == "503 no room\n");
-    one.link.reply("t.1", "done", "x");  // what is in makes room
+    one.link.reply("t.1", "done", "x");  // answered parts free capacity
     CHECK(one.program.counter_at("open_parts", 2) == 2);
     auto third = one.program.client();
     third.say(post("again", "w", asks({4})));
@@ -364,8 +364,8 @@
     SUBCASE("503") { watch.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"); }
     SUBCASE("reset") { watch.reset(); }
     SUBCASE("nonsense") { watch.say(kStream + chunk("{\"revision\":}\n")); }
-    // A watch that has told something may end instead of telling more: it is asked for anew as soon as its
-    // own call is so long ago.
+    // A watch that has sent a list may end instead of sending more: it is opened again as soon as the time
+    // between two calls has passed since its own call.
     SUBCASE("the end of a watch") {
         watch.say(kStream + chunk(list_object(7, false, {}) + "\n"));
         watch = Peer{};
@@ -376,7 +376,8 @@
         CHECK(watch.ended());
     }
     auto again = discovery.accept();
-    CHECK(now() - failed_at > std::chrono::milliseconds(80));  // a sixteenth of the time in which it must ask
+    CHECK(now() - failed_at >
+          std::chrono::milliseconds(80));  // a sixteenth of the time within which it must call
     const auto revision = program.counter("list_news") == 2 ? "7" : "1";
     CHECK(again.read_to(" HTTP").ends_with(std::string("index=") + revision + " HTTP"));
     CHECK(program.counter("list_failures") == 1);
@@ -394,7 +395,7 @@
     late.say(post("again", "t2", asks({2})));
     CHECK(one.link.frame() == "St2.2 2 1\nq");
     usleep(1'000'000);
-    idle.say("GET /up HTTP/1.1\r\n\r\n");  // what is open goes on for a while, and is closed when idle
+    idle.say("GET /up HTTP/1.1\r\n\r\n");  // open connections go on for a while and are closed when idle
     CHECK(idle.answer() == "200 up\n");
     CHECK(idle.ended());
     one.link.reply("t2.2", "done", "two");
@@ -413,7 +414,7 @@
 TEST_CASE("a reload asks at the new address for the whole list at once, and multigets notice nothing") {
     Listener first, second, told, moved;
     Program program({{"s-1", first.at()}}, moved.at());
-    program.with_variable(told.at());  // goes before the file at the start, and hides nothing later
+    program.with_variable(told.at());  // overrides the file at the start, but not at a later reload
     auto client = program.start().client();
     auto old_watch = told.accept();
     old_watch.read_to("\r\n\r\n");
@@ -487,7 +488,7 @@
     }
     CHECK(idle.front().ended());
     CHECK(one.program.counter("clients_open_most_at_once") == 8);
-    for (int i = 0; i < 20; ++i) {  // nor do those that never finish their requests keep others out
+    for (int i = 0; i < 20; ++i) {  // clients that never complete a request do not keep others out either
         idle.push_back(one.program.client());
         idle.back().say("POST /again HTTP/1.1\r\nX-Txn");
     }
@@ -519,7 +520,7 @@
     };
     for (int i = 0; i < 4; ++i) CHECK(up(usual.emplace_back(one.program.client())));
     for (int i = 0; i < 4; ++i) silent.push_back(one.program.client());
-    usleep(300'000);  // more than a connect time-out
+    usleep(300'000);  // longer than the connect timeout
     for (int i = 0; i < 4; ++i) CHECK(up(usual.emplace_back(one.program.client())));
     for (auto& peer : usual) CHECK(up(peer));
     for (auto& peer : silent) CHECK(peer.ended());
@@ -532,7 +533,7 @@
     for (std::size_t i = 0; i < 8; ++i) known.push_back({"s-" + std::to_string(i), servers.at(i)});
     Program program(known, discovery.at());
     for (int i = 0; i < 2; ++i)
-        program.with("\"aim_ms\":2000", "\"aim_ms\":300");  // soon back from being set aside
+        program.with("\"aim_ms\":2000", "\"aim_ms\":300");  // servers that are set aside are soon tried again
     program.with("\"max_attempts\":1", "\"max_attempts\":3")
         .with("\"max_open\":40", "\"max_open\":400")
         .start();
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -1,5 +1,5 @@
-// The front node under system calls that fail: each call fails at its n-th time, for every n of a short run,
-// with each error that Linux documents for a moment's trouble. What counts is what clients see.
+// The front node with failing system calls: each call fails at its n-th use, for every n of a short run, with
+// each error that Linux documents for temporary conditions. Checked is what clients see.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 struct Seen {
     int served = 0;
     int in_part = 0;
-    int turned_away = 0;  // for now, with nothing of it run
+    int turned_away = 0;  // pushed back, nothing of it has run
     int ended = 0;        // with any final answer
     int unanswered = 0;
 };
@@ -33,7 +33,7 @@
 constexpr Load kHeavy{24, 6};
 constexpr int kRequests = kLight.requests();
 
-// The fault may hit who asks for the counter: then it is asked for once more.
+// The fault may hit the request for the counter itself: it is repeated once.
 std::uint64_t counter(Program& program, const std::string& name) {
     constexpr std::uint64_t kNotTold = 999'999;
     const auto value = program.counter(name);
@@ -42,8 +42,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-// The front node closes clients' connections that were idle for 2 s; its clock and this one may differ a
-// little.
+// The front node closes client connections that are idle for 2 s; its clock and this one may differ slightly.
 constexpr auto kNearlyIdleTime = std::chrono::milliseconds(1'900);
 
 std::string request_of(int client, int request) {
@@ -51,10 +50,10 @@
                 asks({client % 8, client % 8 + 4}));
 }
 
-// Some clients each ask some requests of a front node with that fault. One whose connection ends with no
-// answer goes on with a new connection. While descriptors are short, connections on which nothing was read
-// may be closed: their clients ask once more, as the protocol has it. So does one whose connection stood idle
-// for as long as the front node keeps such ones, while another client's answer was waited for.
+// Several clients each send some requests to a front node with the given fault. A client whose connection
+// ends without an answer opens a new one. The request is sent once more, as the protocol allows, where
+// connections without input may be closed because descriptors are short, or where the connection was idle for
+// as long as the front node keeps idle ones while another client's answer was awaited.
 Seen play(const std::string& fault, Mischief& servers, Listener& discovery, bool short_of_descriptors = false,
           Load load = kLight) {
     Program program({{"s-1", servers.at(0)}, {"s-2", servers.at(1)}}, discovery.at());
@@ -91,7 +90,7 @@
             if (answer == "nothing") client = program.client();
         }
     }
-    CHECK(counter(program, "invariants_broken") == 0);  // it still listens, too
+    CHECK(counter(program, "invariants_broken") == 0);  // this also shows that it still listens
     CHECK(counter(program, "tasks_threw") == 0);
     return seen;
 }
@@ -107,7 +106,7 @@
 
 constexpr int kCallsOfARun = 10;
 
-// The calls that the program makes before it serves, which end its start when they fail.
+// The calls that the program makes before it serves end its start when they fail.
 int first_call(const std::string& call) {
     if (call == "socket") return 2;  // the listener's
     if (call == "add") return 4;     // those of the listener, the signals and the watch
@@ -142,7 +141,8 @@
                 const auto fault = text(one, n) + ' ' + std::to_string(kFailures);
                 CAPTURE(fault);
                 const auto seen = play(fault, servers, discovery, one.error == EMFILE, kHeavy);
-                // One that has just started answers in part, or turns away, what is beyond its first credit.
+                // A node that has just started answers in part, or pushes back, what exceeds its first
+                // credit.
                 CHECK(seen.served + seen.in_part + seen.turned_away == kHeavy.requests());
                 CHECK(seen.served > kHeavy.requests() / 3);
             }
@@ -150,13 +150,13 @@
     }
 }
 
-// Guards a server against this machine's own trouble: a connection that could not be opened for want of a
-// descriptor, a port or a way was taken for one that its server refused, and the server for one that had
-// died.
+// If this machine cannot open a connection for lack of a descriptor, a port or a route, the server must not
+// count as refusing or dead.
 TEST_CASE("the only server stays in use when this machine fails to open a connection to it") {
     Mischief servers(1, Mischief::Manners::kGood);
     Listener discovery;
-    for (const int error : {EADDRNOTAVAIL, ENETUNREACH}) {  // of the second connect; the first is the watch's
+    for (const int error :
+         {EADDRNOTAVAIL, ENETUNREACH}) {  // the fault hits the second connect; the first one is the watch
         CAPTURE(error);
         Program program({{"s-1", servers.at(0)}}, discovery.at());
         program.run_program(PINEDOOR_FAULTY)
@@ -164,7 +164,7 @@
         auto client = program.start().client();
         CHECK(discovery.accept().read_to("\r\n\r\n").starts_with("GET "));
         client.say(post("again", "t1", asks({1})));
-        CHECK(is_pushback(client.answer(), 0.625, 1.25));  // it was never sent, and there is no other server
+        CHECK(is_pushback(client.answer(), 0.625, 1.25));  // never sent, and there is no other server
         CHECK(program.counter("connections_failed") == 1);
         client.say(post("again", "t2", asks({1, 2, 3})));
         CHECK(client.answer().starts_with("200 {\"whole\":true"));
@@ -172,8 +172,8 @@
     }
 }
 
-// Guards what may not run twice: a connection to a server of this machine that is down was now and then
-// connected to itself, and read its own frame as an answer that made no sense.
+// A connection to a port of this machine where no server listens may connect to itself and read its own frame
+// as an invalid answer. It must count as refused, so that nothing runs twice.
 TEST_CASE("a connection that would reach itself counts as refused") {
     pinedoor::lab::HeldPort down;
     Listener discovery;
@@ -186,7 +186,7 @@
     CHECK(program.counter("connections_failed") == 1);
 }
 
-// Guards the tests: a client that was connected to itself read its own request for ever.
+// Guards the test client: connected to itself, it would read its own request forever.
 TEST_CASE("what is not an answer ends the wait for one") {
     Listener server;
     Peer client(server.at());
@@ -206,7 +206,8 @@
     }
 }
 
-// The connection is lost with what is out on it; a client's own takes its request with it.
+// A connection is lost with everything outstanding on it; a client's own connection takes its request with
+// it.
 TEST_CASE("a connection that breaks costs at most the request on it, and no other its answer") {
     Mischief servers(2, Mischief::Manners::kGood);
     Listener discovery;
@@ -231,7 +232,7 @@
     }
 }
 
-// Guards the listener and the processor: accept is not asked again at once, and is asked again.
+// accept() is not retried at once, which would spin, but it is retried.
 TEST_CASE("while no connection can be accepted the program waits, and then takes all that came") {
     constexpr int kFailures = 5;
     Mischief servers(2, Mischief::Manners::kGood);
