--- a/src/service/counters.hpp
+++ b/src/service/counters.hpp
@@ -69,7 +69,7 @@
 };
 
 // Checks an invariant: asserts in debug builds, counts violations in release builds.
-inline bool must_hold(bool holds, Counters& counters) {
+inline bool check_invariant(bool holds, Counters& counters) {
     assert(holds);
     if (!holds) counters.add(Count::kInvariantsBroken);
     return holds;
--- a/src/service/descriptors.hpp
+++ b/src/service/descriptors.hpp
@@ -6,13 +6,13 @@
 
 namespace pinedoor::service {
 
-class Descriptors {
+class DescriptorBudget {
 public:
     // Standard streams, epoll, the listener, signals, discovery's connections and a few spare ones.
     static constexpr std::size_t kReserve = 16;
 
-    explicit Descriptors(std::size_t told)
-        : for_servers_((told - kReserve) / 2), for_clients_(told - kReserve - for_servers_) {}
+    explicit DescriptorBudget(std::size_t total)
+        : for_servers_((total - kReserve) / 2), for_clients_(total - kReserve - for_servers_) {}
 
     std::size_t for_servers() const { return for_servers_; }
     std::size_t for_clients() const { return for_clients_; }
--- a/src/service/exchange.cpp
+++ b/src/service/exchange.cpp
@@ -23,19 +23,19 @@
 
 }  // namespace
 
-Exchange::Exchange(net::Scheduler& scheduler, FrontNode node, Time turn, int most_open, int most_sends,
-                   Counters& counters, Log& log)
-    : scheduler_(scheduler), node_(std::move(node)), turn_(std::max<Time>(1, turn)),
-      most_open_(static_cast<std::size_t>(most_open)), most_sends_(most_sends), counters_(counters),
-      log_(log), request_log_(log), waiter_(scheduler) {}
+Dispatcher::Dispatcher(net::Scheduler& scheduler, FrontNode node, Time turn_interval, int max_open,
+                       int max_sends, Counters& counters, Log& log)
+    : scheduler_(scheduler), node_(std::move(node)), turn_interval_(std::max<Time>(1, turn_interval)),
+      max_open_(static_cast<std::size_t>(max_open)), max_sends_(max_sends), counters_(counters), log_(log),
+      request_log_(log), waiter_(scheduler) {}
 
-void Exchange::join(Caller& caller, Lister& lister, Routes* routes) {
-    caller_ = &caller;
-    lister_ = &lister;
-    routes_ = routes;
+void Dispatcher::attach(SendTransport& transport, ServerListSource& list_source, PartRouting* routing) {
+    transport_ = &transport;
+    list_source_ = &list_source;
+    routing_ = routing;
 }
 
-void Exchange::start() {
+void Dispatcher::start() {
     task_ = run();
     // No multiget is answered without turns, so a failure ends the process, which its supervisor restarts.
     task_.start([this](std::exception_ptr failure) {
@@ -43,207 +43,211 @@
     });
 }
 
-net::Task Exchange::run() {
+net::Task Dispatcher::run() {
     for (;;) {
-        Time due = bells_.empty() ? net::kNever : bells_.begin()->first;
+        Time due = timers_.empty() ? net::kNever : timers_.begin()->first;
         if (!events_.empty()) due = 0;
-        due = std::max(due, next_turn_);
+        due = std::max(due, next_turn_at_);
         const Time now = scheduler_.now();
         if (now >= due)
-            turn(now);
+            run_turn(now);
         else
             co_await waiter_.wait(0, due);
     }
 }
 
-void Exchange::turn(Time now) {
-    must_hold(now >= last_turn_, counters_);
-    last_turn_ = now;
-    next_turn_ = now + turn_;
+void Dispatcher::run_turn(Time now) {
+    check_invariant(now >= last_turn_at_, counters_);
+    last_turn_at_ = now;
+    next_turn_at_ = now + turn_interval_;
     counters_.add(Count::kTurns);
     auto events = std::exchange(events_, {});
     // If the process was suspended, list changes and requests may arrive in one turn: the list changes are
     // applied first, so that they count for these requests.
     std::stable_partition(events.begin(), events.end(),
                           [](const Event& event) { return std::holds_alternative<ListNews>(event); });
-    while (!bells_.empty() && bells_.begin()->first <= now) {
-        events.emplace_back(Bell{bells_.begin()->second});
-        bells_.erase(bells_.begin());
+    while (!timers_.empty() && timers_.begin()->first <= now) {
+        events.emplace_back(Bell{timers_.begin()->second});
+        timers_.erase(timers_.begin());
     }
     for (const auto& action : node_.turn(now, events)) {
-        std::visit([this](const auto& what) { carry_out(what); }, action);
+        std::visit([this](const auto& each) { execute(each); }, action);
     }
-    caller_->flush();
+    transport_->flush();
 }
 
-void Exchange::happened(Event event) {
+void Dispatcher::enqueue(Event event) {
     events_.push_back(std::move(event));
     waiter_.signal();
 }
 
-Id Exchange::new_id() {
+Id Dispatcher::new_id() {
     const auto in_use = [this](Id id) {
-        const auto sent = out_.lower_bound({id, 0});
+        const auto sent = outstanding_sends_.lower_bound({id, 0});
         return id == 0 || multigets_.contains(id) || parts_.contains(id) ||
-               (sent != out_.end() && sent->first.first == id);
+               (sent != outstanding_sends_.end() && sent->first.first == id);
     };
     do ++last_id_;
     while (in_use(last_id_));
     return last_id_;
 }
 
-void Exchange::hold_name(const std::string& name, int by) {
-    auto& held = names_[name];
-    held += by;
-    if (held == 0) names_.erase(name);
+void Dispatcher::adjust_name_uses(const std::string& name, int change) {
+    auto& uses = name_uses_[name];
+    uses += change;
+    if (uses == 0) name_uses_.erase(name);
 }
 
 // Requests are rejected while the number of open multigets and unanswered parts has reached the limit. The
 // last accepted multiget may exceed it, and answered parts do not count: otherwise a node with two multigets
 // of the largest size would reject a third one that the settings allow for.
-Acceptance Exchange::could_take(const std::string& name) const {
-    if (open_now() >= most_open_) {
+Acceptance Dispatcher::could_take(const std::string& name) const {
+    if (open_count() >= max_open_) {
         counters_.add(Count::kNoRoom);
-        log_.event(Level::kInfo, "no_room", "no room: " + std::to_string(open_now()) + " open",
-                   {{"open", std::to_string(open_now())}});
+        log_.event(Level::kInfo, "no_room", "no room: " + std::to_string(open_count()) + " open",
+                   {{"open", std::to_string(open_count())}});
         return Acceptance::kNoRoom;
     }
     // Index servers identify parts by the multiget's name, so two open multigets must not share one.
-    return names_.contains(name) ? Acceptance::kNameInUse : Acceptance::kTaken;
+    return name_uses_.contains(name) ? Acceptance::kNameInUse : Acceptance::kTaken;
 }
 
-TakenRequest Exchange::ask(MultigetAsked asked, std::function<void(Ending)> ended) {
-    if (const auto could = could_take(asked.name); could != Acceptance::kTaken) {
-        request_log_.not_taken(asked.name, could == Acceptance::kNoRoom ? "no room" : "name in use");
-        return {could, 0};
+TakenRequest Dispatcher::ask(MultigetAsked multiget, std::function<void(Ending)> ended) {
+    if (const auto acceptance = could_take(multiget.name); acceptance != Acceptance::kTaken) {
+        request_log_.rejected(multiget.name, acceptance == Acceptance::kNoRoom ? "no room" : "name in use");
+        return {acceptance, 0};
     }
-    request_log_.taken(asked.name, asked.parts.size());
+    request_log_.accepted(multiget.name, multiget.parts.size());
     counters_.add(Count::kTaken);
-    MultigetArrival told{new_id(),     ++last_number_,  asked.op_type,         asked.tenant,
-                         asked.repeat, asked.not_after, std::move(asked.parts)};
-    auto& open = multigets_[told.id];
-    open.name = asked.name;
-    open.text = std::make_shared<const std::string>(std::move(asked.text));
-    open.not_after = told.not_after;
-    open.tells_parts = asked.tells_parts;
-    open.ended = std::move(ended);
-    hold_name(open.name, 1);
-    for (auto& part : told.parts) {
+    MultigetArrival arrival{
+        new_id(),        ++last_multiget_number_, multiget.op_type,         multiget.tenant,
+        multiget.repeat, multiget.not_after,      std::move(multiget.parts)};
+    auto& open = multigets_[arrival.id];
+    open.name = multiget.name;
+    open.query = std::make_shared<const std::string>(std::move(multiget.query));
+    open.not_after = arrival.not_after;
+    open.wants_part_fates = multiget.tells_parts;
+    open.on_end = std::move(ended);
+    adjust_name_uses(open.name, 1);
+    for (auto& part : arrival.parts) {
         part.id = new_id();
         open.parts.push_back(part.id);
-        parts_[part.id].multiget = told.id;
+        parts_[part.id].multiget = arrival.id;
         parts_[part.id].shard = part.shard;
     }
-    parts_open_ += open.parts.size();
-    most_at_once_ = std::max(most_at_once_, multigets_.size() + parts_open_);
-    const Id id = told.id;
-    happened(std::move(told));
+    open_parts_ += open.parts.size();
+    peak_open_ = std::max(peak_open_, multigets_.size() + open_parts_);
+    const Id id = arrival.id;
+    enqueue(std::move(arrival));
     return {Acceptance::kTaken, id};
 }
 
-store::PartFates Exchange::leave(Ticket ticket) {
+store::PartFates Dispatcher::leave(Ticket ticket) {
     const auto multiget = static_cast<Id>(ticket);
     const auto at = multigets_.find(multiget);
     if (at == multigets_.end()) return {};
     request_log_.ended(at->second.name, "left by its client", "");
-    auto parts = at->second.tells_parts ? fates(at->second) : store::PartFates{};
-    forget(at);
+    auto parts = at->second.wants_part_fates ? fates(at->second) : store::PartFates{};
+    remove(at);
     counters_.add(Count::kClientsGone);
-    happened(ClientLeft{multiget});
+    enqueue(ClientLeft{multiget});
     return parts;
 }
 
-store::PartFates Exchange::fates(const Open& open) const {
+store::PartFates Dispatcher::fates(const OpenMultiget& open) const {
     store::PartFates fates;
     for (const Id id : open.parts) fates.emplace_back(parts_.at(id).shard, parts_.at(id).fate());
     return fates;
 }
 
-Exchange::Open Exchange::forget(std::map<Id, Open>::iterator at) {
-    auto open = std::move(at->second);
-    multigets_.erase(at);
+Dispatcher::OpenMultiget Dispatcher::remove(std::map<Id, OpenMultiget>::iterator position) {
+    auto open = std::move(position->second);
+    multigets_.erase(position);
     for (const Id part : open.parts) {
         const auto found = parts_.find(part);
-        parts_open_ -= found->second.in ? 0U : 1U;
+        open_parts_ -= found->second.answered ? 0U : 1U;
         parts_.erase(found);
     }
-    hold_name(open.name, -1);
+    adjust_name_uses(open.name, -1);
     return open;
 }
 
-void Exchange::end(Id multiget, Ending ending, std::string_view reason) {
+void Dispatcher::finish_multiget(Id multiget, Ending ending, std::string_view reason) {
     const auto at = multigets_.find(multiget);
     if (at == multigets_.end()) return;  // the client left in the same turn
     if (ending.kind == Ending::Kind::kAnswered) {
         for (const Id id : at->second.parts) {
             auto& part = parts_.at(id);
-            if (part.in && !part.moved) ending.values.emplace_back(part.shard, std::move(part.value));
+            if (part.answered && !part.moved) ending.values.emplace_back(part.shard, std::move(part.value));
         }
     }
     request_log_.ended(at->second.name, name_of(ending), reason);
-    if (at->second.tells_parts) ending.parts = fates(at->second);
-    forget(at).ended(std::move(ending));
+    if (at->second.wants_part_fates) ending.parts = fates(at->second);
+    remove(at).on_end(std::move(ending));
 }
 
-std::optional<std::map<Id, Exchange::OpenPart>::iterator> Exchange::take_out(const PartCall& call,
-                                                                             Outcome outcome) {
-    const auto at = out_.find({call.part, call.send});
-    if (!must_hold(at != out_.end(), counters_)) return std::nullopt;  // each send gets exactly one outcome
-    hold_name(at->second, -1);
-    out_.erase(at);
+std::optional<std::map<Id, Dispatcher::OpenPart>::iterator> Dispatcher::take_send(const PartSend& call,
+                                                                                  Outcome outcome) {
+    const auto at = outstanding_sends_.find({call.part, call.send_number});
+    if (!check_invariant(at != outstanding_sends_.end(), counters_))
+        return std::nullopt;  // each send gets exactly one outcome
+    adjust_name_uses(at->second, -1);
+    outstanding_sends_.erase(at);
     constexpr auto kFirst = static_cast<std::size_t>(Count::kReturned);
     counters_.add(static_cast<Count>(kFirst + static_cast<std::size_t>(outcome)));
     return parts_.find(call.part);
 }
 
-void Exchange::over(const PartCall& call, Outcome outcome, std::vector<double> load, std::string value) {
-    const auto found = take_out(call, outcome);
+void Dispatcher::finish_send(const PartSend& call, Outcome outcome, std::vector<double> load,
+                             std::string value) {
+    const auto found = take_send(call, outcome);
     if (!found) return;
     request_log_.attempt_ended(call, outcome);
     const auto part = *found;
     if (part != parts_.end()) {
-        part->second.ran |= outcome == Outcome::kReturned;
-        if (never_ran(outcome)) --part->second.doubtful;
+        part->second.has_run |= outcome == Outcome::kReturned;
+        if (never_ran(outcome)) --part->second.possibly_run_sends;
     }
-    if (outcome == Outcome::kReturned && part != parts_.end() && !part->second.in) {
-        part->second.in = true;
-        --parts_open_;
+    if (outcome == Outcome::kReturned && part != parts_.end() && !part->second.answered) {
+        part->second.answered = true;
+        --open_parts_;
         part->second.value = std::move(value);
     }
     const Time now = scheduler_.now();
     // The server has just been sent a cancellation of this send. Delay the replacement by one turn, as after
     // a cancelled send: otherwise it might arrive first, on another connection, as a second copy.
-    if (outcome == Outcome::kTimedOut) next_turn_ = std::max(next_turn_, now + turn_);
-    happened(SendEnded{call.part, call.send, call.server, now - call.sent, outcome, std::move(load)});
+    if (outcome == Outcome::kTimedOut) next_turn_at_ = std::max(next_turn_at_, now + turn_interval_);
+    enqueue(
+        SendEnded{call.part, call.send_number, call.server, now - call.sent_at, outcome, std::move(load)});
 }
 
-void Exchange::moved(const PartCall& call, std::uint64_t epoch, std::vector<double> load) {
-    const auto found = take_out(call, Outcome::kReturned);
+void Dispatcher::finish_moved_send(const PartSend& call, std::uint64_t epoch, std::vector<double> load) {
+    const auto found = take_send(call, Outcome::kReturned);
     if (!found) return;
     const auto part = *found;
-    happened(SendEnded{call.part, call.send, call.server, scheduler_.now() - call.sent, Outcome::kReturned,
-                       std::move(load)});
+    enqueue(SendEnded{call.part, call.send_number, call.server, scheduler_.now() - call.sent_at,
+                      Outcome::kReturned, std::move(load)});
     if (part == parts_.end()) return;
-    --part->second.doubtful;
-    if (std::exchange(part->second.in, true)) return;
+    --part->second.possibly_run_sends;
+    if (std::exchange(part->second.answered, true)) return;
     part->second.moved = true;
-    --parts_open_;
-    routes_->refused(call.shard, epoch);
+    --open_parts_;
+    routing_->route_refused(call.shard, epoch);
 }
 
-bool Exchange::wants(Id part) const {
+bool Dispatcher::needs_value(Id part) const {
     const auto at = parts_.find(part);
-    return at != parts_.end() && !at->second.in;
+    return at != parts_.end() && !at->second.answered;
 }
 
-void Exchange::hear(const std::string& server, ServerWord word) {
+void Dispatcher::notify(const std::string& server, ServerWord report) {
     const auto at = servers_.find(server);
     if (at == servers_.end()) return;
-    word.server = at->second.id;
-    happened(word);
+    report.server = at->second.id;
+    enqueue(report);
 }
 
-std::vector<std::pair<std::string, ServerView>> Exchange::servers() const {
+std::vector<std::pair<std::string, ServerView>> Dispatcher::servers() const {
     std::map<ServerId, const std::string*> names;
     for (const auto& [name, known] : servers_) names[known.id] = &name;
     std::vector<std::pair<std::string, ServerView>> all;
@@ -254,9 +258,9 @@
     return all;
 }
 
-void Exchange::list_news(ListKind kind, std::vector<Member> members, Time age) {
+void Dispatcher::apply_list(ListKind kind, std::vector<ListedServer> members, Time age) {
     counters_.add(Count::kListNews);
-    list_heard_ = scheduler_.now() - std::max<Time>(0, age);
+    last_list_contact_ = scheduler_.now() - std::max<Time>(0, age);
     ListNews news{kind, {}, age < 0 ? ListNews::kOld : age, {}, false};
     std::set<ServerId> named;
     for (auto& member : members) {
@@ -264,119 +268,122 @@
         const auto [at, is_new] = servers_.try_emplace(member.name);
         auto& known = at->second;
         if (is_new) {
-            known.id.address = ++last_server_;
+            known.id.address = ++last_server_number_;
             log_.event(Level::kInfo, "server_listed",
-                       "server " + std::to_string(last_server_) + " is " + member.name + " at " +
-                           net::to_text(member.at),
-                       {{"server", std::to_string(last_server_)}, {"id", member.name}});
+                       "server " + std::to_string(last_server_number_) + " is " + member.name + " at " +
+                           net::to_text(member.endpoint),
+                       {{"server", std::to_string(last_server_number_)}, {"id", member.name}});
         }
-        known.at = member.at;
+        known.endpoint = member.endpoint;
         member.entry.server = known.id;
         named.insert(known.id);
-        caller_->learn(known.id, known.at, member.entry.state, member.entry.started);
+        transport_->update_server(known.id, known.endpoint, member.entry.state, member.entry.started);
         news.entries.push_back(member.entry);
     }
     const bool whole = kind == ListKind::kFull || kind == ListKind::kSaved;
     for (const auto& [name, known] : servers_) {  // a full list removes the servers that it does not name
-        if (whole && !named.contains(known.id)) caller_->learn(known.id, known.at, ServerState::kGone, 0);
+        if (whole && !named.contains(known.id))
+            transport_->update_server(known.id, known.endpoint, ServerState::kGone, 0);
     }
-    happened(std::move(news));
+    enqueue(std::move(news));
 }
 
-void Exchange::list_lost(ListKind kind, std::optional<Time> unheard, bool answered_in_part) {
+void Dispatcher::report_list_loss(ListKind kind, std::optional<Time> unheard, bool answered_in_part) {
     if (kind == ListKind::kFailed) counters_.add(Count::kListFailures);
-    happened(ListNews{kind, {}, ListNews::kOld, unheard, answered_in_part});
+    enqueue(ListNews{kind, {}, ListNews::kOld, unheard, answered_in_part});
 }
 
-std::optional<ServerId> Exchange::server_named(const std::string& name) const {
+std::optional<ServerId> Dispatcher::find_server(const std::string& name) const {
     const auto at = servers_.find(name);
     return at == servers_.end() ? std::nullopt : std::optional(at->second.id);
 }
 
 // Keeps the map from growing with every server ever listed. A server that is listed again later is a new
 // server.
-void Exchange::forget(ServerId server) {
+void Dispatcher::forget_server(ServerId server) {
     std::erase_if(servers_, [&](const auto& each) { return each.second.id == server; });
 }
 
-void Exchange::carry_out(const Send& send) {
+void Dispatcher::execute(const Send& send) {
     const auto part = parts_.find(send.part);
-    const Time now = last_turn_;
-    PartCall call{send.part, send.number, send.server, {}, 0, nullptr, now, now};
+    const Time now = last_turn_at_;
+    PartSend call{send.part, send.number, send.server, {}, 0, nullptr, now, now};
     // The client left in the same turn. The outcome names exactly this send: if it named another send of the
     // part, this one would count as outstanding at its server for good, and a server on trial would not be
     // tried again.
     if (part == parts_.end()) {
-        return happened(SendEnded{send.part, send.number, send.server, 0, Outcome::kNeverSent, {}});
+        return enqueue(SendEnded{send.part, send.number, send.server, 0, Outcome::kNeverSent, {}});
     }
     const auto& open = multigets_.at(part->second.multiget);
-    ++part->second.doubtful;
-    call.name = open.name;
+    ++part->second.possibly_run_sends;
+    call.multiget_name = open.name;
     call.shard = part->second.shard;
-    call.text = routes_ == nullptr ? open.text : routes_->text(call.shard, open.text);
-    call.until = send.try_for > 0 ? std::min(open.not_after, now + send.try_for) : open.not_after;
+    call.query = routing_ == nullptr ? open.query : routing_->request_text(call.shard, open.query);
+    call.deadline = send.try_for > 0 ? std::min(open.not_after, now + send.try_for) : open.not_after;
     counters_.add(Count::kSends);
-    out_.emplace(std::pair{call.part, call.send}, call.name);
-    hold_name(call.name, 1);
+    outstanding_sends_.emplace(std::pair{call.part, call.send_number}, call.multiget_name);
+    adjust_name_uses(call.multiget_name, 1);
     request_log_.attempt(call);
-    if (call.send >= most_sends_ || call.until <= now) return over(call, Outcome::kNeverSent);
-    caller_->call(std::move(call));
+    if (call.send_number >= max_sends_ || call.deadline <= now) return finish_send(call, Outcome::kNeverSent);
+    transport_->send(std::move(call));
 }
 
-void Exchange::carry_out(const CallOff& call_off) {
-    if (!out_.contains({call_off.part, call_off.send})) return;  // the send ended in the same turn
+void Dispatcher::execute(const CallOff& call_off) {
+    if (!outstanding_sends_.contains({call_off.part, call_off.send}))
+        return;  // the send ended in the same turn
     counters_.add(Count::kCallOffs);
-    caller_->call_off(call_off.part, call_off.send);
+    transport_->cancel(call_off.part, call_off.send);
 }
 
-void Exchange::carry_out(const Answer& answer) {
+void Dispatcher::execute(const Answer& answer) {
     counters_.add(answer.whole ? Count::kAnsweredWhole : Count::kAnsweredInPart);
     Ending ending;
     ending.kind = Ending::Kind::kAnswered;
     ending.whole = answer.whole;
-    end(answer.multiget, std::move(ending), "");
+    finish_multiget(answer.multiget, std::move(ending), "");
 }
 
-void Exchange::carry_out(const PushBack& push_back) {
+void Dispatcher::execute(const PushBack& push_back) {
     counters_.add(Count::kPushedBack);
     Ending ending;
     ending.kind = Ending::Kind::kPushedBack;
     ending.wait = push_back.wait;
-    end(push_back.multiget, std::move(ending), name_of(push_back.reason));
+    finish_multiget(push_back.multiget, std::move(ending), name_of(push_back.reason));
 }
 
-void Exchange::carry_out(const Fail& fail) {
+void Dispatcher::execute(const Fail& fail) {
     counters_.add(Count::kFailed);
-    end(fail.multiget, {}, name_of(fail.reason));
+    finish_multiget(fail.multiget, {}, name_of(fail.reason));
 }
 
-void Exchange::carry_out(const SetBell& bell) {
-    bells_.emplace(last_turn_ + std::max<Time>(1, bell.after), bell.token);
+void Dispatcher::execute(const SetBell& timer) {
+    timers_.emplace(last_turn_at_ + std::max<Time>(1, timer.after), timer.token);
 }
 
-void Exchange::carry_out(const LogLine& line) {
+void Dispatcher::execute(const LogLine& line) {
     // The module's log lines begin with the event name, as in "aside 3: silence" or "pressure: alpha rises".
     log_.event(Level::kInfo, std::string_view(line.text).substr(0, line.text.find_first_of(" :")), line.text);
 }
 
-void Exchange::carry_out(const Probe& probe) { happened(Probed{probe.server, false, 0, {}}); }
+void Dispatcher::execute(const Probe& probe) { enqueue(Probed{probe.server, false, 0, {}}); }
 
-std::string Exchange::print_list_age() const {
-    if (list_heard_ == 0) return "never heard before";
+std::string Dispatcher::format_list_age() const {
+    if (last_list_contact_ == 0) return "never heard before";
     char text[48];
     std::snprintf(text, sizeof text, "heard %.3f s ago",
-                  static_cast<double>(scheduler_.now() - list_heard_) / 10'000);
+                  static_cast<double>(scheduler_.now() - last_list_contact_) / 10'000);
     return text;
 }
 
-std::string Exchange::print_gauges() const {
+std::string Dispatcher::print_gauges() const {
     std::string out;
     append_line(out, "open_multigets", multigets_.size());
-    append_line(out, "open_parts", parts_open_);
-    append_line(out, "open_most_at_once", most_at_once_);
-    append_line(out, "sends_out", out_.size());
-    append_line(out, "list_age_ms",
-                list_heard_ == 0 ? 0 : static_cast<std::uint64_t>(scheduler_.now() - list_heard_) / 10);
+    append_line(out, "open_parts", open_parts_);
+    append_line(out, "open_most_at_once", peak_open_);
+    append_line(out, "sends_out", outstanding_sends_.size());
+    append_line(
+        out, "list_age_ms",
+        last_list_contact_ == 0 ? 0 : static_cast<std::uint64_t>(scheduler_.now() - last_list_contact_) / 10);
     return out;
 }
 
--- a/src/service/exchange.hpp
+++ b/src/service/exchange.hpp
@@ -24,192 +24,194 @@
 namespace pinedoor::service {
 
 // One send of a part, to be carried out by the transport.
-struct PartCall {
+struct PartSend {
     Id part = 0;
-    int send = 0;
+    int send_number = 0;
     ServerId server;
-    std::string name;  // of the multiget
+    std::string multiget_name;  // of the multiget
     int shard = 0;
-    std::shared_ptr<const std::string> text;
-    Time sent = 0;
-    Time until = 0;
+    std::shared_ptr<const std::string> query;
+    Time sent_at = 0;
+    Time deadline = 0;
 };
 
 // Carries sends to index servers. Each send that is passed to send() gets exactly one outcome, which the
 // transport reports with Dispatcher::finish_send() or finish_moved_send().
-class Caller {
+class SendTransport {
 public:
-    virtual ~Caller() = default;
+    virtual ~SendTransport() = default;
     // Queues a send. The sends of one turn are followed by one flush().
-    virtual void call(PartCall call) = 0;
+    virtual void send(PartSend send) = 0;
     virtual void flush() = 0;
     // Cancels a send that has no outcome yet.
-    virtual void call_off(Id part, int send) = 0;
+    virtual void cancel(Id part, int send) = 0;
     // Sets the address, state and start time of a server from the server list.
-    virtual void learn(ServerId server, net::Endpoint at, ServerState state, Time started) = 0;
+    virtual void update_server(ServerId server, net::Endpoint at, ServerState state, Time started) = 0;
 };
 
 // Requests the server list from its source, as the decision module asks for it.
-class Lister {
+class ServerListSource {
 public:
-    virtual ~Lister() = default;
-    virtual void watch(const WatchList& terms) = 0;
+    virtual ~ServerListSource() = default;
+    virtual void watch(const WatchList& options) = 0;
     virtual void fetch() = 0;
 };
 
 // Maps parts to servers where a placement map is in use.
-class Routes {
+class PartRouting {
 public:
-    virtual ~Routes() = default;
+    virtual ~PartRouting() = default;
     // Returns the query text of a part, right before the part is sent.
-    virtual std::shared_ptr<const std::string> text(int shard,
-                                                    const std::shared_ptr<const std::string>& text) = 0;
+    virtual std::shared_ptr<const std::string> request_text(
+        int shard, const std::shared_ptr<const std::string>& text) = 0;
     // A server answered that it does not own the part and that it has not run it; `epoch` is the epoch that
     // the server knows. Called at most once for a part, and only if the part has no value yet.
-    virtual void refused(int shard, std::uint64_t epoch) = 0;
+    virtual void route_refused(int shard, std::uint64_t epoch) = 0;
 };
 
 // A server list entry, as discovery describes it.
-struct Member {
+struct ListedServer {
     std::string name;
-    net::Endpoint at;
+    net::Endpoint endpoint;
     ListEntry entry;        // without the server's id, which the dispatcher assigns
-    Time told_started = 0;  // start time by discovery's wall clock
+    Time wall_started = 0;  // start time by discovery's wall clock
 };
 
 // Connects request handlers, the transport and the server list to the decision module.
-class Exchange : public RequestHandler {
+class Dispatcher : public RequestHandler {
 public:
-    Exchange(net::Scheduler& scheduler, FrontNode node, Time turn, int most_open, int most_sends,
-             Counters& counters, Log& log);
+    Dispatcher(net::Scheduler& scheduler, FrontNode node, Time turn_interval, int max_open, int max_sends,
+               Counters& counters, Log& log);
 
-    void join(Caller& caller, Lister& lister, Routes* routes = nullptr);
+    void attach(SendTransport& transport, ServerListSource& list_source, PartRouting* routing = nullptr);
     // Called after attach() and after the known server list has been loaded.
     void start();
 
-    TakenRequest ask(MultigetAsked asked, std::function<void(Ending)> ended) override;
+    TakenRequest ask(MultigetAsked multiget, std::function<void(Ending)> ended) override;
     store::PartFates leave(Ticket ticket) override;
     Acceptance could_take(const std::string& name) const override;
 
     // Reports the outcome of a send, exactly once for each send. The value is used with kReturned only.
-    void over(const PartCall& call, Outcome outcome, std::vector<double> load = {}, std::string value = {});
+    void finish_send(const PartSend& send, Outcome outcome, std::vector<double> load = {},
+                     std::string value = {});
     // Reports the outcome of a send whose server answered that it does not own the part. The module counts it
     // as answered.
-    void moved(const PartCall& call, std::uint64_t epoch, std::vector<double> load);
-    bool has_routes() const { return routes_ != nullptr; }
+    void finish_moved_send(const PartSend& send, std::uint64_t epoch, std::vector<double> load);
+    bool has_routing() const { return routing_ != nullptr; }
     // Whether the part's multiget is open and the part has no value yet.
-    bool wants(Id part) const;
-    std::optional<ServerId> server_named(const std::string& name) const;
+    bool needs_value(Id part) const;
+    std::optional<ServerId> find_server(const std::string& name) const;
 
     // `age` is for kSaved: time since the list was known to be valid; -1: unknown.
-    void list_news(ListKind kind, std::vector<Member> members, Time age = -1);
+    void apply_list(ListKind kind, std::vector<ListedServer> members, Time age = -1);
     // A call for the server list failed, a watch ended, or discovery moved to another address (kFailed or
     // kMoved). `unheard` is the time since the last contact with discovery, if there was any.
-    void list_lost(ListKind kind, std::optional<Time> unheard, bool answered_in_part);
+    void report_list_loss(ListKind kind, std::optional<Time> unheard, bool answered_in_part);
     // A watch reported that the list is unchanged.
-    void list_alive(Time at) { list_heard_ = std::max(list_heard_, at); }
+    void note_list_contact(Time at) { last_list_contact_ = std::max(last_list_contact_, at); }
     // Reports of other front nodes on a server; ignored if the server is not listed.
-    void hear(const std::string& server, ServerWord word);
-    void hear(DeadlyKey key) { happened(key); }
+    void notify(const std::string& server, ServerWord report);
+    void notify(DeadlyKey key) { enqueue(key); }
     // This node's share of the limits that hold for the whole fleet.
-    void hear(FleetShare share) { happened(share); }
+    void notify(FleetShare share) { enqueue(share); }
     double further_sends() const { return node_.further_sends(); }  // since the start of the process
     std::vector<DeadlyKey> deadly_keys() const { return node_.deadly_keys(); }
     // The decision module's view of each server, with its name on the server list.
     std::vector<std::pair<std::string, ServerView>> servers() const;
     // Called once the server is off the list and its last connection has closed.
-    void forget(ServerId server);
+    void forget_server(ServerId server);
 
     // Time since the last contact with the list's source, as text for the log.
-    std::string print_list_age() const;
+    std::string format_list_age() const;
 
     bool idle() const { return multigets_.empty(); }
     // Whether any server list with entries has been received.
-    bool knows_servers() const { return !servers_.empty(); }
+    bool has_servers() const { return !servers_.empty(); }
     std::string print_gauges() const;
 
 private:
-    struct Open {
+    struct OpenMultiget {
         std::string name;
-        std::shared_ptr<const std::string> text;
+        std::shared_ptr<const std::string> query;
         Time not_after = 0;
         std::vector<Id> parts;
-        bool tells_parts = false;
-        std::function<void(Ending)> ended;
+        bool wants_part_fates = false;
+        std::function<void(Ending)> on_end;
     };
     struct OpenPart {
         store::PartFate fate() const {
-            if (ran) return store::PartFate::kRan;
-            return doubtful > 0 ? store::PartFate::kMayHaveRun : store::PartFate::kNeverSent;
+            if (has_run) return store::PartFate::kRan;
+            return possibly_run_sends > 0 ? store::PartFate::kMayHaveRun : store::PartFate::kNeverSent;
         }
 
         Id multiget = 0;
         int shard = 0;
-        int doubtful = 0;  // sends that are outstanding, or ended without proof that they never ran
-        bool ran = false;
-        bool in = false;
+        int possibly_run_sends = 0;  // sends that are outstanding, or ended without proof that they never ran
+        bool has_run = false;
+        bool answered = false;
         bool moved = false;  // answered by a server that does not own the part; there is no value
         std::string value;
     };
 
     net::Task run();
-    void turn(Time now);
-    void happened(Event event);
+    void run_turn(Time now);
+    void enqueue(Event event);
     // Removes an outstanding send and counts its outcome. Returns its part, or the end iterator if its
     // multiget is no longer open, or nothing if the send was not outstanding.
-    std::optional<std::map<Id, OpenPart>::iterator> take_out(const PartCall& call, Outcome outcome);
+    std::optional<std::map<Id, OpenPart>::iterator> take_send(const PartSend& send, Outcome outcome);
     Id new_id();
     // Changes the number of uses of a multiget name.
-    void hold_name(const std::string& name, int by);
-    std::size_t open_now() const { return multigets_.size() + parts_open_; }
-    store::PartFates fates(const Open& open) const;
-    Open forget(std::map<Id, Open>::iterator at);
-    void end(Id multiget, Ending ending, std::string_view reason);
-
-    void carry_out(const Send& send);
-    void carry_out(const CallOff& call_off);
-    void carry_out(const Answer& answer);
-    void carry_out(const PushBack& push_back);
-    void carry_out(const Fail& fail);
-    void carry_out(const SetBell& bell);
-    void carry_out(const LogLine& line);
-    void carry_out(const WatchList& watch) { lister_->watch(watch); }
-    void carry_out(const FetchList&) { lister_->fetch(); }
-    void carry_out(const Probe& probe);
+    void adjust_name_uses(const std::string& name, int change);
+    std::size_t open_count() const { return multigets_.size() + open_parts_; }
+    store::PartFates fates(const OpenMultiget& open) const;
+    OpenMultiget remove(std::map<Id, OpenMultiget>::iterator position);
+    void finish_multiget(Id multiget, Ending ending, std::string_view reason);
+
+    void execute(const Send& send);
+    void execute(const CallOff& call_off);
+    void execute(const Answer& answer);
+    void execute(const PushBack& push_back);
+    void execute(const Fail& fail);
+    void execute(const SetBell& timer);
+    void execute(const LogLine& line);
+    void execute(const WatchList& watch) { list_source_->watch(watch); }
+    void execute(const FetchList&) { list_source_->fetch(); }
+    void execute(const Probe& probe);
 
     net::Scheduler& scheduler_;
     FrontNode node_;
-    const Time turn_;
-    const std::size_t most_open_;
-    const int most_sends_;
+    const Time turn_interval_;
+    const std::size_t max_open_;
+    const int max_sends_;
     Counters& counters_;
     Log& log_;
     RequestLog request_log_;
-    Caller* caller_ = nullptr;
-    Lister* lister_ = nullptr;
-    Routes* routes_ = nullptr;  // null: parts are sent as the client asked for them
+    SendTransport* transport_ = nullptr;
+    ServerListSource* list_source_ = nullptr;
+    PartRouting* routing_ = nullptr;  // null: parts are sent as the client asked for them
 
     // Events for the next turn.
     std::vector<Event> events_;
-    std::multimap<Time, std::uint32_t> bells_;
-    Time last_turn_ = 0;
-    Time next_turn_ = 0;  // the next turn does not start earlier
-    std::map<Id, Open> multigets_;
+    std::multimap<Time, std::uint32_t> timers_;
+    Time last_turn_at_ = 0;
+    Time next_turn_at_ = 0;  // the next turn does not start earlier
+    std::map<Id, OpenMultiget> multigets_;
     std::map<Id, OpenPart> parts_;
-    std::map<std::pair<Id, int>, std::string> out_;  // sends without an outcome -> name of their multiget
+    std::map<std::pair<Id, int>, std::string>
+        outstanding_sends_;  // sends without an outcome -> name of their multiget
     // Names in use -> number of uses, by an open multiget and by its sends that have no outcome yet.
-    std::map<std::string, int> names_;
-    struct Known {
+    std::map<std::string, int> name_uses_;
+    struct KnownServer {
         ServerId id;
-        net::Endpoint at;
+        net::Endpoint endpoint;
     };
-    std::map<std::string, Known> servers_;  // by name on the server list, until forget_server()
-    std::uint32_t last_server_ = 0;
-    std::size_t parts_open_ = 0;  // parts of open multigets that have no value yet
-    std::size_t most_at_once_ = 0;
-    Time list_heard_ = 0;
+    std::map<std::string, KnownServer> servers_;  // by name on the server list, until forget_server()
+    std::uint32_t last_server_number_ = 0;
+    std::size_t open_parts_ = 0;  // parts of open multigets that have no value yet
+    std::size_t peak_open_ = 0;
+    Time last_list_contact_ = 0;
     Id last_id_ = 0;
-    std::uint32_t last_number_ = 0;
+    std::uint32_t last_multiget_number_ = 0;
     net::Waiter waiter_;
     net::Task task_;
 };
--- a/src/service/fleet_side.hpp
+++ b/src/service/fleet_side.hpp
@@ -19,10 +19,10 @@
 namespace pinedoor::service {
 
 // Publishes this node's reports and passes the combined reports of the others to the dispatcher.
-class FleetSide {
+class FleetReporter {
 public:
-    FleetSide(net::Scheduler& scheduler, Exchange& exchange, peers::Carrier& carrier, Log& log,
-              fleet::WordTerms terms);
+    FleetReporter(net::Scheduler& scheduler, Dispatcher& dispatcher, peers::Carrier& carrier, Log& log,
+                  fleet::WordTerms terms);
 
     void start();
     std::string print_gauges() const;
@@ -30,35 +30,35 @@
 private:
     net::Task run();
     // Reads new gossip entries and publishes this node's reports.
-    void look();
-    fleet::Said read(fleet::WordReader& reader) const;
-    void tell();
-    void hear();
-    void tell_keys();
-    void hear_keys();
-    std::vector<fleet::ServerSeen> seen() const;
+    void update();
+    fleet::Said read_reports(fleet::WordReader& reader) const;
+    void publish_reports();
+    void apply_reports();
+    void publish_keys();
+    void apply_keys();
+    std::vector<fleet::ServerSeen> local_view() const;
     // For operators: all verdicts, or the reports on one server.
     std::string print_verdicts() const;
-    std::string why(std::string_view server) const;
+    std::string print_server(std::string_view server) const;
 
     net::Scheduler& scheduler_;
-    Exchange& exchange_;
+    Dispatcher& dispatcher_;
     peers::Carrier& carrier_;
     Log& log_;
     const fleet::WordTerms terms_;
     fleet::WordReader reader_;
-    fleet::ServerTeller teller_;
-    fleet::ServerHearer hearer_;
-    fleet::Said others_;  // reports of other nodes, as last read
+    fleet::ServerTeller outgoing_;
+    fleet::ServerHearer incoming_;
+    fleet::Said other_reports_;  // reports of other nodes, as last read
     std::uint64_t seen_changes_ = 0;
     Time read_at_ = 0;
     std::map<std::string, fleet::ServerTold>
-        unheard_;                   // reports on servers that are not on the server list yet
-    std::set<std::string> asides_;  // servers that are set aside by verdicts the module has received
-    std::vector<std::uint64_t> keys_told_;
-    std::map<std::uint64_t, Time> keys_heard_;  // key -> end of its validity
-    std::uint64_t told_ = 0, heard_ = 0, aside_ = 0, ended_ = 0;
-    Time oldest_ = 0;  // age of the oldest evidence that a verdict was based on
+        pending_reports_;              // reports on servers that are not on the server list yet
+    std::set<std::string> set_aside_;  // servers that are set aside by verdicts the module has received
+    std::vector<std::uint64_t> published_keys_;
+    std::map<std::uint64_t, Time> received_keys_;  // key -> end of its validity
+    std::uint64_t reports_published_ = 0, reports_applied_ = 0, verdicts_aside_ = 0, verdicts_ended_ = 0;
+    Time oldest_evidence_ = 0;  // age of the oldest evidence that a verdict was based on
     net::Waiter waiter_;
     net::Task task_;
 };
--- a/src/service/front_door.cpp
+++ b/src/service/front_door.cpp
@@ -10,8 +10,8 @@
 namespace pinedoor::service {
 namespace {
 
-constexpr int kReadings = 20;
-constexpr net::Moment kReadAgain = 1'000;
+constexpr int kMaxReloadReads = 20;
+constexpr net::Moment kReloadReadInterval = 1'000;
 
 // In the simulator pushed lists arrive by themselves. On sockets an agent beside each front node has them and
 // sends them on a watch, and discovery counts a list that the agent has as received. So a watch must be open
@@ -54,10 +54,10 @@
 
 // Idle connections per open request. More cannot be reused soon: each open request would have to find two
 // idle connections.
-constexpr std::size_t kIdleForEachOpen = 2;
+constexpr std::size_t kIdlePerOpenRequest = 2;
 
 // Half of the memory is for requests of clients, each at its largest size.
-std::size_t most_clients(const stated::Launch& launch, const Descriptors& descriptors) {
+std::size_t max_clients(const stated::Launch& launch, const DescriptorBudget& descriptors) {
     constexpr parse::HttpBounds kLargest;
     return std::min(descriptors.for_clients(), launch.memory() / 2 / (kLargest.head + kLargest.body));
 }
@@ -68,61 +68,66 @@
                      const stated::Installation& installation, std::FILE* log, LogTerms log_terms)
     : scheduler_(scheduler), launch_(launch), log_(log, scheduler, counters_, log_terms),
       descriptors_(launch.sockets()), placement_(make_placement(installation)),
-      exchange_(scheduler,
-                make_node(launch.seed(), launch.settings(), placement_.get(), installation.placement),
-                launch.settings().node_place().turn, launch.settings().most_open(),
-                launch.settings().send_terms().most_sends, counters_, log_),
+      dispatcher_(scheduler,
+                  make_node(launch.seed(), launch.settings(), placement_.get(), installation.placement),
+                  launch.settings().node_place().turn, launch.settings().most_open(),
+                  launch.settings().send_terms().most_sends, counters_, log_),
       keeper_(make_keeper(installation)), peers_(make_peers(installation)),
-      limits_(make_limits(installation)),
-      servers_(scheduler, exchange_, counters_, log_, launch.settings().report_fields(),
-               launch.settings().shard_ring().parts_per_call, launch.settings().streams_per_connection(),
-               launch.settings().send_terms().connect_timeout, launch.settings().connection_idle(),
-               descriptors_.for_servers(),
-               kIdleForEachOpen * static_cast<std::size_t>(launch.settings().most_open())),
-      list_(scheduler, exchange_, counters_, log_, launch.discovery(), launch.settings().zone_names()),
-      clients_(
+      limiter_(make_limits(installation)),
+      server_connections_(scheduler, dispatcher_, counters_, log_, launch.settings().report_fields(),
+                          launch.settings().shard_ring().parts_per_call,
+                          launch.settings().streams_per_connection(),
+                          launch.settings().send_terms().connect_timeout, launch.settings().connection_idle(),
+                          descriptors_.for_servers(),
+                          kIdlePerOpenRequest * static_cast<std::size_t>(launch.settings().most_open())),
+      list_client_(scheduler, dispatcher_, counters_, log_, launch.discovery(),
+                   launch.settings().zone_names()),
+      client_connections_(
           scheduler, request_handler(), counters_, log_, launch.listen(), launch.settings().op_type_names(),
           launch.settings().tenant_names(), launch.settings().shards(), longest_timeout(launch.settings()),
-          launch.settings().send_terms().connect_timeout, most_clients(launch, descriptors_),
+          launch.settings().send_terms().connect_timeout, max_clients(launch, descriptors_),
           keeper_ != nullptr, [this] { return print_counters(); },
-          [this] { return exchange_.knows_servers(); }),
-      reload_asked_(scheduler) {
-    if (limits_ && limits_->paces_connections())
-        servers_.pace_connections([this](net::Endpoint server) { return limits_->may_connect(server); });
+          [this] { return dispatcher_.has_servers(); }),
+      reload_waiter_(scheduler) {
+    if (limiter_ && limiter_->limits_connections())
+        server_connections_.set_connection_pacing(
+            [this](net::Endpoint server) { return limiter_->may_connect(server); });
     if (!peers_) return;
-    share_ = std::make_unique<ListShare>(scheduler, list_, *peers_, log_, launch.name(), launch.seed());
+    list_relay_ = std::make_unique<ServerListRelay>(scheduler, list_client_, *peers_, log_, launch.name(),
+                                                    launch.seed());
     if (!installation.fleet.verdicts) return;
-    fleet_ = std::make_unique<FleetSide>(scheduler, exchange_, *peers_, log_, installation.fleet.words);
+    fleet_reporter_ =
+        std::make_unique<FleetReporter>(scheduler, dispatcher_, *peers_, log_, installation.fleet.words);
 }
 
 void FrontDoor::start() {
-    exchange_.join(servers_, list_, placement_.get());
-    if (placement_) placement_->join(exchange_);
-    servers_.start();
-    list_.take_known(launch_.known());
-    exchange_.start();
+    dispatcher_.attach(server_connections_, list_client_, placement_.get());
+    if (placement_) placement_->attach(dispatcher_);
+    server_connections_.start();
+    list_client_.load_known(launch_.known());
+    dispatcher_.start();
     if (placement_) placement_->start();
     if (keeper_) keeper_->start();
     if (peers_) peers_->start();
-    if (share_) share_->start();
-    if (fleet_) fleet_->start();
-    if (limits_) limits_->start();
-    clients_.start();
-    reloading_ = reloading();
-    reloading_.start([this](std::exception_ptr failure) {
+    if (list_relay_) list_relay_->start();
+    if (fleet_reporter_) fleet_reporter_->start();
+    if (limiter_) limiter_->start();
+    client_connections_.start();
+    reload_task_ = run_reloads();
+    reload_task_.start([this](std::exception_ptr failure) {
         scheduler_.defer([failure] { std::rethrow_exception(failure); });
     });
 }
 
 void FrontDoor::stop() {
     log_.event(Level::kInfo, "shutdown", "asked to end: what has been taken is answered first");
-    clients_.stop();
-    if (limits_) limits_->stop();
+    client_connections_.stop();
+    if (limiter_) limiter_->stop();
     if (peers_) peers_->leave();
 }
 
 bool FrontDoor::done() {
-    if (!clients_.done() || !keeper_) return clients_.done();
+    if (!client_connections_.done() || !keeper_) return client_connections_.done();
     keeper_->finish();
     return keeper_->done();
 }
@@ -159,16 +164,16 @@
         });
 }
 
-std::unique_ptr<LimitSide> FrontDoor::make_limits(const stated::Installation& installation) {
+std::unique_ptr<FleetLimiter> FrontDoor::make_limits(const stated::Installation& installation) {
     if (!installation.fleet.on) return nullptr;
     const auto& settings = launch_.settings();
     const auto terms = settings.client_terms();
     try {
-        return std::make_unique<LimitSide>(
-            scheduler_, recording_handler(), exchange_, peers_.get(), log_, installation.fleet,
-            LimitSide::Names{settings.tenant_names(), settings.op_type_names(),
-                             settings.node_place().front_nodes,
-                             terms.retry_after ? terms.longest_retry_after : 0},
+        return std::make_unique<FleetLimiter>(
+            scheduler_, recording_handler(), dispatcher_, peers_.get(), log_, installation.fleet,
+            FleetLimiter::Options{settings.tenant_names(), settings.op_type_names(),
+                                  settings.node_place().front_nodes,
+                                  terms.retry_after ? terms.longest_retry_after : 0},
             launch_.seed());
     } catch (const std::invalid_argument& error) {
         throw stated::BadStated(error.what());
@@ -176,7 +181,7 @@
 }
 
 RequestHandler& FrontDoor::request_handler() {
-    if (limits_) return *limits_;
+    if (limiter_) return *limiter_;
     return recording_handler();
 }
 
@@ -187,10 +192,10 @@
 
 RequestHandler& FrontDoor::inner_handler() {
     if (placement_) return *placement_;
-    return exchange_;
+    return dispatcher_;
 }
 
-std::unique_ptr<PlacementSide> FrontDoor::make_placement(const stated::Installation& installation) {
+std::unique_ptr<PlacementHandler> FrontDoor::make_placement(const stated::Installation& installation) {
     const auto& terms = installation.placement;
     if (!terms.on) return nullptr;
     const auto& settings = launch_.settings();
@@ -218,34 +223,35 @@
     gather.most_legs = terms.most_legs;
     gather.cold_from = settings.cold_terms().from;
     gather.warm_after = settings.cold_terms().warm_after;
-    return std::make_unique<PlacementSide>(scheduler_, log_, terms, std::move(gather), launch_.discovery(),
-                                           launch_.seed());
+    return std::make_unique<PlacementHandler>(scheduler_, log_, terms, std::move(gather), launch_.discovery(),
+                                              launch_.seed());
 }
 
 void FrontDoor::reload() {
-    readings_ = kReadings;
-    reload_asked_.signal();
+    reads_left_ = kMaxReloadReads;
+    reload_waiter_.signal();
 }
 
 // An invalid file may be in the middle of its replacement, so it is read again for a while. Each fault is
 // logged once.
-net::Task FrontDoor::reloading() {
-    for (std::string told;;) {
-        co_await reload_asked_.wait(0, readings_ > 0 ? scheduler_.now() + kReadAgain : net::kNever);
-        if (readings_ == kReadings) told.clear();
-        const auto fault = take_file();
-        readings_ = fault.empty() ? 0 : readings_ - 1;
+net::Task FrontDoor::run_reloads() {
+    for (std::string last_fault;;) {
+        co_await reload_waiter_.wait(0,
+                                     reads_left_ > 0 ? scheduler_.now() + kReloadReadInterval : net::kNever);
+        if (reads_left_ == kMaxReloadReads) last_fault.clear();
+        const auto fault = apply_configuration();
+        reads_left_ = fault.empty() ? 0 : reads_left_ - 1;
         counters_.add(fault.empty() ? Count::kReloads : Count::kReloadFaults);
-        if (!fault.empty() && fault != told)
+        if (!fault.empty() && fault != last_fault)
             log_.event(Level::kWarning, "reload_refused", "reload: " + fault + "; all stays as it was");
-        told = fault;
+        last_fault = fault;
     }
 }
 
-std::string FrontDoor::take_file() {
+std::string FrontDoor::apply_configuration() {
     try {
         const auto newer = launch_.read_again();
-        list_.move_to(newer.discovery());
+        list_client_.move_to(newer.discovery());
         if (placement_) placement_->move_to(newer.discovery());
         std::string line = "reload: discovery is at " + net::to_text(newer.discovery());
         for (const auto& key : launch_.needing_restart(newer)) line += "; " + key + " needs a restart";
@@ -257,14 +263,14 @@
 }
 
 std::string FrontDoor::print_counters() const {
-    std::string out =
-        counters_.print() + exchange_.print_gauges() + servers_.print_gauges() + clients_.print_gauges();
+    std::string out = counters_.print() + dispatcher_.print_gauges() + server_connections_.print_gauges() +
+                      client_connections_.print_gauges();
     if (keeper_) out += keeper_->print_gauges();
     if (placement_) out += placement_->print_gauges();
     if (peers_) out += peers_->print_counters();
-    if (share_) out += share_->print_gauges();
-    if (fleet_) out += fleet_->print_gauges();
-    if (limits_) out += limits_->print_gauges();
+    if (list_relay_) out += list_relay_->print_gauges();
+    if (fleet_reporter_) out += fleet_reporter_->print_gauges();
+    if (limiter_) out += limiter_->print_gauges();
     const std::filesystem::directory_iterator held("/proc/self/fd"), end;
     append_line(out, "descriptors_open", static_cast<std::uint64_t>(std::distance(held, end)) - 1);
     append_line(out, "longest_turn_us", static_cast<std::uint64_t>(scheduler_.longest_round()) * 100);
--- a/src/service/front_door.hpp
+++ b/src/service/front_door.hpp
@@ -40,13 +40,13 @@
     std::string print_counters() const;
 
 private:
-    net::Task reloading();
+    net::Task run_reloads();
     // Returns what is wrong with the configuration, or an empty string.
-    std::string take_file();
+    std::string apply_configuration();
     std::unique_ptr<store::Keeper> make_keeper(const stated::Installation& installation);
-    std::unique_ptr<PlacementSide> make_placement(const stated::Installation& installation);
+    std::unique_ptr<PlacementHandler> make_placement(const stated::Installation& installation);
     std::unique_ptr<peers::Carrier> make_peers(const stated::Installation& installation);
-    std::unique_ptr<LimitSide> make_limits(const stated::Installation& installation);
+    std::unique_ptr<FleetLimiter> make_limits(const stated::Installation& installation);
     // The layers that handle requests, from the outermost to the innermost: limits, store, placement,
     // dispatcher.
     RequestHandler& request_handler();
@@ -57,21 +57,21 @@
     const stated::Launch launch_;
     Counters counters_;
     Log log_;
-    const Descriptors descriptors_;
-    std::unique_ptr<PlacementSide> placement_;  // null: shards are placed by the ring
-    Exchange exchange_;
-    std::unique_ptr<store::Keeper> keeper_;  // null: nothing is recorded
-    std::unique_ptr<FleetSide> fleet_;       // only with peers
-    std::unique_ptr<ListShare>
-        share_;  // only with peers; declared before `peers_`, which runs the tasks that serve its followers
-    std::unique_ptr<peers::Carrier> peers_;  // null: no peers are configured
-    std::unique_ptr<LimitSide> limits_;      // null: no limits for the whole fleet
-    ServerSide servers_;
-    ListWatch list_;
-    ClientSide clients_;
-    int readings_ = 0;  // remaining attempts to read the configuration
-    net::Waiter reload_asked_;
-    net::Task reloading_;  // last member: destroyed first
+    const DescriptorBudget descriptors_;
+    std::unique_ptr<PlacementHandler> placement_;  // null: shards are placed by the ring
+    Dispatcher dispatcher_;
+    std::unique_ptr<store::Keeper> keeper_;          // null: nothing is recorded
+    std::unique_ptr<FleetReporter> fleet_reporter_;  // only with peers
+    std::unique_ptr<ServerListRelay> list_relay_;    // only with peers; declared before `peers_`, which runs
+                                                     // the tasks that serve its followers
+    std::unique_ptr<peers::Carrier> peers_;          // null: no peers are configured
+    std::unique_ptr<FleetLimiter> limiter_;          // null: no limits for the whole fleet
+    ServerConnections server_connections_;
+    ServerListClient list_client_;
+    ClientConnections client_connections_;
+    int reads_left_ = 0;  // remaining attempts to read the configuration
+    net::Waiter reload_waiter_;
+    net::Task reload_task_;  // last member: destroyed first
 };
 
 }  // namespace pinedoor::service
--- a/src/service/limit_side.cpp
+++ b/src/service/limit_side.cpp
@@ -10,7 +10,8 @@
 namespace pinedoor::service {
 namespace {
 
-constexpr Time kLook = 1'000;  // interval at which the needs of others and the module's use are read
+constexpr Time kUpdateInterval =
+    1'000;  // interval at which the needs of others and the module's use are read
 
 int index_of(const std::vector<std::string>& names, const std::string& name, const std::string& what) {
     if (name.empty()) return -1;
@@ -21,7 +22,7 @@
 
 }  // namespace
 
-double LimitSide::Limit::need(Time now) {
+double FleetLimiter::Limit::need(Time now) {
     switch (terms.of) {
         case Of::kMultigets: return gate.need(now);
         case Of::kFurtherSends:
@@ -32,7 +33,7 @@
     return 0;
 }
 
-std::string LimitSide::Limit::print_use() const {
+std::string FleetLimiter::Limit::print_use() const {
     if (terms.of == Of::kMultigets)
         return "passed " + std::to_string(gate.passed()) + ", turned away " +
                std::to_string(gate.turned_away());
@@ -40,17 +41,17 @@
     return "in the module's hands";
 }
 
-LimitSide::LimitSide(net::Scheduler& scheduler, RequestHandler& inner, Exchange& exchange,
-                     peers::Carrier* carrier, Log& log, const fleet::FleetTerms& terms, Names names,
-                     std::uint64_t seed)
-    : scheduler_(scheduler), inner_(inner), exchange_(exchange), carrier_(carrier), log_(log),
-      longest_wait_(names.longest_wait), waiter_(scheduler) {
+FleetLimiter::FleetLimiter(net::Scheduler& scheduler, RequestHandler& inner, Dispatcher& dispatcher,
+                           peers::Carrier* carrier, Log& log, const fleet::FleetTerms& terms, Options options,
+                           std::uint64_t seed)
+    : scheduler_(scheduler), inner_(inner), dispatcher_(dispatcher), carrier_(carrier), log_(log),
+      max_retry_after_(options.max_retry_after), waiter_(scheduler) {
     for (const auto& each : terms.limits) {
         const auto where = "fleet.limits " + each.name;
         limits_.push_back(
             std::unique_ptr<Limit>(new Limit{each,
-                                             index_of(names.tenants, each.tenant, where + ".tenant"),
-                                             index_of(names.op_types, each.op_type, where + ".op_type"),
+                                             index_of(options.tenants, each.tenant, where + ".tenant"),
+                                             index_of(options.op_types, each.op_type, where + ".op_type"),
                                              0,
                                              {},
                                              {},
@@ -60,57 +61,60 @@
                                              fleet::Bucket(each),
                                              {},
                                              false}));
-        auto& made = *limits_.back();
+        auto& limit = *limits_.back();
         switch (each.kind) {
-            case fleet::LimitTerms::Kind::kAlone: made.part = each.per_second / names.nodes; break;
-            case fleet::LimitTerms::Kind::kAbout: made.about.emplace(terms.about(each, names.nodes)); break;
+            case fleet::LimitTerms::Kind::kAlone: limit.even_share = each.per_second / options.nodes; break;
+            case fleet::LimitTerms::Kind::kAbout:
+                limit.about.emplace(terms.about(each, options.nodes));
+                break;
             case fleet::LimitTerms::Kind::kNeverOver: {
                 const auto& self = carrier->membership().self();
-                made.leases.emplace(each.name, self.name, self.life, terms.leases(each, names.nodes),
-                                    scheduler.now());
+                limit.leases.emplace(each.name, self.name, self.life, terms.leases(each, options.nodes),
+                                     scheduler.now());
             }
         }
     }
 }
 
-bool LimitSide::limits(Of what) const {
+bool FleetLimiter::has_limit(Of kind) const {
     return std::any_of(limits_.begin(), limits_.end(),
-                       [what](const auto& each) { return each->terms.of == what; });
+                       [kind](const auto& each) { return each->terms.of == kind; });
 }
 
-void LimitSide::start() {
-    if (limits(Of::kPartsOut) || limits(Of::kFurtherSends)) tell_module(scheduler_.now());
-    if (carrier_ != nullptr) talk();
+void FleetLimiter::start() {
+    if (has_limit(Of::kPartsOut) || has_limit(Of::kFurtherSends)) update_module(scheduler_.now());
+    if (carrier_ != nullptr) register_handlers();
     task_ = run();
     task_.start([this](std::exception_ptr failure) {
         if (failure) scheduler_.defer([failure] { std::rethrow_exception(failure); });
     });
 }
 
-void LimitSide::talk() {
-    carrier_->watch([this](const peers::Changed&) { tell_members(); });
-    carrier_->read_letters(fleet::kLeaseTopic,
-                           [this](const std::string& from, const std::string& bytes) { take(from, bytes); });
+void FleetLimiter::register_handlers() {
+    carrier_->watch([this](const peers::Changed&) { update_members(); });
+    carrier_->read_letters(fleet::kLeaseTopic, [this](const std::string& from, const std::string& bytes) {
+        receive_lease(from, bytes);
+    });
     carrier_->answer_to("limits", [this](std::string_view) { return print(); });
-    tell_members();
+    update_members();
 }
 
-void LimitSide::stop() {
+void FleetLimiter::stop() {
     for (auto& each : limits_) {
-        if (each->leases) carry(each->leases->leave(scheduler_.now()));
+        if (each->leases) send_leases(each->leases->leave(scheduler_.now()));
     }
 }
 
-net::Task LimitSide::run() {
+net::Task FleetLimiter::run() {
     for (;;) {
-        if (scheduler_.now() >= about_at_) share_about(scheduler_.now());
-        if (scheduler_.now() >= tell_at_) tell_module(scheduler_.now());
-        Time due = std::min(about_at_, tell_at_);
+        if (scheduler_.now() >= next_needs_at_) exchange_needs(scheduler_.now());
+        if (scheduler_.now() >= next_module_update_at_) update_module(scheduler_.now());
+        Time due = std::min(next_needs_at_, next_module_update_at_);
         for (auto& each : limits_) {
             if (!each->leases) continue;
             const auto now = scheduler_.now();
             each->leases->need(each->need(now));
-            if (now >= each->leases->due()) carry(each->leases->tick(now));
+            if (now >= each->leases->due()) send_leases(each->leases->tick(now));
             due = std::min(due, each->leases->due());
             const bool owns = each->leases->owns(now);
             if (owns != std::exchange(each->owned, owns))
@@ -123,71 +127,71 @@
     }
 }
 
-void LimitSide::share_about(Time now) {
-    about_at_ = net::kNever;
+void FleetLimiter::exchange_needs(Time now) {
+    next_needs_at_ = net::kNever;
     if (carrier_ == nullptr) return;
     caught_up_ = caught_up_ || !carrier_->gossip().behind();
     std::map<std::string, std::vector<double>> needs;  // limit -> needs of the other nodes
     std::size_t members = 0;
     for (auto& each : limits_) {
         if (!each->about) continue;
-        if (about_at_ == net::kNever) {
-            std::map<std::string, bool> there;
-            for (const auto& claim : carrier_->membership().members()) there[claim.name] = true;
-            members = there.size();
+        if (next_needs_at_ == net::kNever) {
+            std::map<std::string, bool> member_names;
+            for (const auto& claim : carrier_->membership().members()) member_names[claim.name] = true;
+            members = member_names.size();
             for (const auto& fact : carrier_->gossip().facts(now, fleet::kNeedsTopic)) {
-                if (fact.origin == carrier_->membership().self().name || !there.contains(fact.origin))
+                if (fact.origin == carrier_->membership().self().name || !member_names.contains(fact.origin))
                     continue;
                 for (const auto& [limit, need] : fleet::read_needs(fact.value)) needs[limit].push_back(need);
             }
-            about_at_ = now + kLook;
+            next_needs_at_ = now + kUpdateInterval;
         }
         each->about->hear(now, needs[each->terms.name], members, caught_up_);
     }
-    std::map<std::string, double> said;
-    bool news = false;
-    Time lives = 0;
+    std::map<std::string, double> published_needs;
+    bool has_changes = false;
+    Time lifetime = 0;
     for (auto& each : limits_) {
         if (!each->about) continue;
         each->about->need(each->need(now));
-        news = each->about->say(now).has_value() || news;
-        said[each->terms.name] = each->about->said();
-        lives = each->about->lives();
+        has_changes = each->about->say(now).has_value() || has_changes;
+        published_needs[each->terms.name] = each->about->said();
+        lifetime = each->about->lives();
     }
-    if (news) carrier_->publish(fleet::kNeedsTopic, fleet::write_needs(said), lives);
+    if (has_changes) carrier_->publish(fleet::kNeedsTopic, fleet::write_needs(published_needs), lifetime);
 }
 
 // A share is valid for a few intervals and no longer than the lease it is based on, so that a process that
 // was suspended does not go on using it.
-void LimitSide::tell_module(Time now) {
+void FleetLimiter::update_module(Time now) {
     FleetShare share;
-    share.until = now + 3 * kLook;
+    share.until = now + 3 * kUpdateInterval;
     int most_out = 0;
-    if (limits(Of::kPartsOut)) {
-        for (const auto& [name, view] : exchange_.servers()) most_out = std::max(most_out, view.parts_out);
+    if (has_limit(Of::kPartsOut)) {
+        for (const auto& [name, view] : dispatcher_.servers()) most_out = std::max(most_out, view.parts_out);
     }
-    const double sent = exchange_.further_sends();
-    const double lately = sent - std::exchange(further_sent_, sent);
+    const double sent = dispatcher_.further_sends();
+    const double recent = sent - std::exchange(further_sends_seen_, sent);
     for (auto& each : limits_) {
-        const double may = each->may_use(now);
+        const double share_now = each->may_use(now);
         if (each->terms.of == Of::kPartsOut) {
             each->parts_out.see(now, most_out);
-            share.parts_out = std::min(share.parts_out, static_cast<int>(std::min(may, 1e9)));
+            share.parts_out = std::min(share.parts_out, static_cast<int>(std::min(share_now, 1e9)));
         } else if (each->terms.of == Of::kFurtherSends) {
-            if (lately > 0) each->further_demand.came(now, lately);
-            each->further.take(lately);
-            share.further = std::min(share.further, sent + each->further.refill(now, may));
+            if (recent > 0) each->further_demand.came(now, recent);
+            each->further_sends.take(recent);
+            share.further = std::min(share.further, sent + each->further_sends.refill(now, share_now));
         } else {
             continue;
         }
         if (each->leases && each->leases->held_until() > now)
             share.until = std::min(share.until, each->leases->held_until());
     }
-    exchange_.hear(share);
-    tell_at_ = now + kLook;
+    dispatcher_.notify(share);
+    next_module_update_at_ = now + kUpdateInterval;
 }
 
-bool LimitSide::may_connect(net::Endpoint at) {
+bool FleetLimiter::may_connect(net::Endpoint at) {
     const auto now = scheduler_.now();
     const auto server = std::uint64_t{at.address} << 16U | at.port;
     std::vector<Limit*> paces;
@@ -200,24 +204,24 @@
         .empty();
 }
 
-void LimitSide::carry(std::vector<fleet::SendLease> all) {
+void FleetLimiter::send_leases(std::vector<fleet::SendLease> all) {
     for (auto& each : all)
         carrier_->send_letter(each.to, fleet::kLeaseTopic, fleet::write_lease(each.message));
 }
 
-void LimitSide::take(const std::string& from, const std::string& bytes) {
+void FleetLimiter::receive_lease(const std::string& from, const std::string& bytes) {
     const auto message = fleet::read_lease(from, bytes);
     if (!message) {
-        ++unread_;
+        ++unreadable_messages_;
         return;
     }
     for (auto& each : limits_) {
         if (each->leases && each->terms.name == message->limit)
-            carry(each->leases->take(scheduler_.now(), *message));
+            send_leases(each->leases->take(scheduler_.now(), *message));
     }
 }
 
-void LimitSide::tell_members() {
+void FleetLimiter::update_members() {
     std::vector<std::string> names;
     for (const auto& claim : carrier_->membership().members()) {
         names.push_back(claim.name);  // suspected ones, too: they are members until found dead
@@ -228,31 +232,32 @@
 }
 
 // Reads the clock for each request: after a suspension nothing that has expired meanwhile is used.
-TakenRequest LimitSide::ask(MultigetAsked asked, std::function<void(Ending)> ended) {
-    if (const auto could = inner_.could_take(asked.name); could != Acceptance::kTaken) return {could, 0};
+TakenRequest FleetLimiter::ask(MultigetAsked multiget, std::function<void(Ending)> ended) {
+    if (const auto acceptance = inner_.could_take(multiget.name); acceptance != Acceptance::kTaken)
+        return {acceptance, 0};
     const auto now = scheduler_.now();
     std::vector<Limit*> gates;
     for (auto& each : limits_) {
         if (each->terms.of != Of::kMultigets) continue;
-        if (each->tenant >= 0 && each->tenant != asked.tenant) continue;
-        if (each->op_type >= 0 && each->op_type != asked.op_type) continue;
+        if (each->tenant >= 0 && each->tenant != multiget.tenant) continue;
+        if (each->op_type >= 0 && each->op_type != multiget.op_type) continue;
         gates.push_back(each.get());
     }
-    const auto full = fleet::turned_away_by(
+    const auto exhausted = fleet::turned_away_by(
         gates, [&](Limit* each) { return each->gate.has_room(now, each->may_use(now)); },
         [&](Limit* each) { each->gate.pass(now, each->may_use(now)); });
-    if (full.empty()) return inner_.ask(std::move(asked), std::move(ended));
+    if (exhausted.empty()) return inner_.ask(std::move(multiget), std::move(ended));
     Ending ending;
     ending.kind = Ending::Kind::kPushedBack;
-    for (auto* each : full) {
-        if (longest_wait_ > 0)
-            ending.wait = std::max(ending.wait, each->gate.wait(each->may_use(now), longest_wait_));
+    for (auto* each : exhausted) {
+        if (max_retry_after_ > 0)
+            ending.wait = std::max(ending.wait, each->gate.wait(each->may_use(now), max_retry_after_));
     }
     ended(std::move(ending));
     return {Acceptance::kTaken, 0};
 }
 
-std::string LimitSide::print() const {
+std::string FleetLimiter::print() const {
     const auto now = scheduler_.now();
     std::string out;
     for (const auto& each : limits_) {
@@ -277,7 +282,7 @@
     return out;
 }
 
-std::string LimitSide::print_gauges() const {
+std::string FleetLimiter::print_gauges() const {
     std::string out;
     const auto now = scheduler_.now();
     for (const auto& each : limits_) {
@@ -294,7 +299,7 @@
         append_line(out, name + "lent", counts.lent);
         append_line(out, name + "expired", counts.expired);
     }
-    append_line(out, "limit_letters_unread", unread_);
+    append_line(out, "limit_letters_unread", unreadable_messages_);
     return out;
 }
 
--- a/src/service/limit_side.hpp
+++ b/src/service/limit_side.hpp
@@ -21,24 +21,25 @@
 namespace pinedoor::service {
 
 // Request handler that enforces the fleet limits.
-class LimitSide : public RequestHandler {
+class FleetLimiter : public RequestHandler {
 public:
-    struct Names {
+    struct Options {
         std::vector<std::string> tenants, op_types;
         int nodes = 1;
-        Time longest_wait = 0;  // longest Retry-After advice, in tenths of a millisecond; 0: none is given
+        Time max_retry_after = 0;  // longest Retry-After advice, in tenths of a millisecond; 0: none is given
     };
     // `carrier`: null if no limit needs other nodes. Throws std::invalid_argument if a limit names an unknown
     // tenant or op type.
-    LimitSide(net::Scheduler& scheduler, RequestHandler& inner, Exchange& exchange, peers::Carrier* carrier,
-              Log& log, const fleet::FleetTerms& terms, Names names, std::uint64_t seed);
+    FleetLimiter(net::Scheduler& scheduler, RequestHandler& inner, Dispatcher& dispatcher,
+                 peers::Carrier* carrier, Log& log, const fleet::FleetTerms& terms, Options options,
+                 std::uint64_t seed);
 
     void start();
     void stop();  // gives back leased shares
-    TakenRequest ask(MultigetAsked asked, std::function<void(Ending)> ended) override;
+    TakenRequest ask(MultigetAsked multiget, std::function<void(Ending)> ended) override;
     store::PartFates leave(Ticket multiget) override { return inner_.leave(multiget); }
     Acceptance could_take(const std::string& name) const override { return inner_.could_take(name); }
-    bool paces_connections() const { return limits(fleet::LimitTerms::Of::kConnections); }
+    bool limits_connections() const { return has_limit(fleet::LimitTerms::Of::kConnections); }
     bool may_connect(net::Endpoint at);
     std::string print_gauges() const;
 
@@ -47,46 +48,46 @@
     struct Limit {
         fleet::LimitTerms terms;
         int tenant = -1, op_type = -1;  // -1: any
-        double part = 0;                // fixed even share, where neither of the next two is set
+        double even_share = 0;          // fixed even share, where neither of the next two is set
         std::optional<fleet::Leases> leases;
         std::optional<fleet::AboutShare> about;
         fleet::Gate gate;  // used according to what is limited
         fleet::ConnectionPace pace;
         fleet::PartsOut parts_out;
-        fleet::Bucket further;
+        fleet::Bucket further_sends;
         fleet::Demand further_demand;
         bool owned = false;
         double may_use(Time now) {
-            return leases ? leases->may_use(now) : about ? about->may_use(now) : part;
+            return leases ? leases->may_use(now) : about ? about->may_use(now) : even_share;
         }
         double need(Time now);
         std::string print_use() const;
     };
-    bool limits(Of what) const;
+    bool has_limit(Of kind) const;
 
     net::Task run();
     // Registers the handlers for membership changes, lease messages and operator queries.
-    void talk();
-    void carry(std::vector<fleet::SendLease> all);
-    void take(const std::string& from, const std::string& bytes);
-    void tell_members();
-    void share_about(Time now);  // reads the needs of other nodes and publishes this node's
+    void register_handlers();
+    void send_leases(std::vector<fleet::SendLease> all);
+    void receive_lease(const std::string& from, const std::string& bytes);
+    void update_members();
+    void exchange_needs(Time now);  // reads the needs of other nodes and publishes this node's
     // Passes this node's share to the decision module.
-    void tell_module(Time now);
+    void update_module(Time now);
     std::string print() const;
 
     net::Scheduler& scheduler_;
     RequestHandler& inner_;
-    Exchange& exchange_;
+    Dispatcher& dispatcher_;
     peers::Carrier* const carrier_;
     Log& log_;
-    const Time longest_wait_;
+    const Time max_retry_after_;
     std::vector<std::unique_ptr<Limit>> limits_;
-    std::uint64_t unread_ = 0;
-    Time about_at_ = 0;
-    Time tell_at_ = net::kNever;  // kNever: no limit concerns the module
-    double further_sent_ = 0;     // as last read
-    bool caught_up_ = false;      // the gossip state has been complete once since the start
+    std::uint64_t unreadable_messages_ = 0;
+    Time next_needs_at_ = 0;
+    Time next_module_update_at_ = net::kNever;  // kNever: no limit concerns the module
+    double further_sends_seen_ = 0;             // as last read
+    bool caught_up_ = false;                    // the gossip state has been complete once since the start
     net::Waiter waiter_;
     net::Task task_;
 };
--- a/src/service/line_watch.cpp
+++ b/src/service/line_watch.cpp
@@ -11,24 +11,24 @@
 
 std::string_view name_of(CallEnd end) {
     switch (end) {
-        case CallEnd::kUnderWay: return "under way";
+        case CallEnd::kInProgress: return "under way";
         case CallEnd::kNoConnection: return "no connection";
         case CallEnd::kRefused: return "refused";
         case CallEnd::kBroken: return "broken off";
         case CallEnd::kSilent: return "silent";
         case CallEnd::kMalformed: return "malformed";
         case CallEnd::kUnusable: return "unusable";
-        case CallEnd::kWhole: break;
+        case CallEnd::kComplete: break;
     }
     return "at its end";
 }
 
-net::Task watch_lines(net::Scheduler& scheduler, LineWatch words,
-                      std::function<bool(const std::string&)> take) {
-    CallState unwatched;
-    auto& state = words.state != nullptr ? *words.state : unwatched;
+net::Task read_json_stream(net::Scheduler& scheduler, JsonStreamCall call,
+                           std::function<bool(const std::string&)> take) {
+    CallState unused_state;
+    auto& state = call.state != nullptr ? *call.state : unused_state;
     state = {CallEnd::kNoConnection, 0, scheduler.now(), 0};
-    auto fd = net::connect_to(words.discovery).first;
+    auto fd = net::connect_to(call.endpoint).first;
     if (!fd) co_return;
     std::optional<net::Stream> opened;
     try {
@@ -36,27 +36,27 @@
     } catch (const std::system_error&) {  // not accepted by epoll: the call has failed
         co_return;
     }
-    state.end = CallEnd::kUnderWay;
+    state.end = CallEnd::kInProgress;
     auto& connection = *opened;
     auto& waiter = connection.waiter();
-    const auto request = parse::http_get(words.target, net::to_text(words.discovery));
+    const auto request = parse::http_get(call.target, net::to_text(call.endpoint));
     std::size_t written = 0;
-    bool any_came = false;
-    parse::HttpReader reader(parse::HttpReader::Kind::kResponse, {16 * 1024, words.longest});
-    parse::JsonObjects objects(words.longest);
+    bool has_input = false;
+    parse::HttpReader reader(parse::HttpReader::Kind::kResponse, {16 * 1024, call.max_object_bytes});
+    parse::JsonObjects objects(call.max_object_bytes);
     const auto end = [&](CallEnd how) { state.end = how; };
     for (;;) {
-        if (connection.broken()) co_return end(any_came ? CallEnd::kBroken : CallEnd::kNoConnection);
+        if (connection.broken()) co_return end(has_input ? CallEnd::kBroken : CallEnd::kNoConnection);
         if (written < request.size() && waiter.may(net::kWrite)) {
             if (net::socket_error(connection.fd()) != 0) co_return end(CallEnd::kNoConnection);
             written += connection.write(std::string_view(request).substr(written));
         }
-        bool more_came = false;
+        bool has_new_input = false;
         if (waiter.may(net::kRead)) {
             switch (connection.read()) {
-                case net::Stream::Got::kBytes: more_came = any_came = true; break;
+                case net::Stream::Got::kBytes: has_new_input = has_input = true; break;
                 case net::Stream::Got::kNothing: break;
-                default: co_return end(any_came ? CallEnd::kBroken : CallEnd::kNoConnection);
+                default: co_return end(has_input ? CallEnd::kBroken : CallEnd::kNoConnection);
             }
         }
         auto& buffer = connection.buffer();
@@ -64,22 +64,22 @@
         if (reader.state() == parse::HttpReader::State::kBad) co_return end(CallEnd::kMalformed);
         if (reader.state() != parse::HttpReader::State::kHead) state.status = reader.status();
         if (state.status != 0 && state.status != 200) co_return end(CallEnd::kRefused);
-        const auto came = reader.take_body();
-        objects.feed(came);
+        const auto body = reader.take_body();
+        objects.feed(body);
         while (const auto object = objects.next()) {
             if (!take(*object)) co_return end(CallEnd::kUnusable);
             ++state.objects;
         }
         // An incomplete object does not count as contact, however slowly it grows.
         const bool is_whole = state.objects > 0 && objects.is_between();
-        if (more_came && (state.objects == 0 || is_whole)) state.heard = scheduler.now();
-        if (!came.empty() && is_whole && words.alive) words.alive();
+        if (has_new_input && (state.objects == 0 || is_whole)) state.last_input = scheduler.now();
+        if (!body.empty() && is_whole && call.on_alive) call.on_alive();
         if (objects.bad()) co_return end(CallEnd::kMalformed);
-        if (reader.state() == parse::HttpReader::State::kDone) co_return end(CallEnd::kWhole);
+        if (reader.state() == parse::HttpReader::State::kDone) co_return end(CallEnd::kComplete);
         // Checked after reading: input that arrived while this process was suspended counts.
-        if (scheduler.now() - state.heard >= words.silence) co_return end(CallEnd::kSilent);
+        if (scheduler.now() - state.last_input >= call.silence_timeout) co_return end(CallEnd::kSilent);
         co_await waiter.wait(net::kRead | (written < request.size() ? net::kWrite : 0U),
-                             state.heard + words.silence);
+                             state.last_input + call.silence_timeout);
     }
 }
 
--- a/src/service/list_share.hpp
+++ b/src/service/list_share.hpp
@@ -19,63 +19,63 @@
 namespace pinedoor::service {
 
 // Follows one source of the server list and serves followers.
-class ListShare : public ListKeeper {
+class ServerListRelay : public ServerListListener {
 public:
-    ListShare(net::Scheduler& scheduler, ListWatch& list, peers::Carrier& carrier, Log& log, std::string name,
-              std::uint64_t seed);
+    ServerListRelay(net::Scheduler& scheduler, ServerListClient& list, peers::Carrier& carrier, Log& log,
+                    std::string name, std::uint64_t seed);
 
     void start();
-    void came(const std::string& revision, bool whole, const std::vector<Member>& members,
-              const Word& word) override;
-    void still(const Word& word) override;
-    void ended() override;
-    void moved(net::Endpoint discovery) override;
+    void on_list(const std::string& revision, bool whole, const std::vector<ListedServer>& members,
+                 const SourceInfo& source) override;
+    void on_alive(const SourceInfo& source) override;
+    void on_call_ended() override;
+    void on_discovery_moved(net::Endpoint discovery) override;
     std::string print_gauges() const;
 
 private:
     // A front node that watches the list here.
     struct Follower {
         net::Stream* stream;
-        std::string out;
-        bool over = false;
+        std::string pending;
+        bool closing = false;
     };
 
     net::Task run();
-    net::Task serve(net::Stream& stream);
+    net::Task serve_follower(net::Stream& stream);
     // Passes the current members to the source selection.
-    void tell_members();
-    void follow(const peers::ListSource::Source& source);
+    void update_members();
+    void call_source(const peers::ListSource::Source& source);
     // Drops the current source.
-    void lose(const char* why);
+    void drop_source(const char* reason);
     // Publishes this node's revision and compares it with those of other members.
-    void compare();
-    void pass_on(const std::string& text);
-    std::string member_text(const Member& member) const;
+    void compare_revisions();
+    void broadcast(const std::string& text);
+    std::string entry_text(const ListedServer& member) const;
     std::string digest() const;  // of the current list
     std::string via_text() const;
-    std::string line(bool whole, const std::vector<Member>& members) const;
+    std::string list_text(bool whole, const std::vector<ListedServer>& members) const;
     // Whether there is a list that is recent enough to be relayed.
-    bool fresh() const;
-    Time age() const { return scheduler_.now() - said_at_; }
+    bool is_fresh() const;
+    Time age() const { return scheduler_.now() - confirmed_at_; }
 
     net::Scheduler& scheduler_;
-    ListWatch& list_;
+    ServerListClient& list_client_;
     peers::Carrier& carrier_;
     Log& log_;
-    peers::ListSource source_;
-    std::optional<peers::ListSource::Source> called_;
+    peers::ListSource source_selection_;
+    std::optional<peers::ListSource::Source> current_source_;
     net::Moment called_at_ = 0;
-    bool have_ = false;
+    bool has_list_ = false;
     std::string revision_ = "0";
-    std::map<std::string, Member> members_;
+    std::map<std::string, ListedServer> members_;
     std::vector<std::string> via_;  // front nodes that the list passed through
-    net::Moment said_at_ = 0;       // when discovery last confirmed the list
-    net::Moment beat_at_ = 0;
-    net::Moment claimed_at_ = 0;  // when `claimed_` was last published
-    std::string claimed_;
+    net::Moment confirmed_at_ = 0;  // when discovery last confirmed the list
+    net::Moment next_heartbeat_at_ = 0;
+    net::Moment published_at_ = 0;  // when `claimed_` was last published
+    std::string published_revision_;
     std::list<Follower> followers_;
-    std::uint64_t served_ = 0, turned_away_ = 0, sources_lost_ = 0, asked_discovery_ = 0,
-                  digests_differed_ = 0, behind_ = 0, circles_ = 0;
+    std::uint64_t followers_served_ = 0, followers_rejected_ = 0, sources_lost_ = 0, discovery_calls_ = 0,
+                  digest_mismatches_ = 0, sources_behind_ = 0, cycles_detected_ = 0;
     net::Waiter waiter_;
     net::Task task_;
 };
--- a/src/service/list_watch.hpp
+++ b/src/service/list_watch.hpp
@@ -20,42 +20,42 @@
 
 // Chooses the source of the server list and receives everything that the source sends, where discovery is not
 // the only source.
-class ListKeeper {
+class ServerListListener {
 public:
-    virtual ~ListKeeper() = default;
+    virtual ~ServerListListener() = default;
     // Data that a front node sends together with the list; empty for discovery.
-    struct Word {
+    struct SourceInfo {
         Time age = 0;        // time since discovery confirmed the list, at least
         std::string digest;  // of the whole current list
         std::vector<std::string>
             via;  // front nodes that the list passed through, starting with the one that calls discovery
     };
     // A list or a change from the current source.
-    virtual void came(const std::string& revision, bool whole, const std::vector<Member>& members,
-                      const Word& word) = 0;
+    virtual void on_list(const std::string& revision, bool whole, const std::vector<ListedServer>& members,
+                         const SourceInfo& source) = 0;
     // The list is unchanged and still valid.
-    virtual void still(const Word& word) = 0;
-    virtual void ended() = 0;  // the current call
-    virtual void moved(net::Endpoint discovery) = 0;
+    virtual void on_alive(const SourceInfo& source) = 0;
+    virtual void on_call_ended() = 0;  // the current call
+    virtual void on_discovery_moved(net::Endpoint discovery) = 0;
 };
 
 // Watches or fetches the server list and passes its entries to the dispatcher.
-class ListWatch : public Lister {
+class ServerListClient : public ServerListSource {
 public:
-    ListWatch(net::Scheduler& scheduler, Exchange& exchange, Counters& counters, Log& log,
-              net::Endpoint discovery, std::vector<std::string> zones);
+    ServerListClient(net::Scheduler& scheduler, Dispatcher& dispatcher, Counters& counters, Log& log,
+                     net::Endpoint discovery, std::vector<std::string> zones);
 
     // Loads the list that this front node has stored.
-    void take_known(const parse::Json& known);
-    void watch(const WatchList& terms) override;
+    void load_known(const parse::Json& known);
+    void watch(const WatchList& options) override;
     void fetch() override;
     // Discovery has moved to another address. Calls to the old address are dropped without a notification and
     // the list is requested from the new one at once; the current list stays in use.
     void move_to(net::Endpoint discovery);
 
     // From now on the listener decides which source is called and when, with call().
-    void keep_by(ListKeeper& keeper) { keeper_ = &keeper; }
-    void call(net::Endpoint source);
+    void set_listener(ServerListListener& listener) { listener_ = &listener; }
+    void call_source(net::Endpoint source);
     net::Endpoint discovery() const { return discovery_; }
     const std::vector<std::string>& zones() const { return zones_; }
 
@@ -65,36 +65,36 @@
         net::Task task;  // declared after the state that it writes
     };
 
-    net::Task follow(bool stream, Call& call);
-    void start(bool stream, int beside);
-    void ended(const CallState& state);
+    net::Task make_call(bool stream, Call& call);
+    void start_call(bool stream, int beside);
+    void on_call_ended(const CallState& state);
     void drop_calls();
     void keep_only(const Call& call);
-    bool take_answer(Call& call, const std::string& text);
-    std::optional<Time> unheard() const;
+    bool handle_object(Call& call, const std::string& text);
+    std::optional<Time> since_last_contact() const;
     // Other front nodes that serve the list send something each second.
-    static constexpr Time kSilenceOfPeers = 30'000;
+    static constexpr Time kPeerSilenceTimeout = 30'000;
 
-    void log_told(ListKind kind, std::size_t entries);
-    bool take_object(const std::string& text);
-    bool take_list(const parse::Json& list, bool saved);
-    static Time age_in(const parse::Json& said);
-    static ListKeeper::Word word_in(const parse::Json& said);
-    std::optional<Member> read_member(const parse::Json& json);
+    void log_list(ListKind kind, std::size_t entries);
+    bool apply_object(const std::string& text);
+    bool apply_list(const parse::Json& list, bool saved);
+    static Time parse_age(const parse::Json& message);
+    static ServerListListener::SourceInfo parse_source_info(const parse::Json& message);
+    std::optional<ListedServer> parse_entry(const parse::Json& json);
 
     net::Scheduler& scheduler_;
-    Exchange& exchange_;
+    Dispatcher& dispatcher_;
     Counters& counters_;
     Log& log_;
     net::Endpoint discovery_;
     net::Endpoint source_;  // the current source
-    ListKeeper* keeper_ = nullptr;
+    ServerListListener* listener_ = nullptr;
     const std::vector<std::string> zones_;
     ServerStarts starts_;
-    std::string revision_;  // revision of the current list, as discovery wrote it
-    bool wanted_ = false;   // whether a watch has been requested
-    Time longest_silence_ = kSilenceOfPeers;
-    net::Moment heard_ = 0;  // last complete message on a watch; 0: none
+    std::string revision_;          // revision of the current list, as discovery wrote it
+    bool watch_requested_ = false;  // whether a watch has been requested
+    Time silence_timeout_ = kPeerSilenceTimeout;
+    net::Moment last_contact_ = 0;  // last complete message on a watch; 0: none
     std::list<Call> calls_;
 };
 
--- a/src/service/log.cpp
+++ b/src/service/log.cpp
@@ -14,8 +14,8 @@
 namespace {
 
 constexpr net::Moment kSecond = 10'000;
-constexpr int kMostLines = 50;  // lines of one event per second
-constexpr std::size_t kLongestText =
+constexpr int kMaxLines = 50;  // lines of one event per second
+constexpr std::size_t kMaxValueBytes =
     500;  // bytes of a value; a line stays well below what a writable pipe accepts at once
 
 // Writes each line in one call, so that lines of several processes on one pipe are not mixed.
@@ -57,8 +57,8 @@
 }
 
 // Truncates the text and replaces control characters, so that it cannot start a line or a key of its own.
-std::string shown(std::string_view text) {
-    std::string out(text.substr(0, kLongestText));
+std::string sanitize(std::string_view text) {
+    std::string out(text.substr(0, kMaxValueBytes));
     std::replace_if(
         out.begin(), out.end(), [](char c) { return static_cast<unsigned char>(c) < ' ' || c == 127; }, '?');
     return out;
@@ -68,7 +68,7 @@
     line += ' ';
     line += name;
     line += '=';
-    const auto text = shown(value);
+    const auto text = sanitize(value);
     if (!text.empty() && text.find_first_of(" \"=\\") == std::string::npos) {
         line += text;
         return;
@@ -85,38 +85,38 @@
     line += ',';
     parse::append_json_string(line, name);
     line += ':';
-    const auto text = shown(value);
+    const auto text = sanitize(value);
     parse::append_json_string(line, parse::is_utf8(text) ? std::string_view(text) : "(no text)");
 }
 
 }  // namespace
 
-Log::Log(std::FILE* out, const net::Scheduler& scheduler, Counters& counters, LogTerms terms)
-    : out_(out), scheduler_(scheduler), counters_(counters), terms_(terms),
+Log::Log(std::FILE* out, const net::Scheduler& scheduler, Counters& counters, LogTerms options)
+    : out_(out), scheduler_(scheduler), counters_(counters), options_(options),
       logger_(std::make_unique<spdlog::logger>("pinedoor", std::make_shared<LineSink>(out))) {
-    logger_->set_level(to_spdlog(terms.least));
+    logger_->set_level(to_spdlog(options.least));
 }
 
 Log::~Log() = default;
 
-bool Log::writes(Level level) const { return logger_->should_log(to_spdlog(level)); }
+bool Log::is_enabled(Level level) const { return logger_->should_log(to_spdlog(level)); }
 
 void Log::event(Level level, std::string_view event, std::string_view text,
                 std::initializer_list<Field> fields) {
-    if (!writes(level)) return;
+    if (!is_enabled(level)) return;
     const auto now = scheduler_.now();
-    if (now - second_began_ >= kSecond) {
+    if (now - second_started_ >= kSecond) {
         const int suppressed = std::exchange(suppressed_, 0);
-        second_began_ = now;
-        lines_.clear();
+        second_started_ = now;
+        lines_this_second_.clear();
         if (suppressed > 0) {
             write(Level::kWarning, "lines_suppressed", std::to_string(suppressed) + " lines suppressed", {});
         }
     }
     pollfd ready{fileno(out_), POLLOUT, 0};
-    auto counted = lines_.find(event);
-    if (counted == lines_.end()) counted = lines_.emplace(event, 0).first;
-    if (++counted->second <= kMostLines && poll(&ready, 1, 0) == 1 && (ready.revents & POLLOUT) != 0)
+    auto count = lines_this_second_.find(event);
+    if (count == lines_this_second_.end()) count = lines_this_second_.emplace(event, 0).first;
+    if (++count->second <= kMaxLines && poll(&ready, 1, 0) == 1 && (ready.revents & POLLOUT) != 0)
         return write(level, event, text, fields);
     ++suppressed_;
     counters_.add(Count::kLogLinesSuppressed);
@@ -127,7 +127,7 @@
     const auto now = scheduler_.now();
     const auto time = std::to_string(now / kSecond) + '.' + std::to_string(kSecond + now % kSecond).substr(1);
     std::string line;
-    if (terms_.format == LogFormat::kJson) {
+    if (options_.format == LogFormat::kJson) {
         line = "{\"time\":" + time;
         append_member(line, "level", name_of(level));
         append_member(line, "event", event);
--- a/src/service/log.hpp
+++ b/src/service/log.hpp
@@ -33,10 +33,10 @@
         std::string value;
     };
 
-    Log(std::FILE* out, const net::Scheduler& scheduler, Counters& counters, LogTerms terms = {});
+    Log(std::FILE* out, const net::Scheduler& scheduler, Counters& counters, LogTerms options = {});
     ~Log();
 
-    bool writes(Level level) const;  // whether lines of this level are written
+    bool is_enabled(Level level) const;  // whether lines of this level are written
 
     // Writes an event. `event` is its name in snake case, which is stable across releases; `text` is a
     // message for people.
@@ -50,10 +50,10 @@
     std::FILE* out_;
     const net::Scheduler& scheduler_;
     Counters& counters_;
-    const LogTerms terms_;
+    const LogTerms options_;
     std::unique_ptr<spdlog::logger> logger_;
-    net::Moment second_began_ = 0;
-    std::map<std::string, int, std::less<>> lines_;  // event -> lines in the current second
+    net::Moment second_started_ = 0;
+    std::map<std::string, int, std::less<>> lines_this_second_;  // event -> lines in the current second
     int suppressed_ = 0;
 };
 
--- a/src/service/placement_side.cpp
+++ b/src/service/placement_side.cpp
@@ -9,21 +9,21 @@
 namespace {
 
 using namespace placement;
-constexpr std::size_t kLongestMap = std::size_t{64} << 20U;
-constexpr Time kSilence = 30'000;
-constexpr std::size_t kHottest = 20;  // hottest shards to be listed among the counters
+constexpr std::size_t kMaxMapBytes = std::size_t{64} << 20U;
+constexpr Time kSilenceTimeout = 30'000;
+constexpr std::size_t kHottestShards = 20;  // hottest shards to be listed among the counters
 
 store::PartFate to_store(PieceFate fate) { return static_cast<store::PartFate>(fate); }
 PieceFate from_store(store::PartFate fate) { return static_cast<PieceFate>(fate); }
 
 }  // namespace
 
-PlacementSide::PlacementSide(net::Scheduler& scheduler, Log& log, PlacementTerms terms, GatherTerms gather,
-                             net::Endpoint discovery, std::uint64_t seed)
+PlacementHandler::PlacementHandler(net::Scheduler& scheduler, Log& log, PlacementTerms terms,
+                                   GatherTerms gather, net::Endpoint discovery, std::uint64_t seed)
     : scheduler_(scheduler), log_(log), terms_(std::move(terms)), discovery_(discovery),
       follower_(terms_.follow), gatherer_(std::move(gather)), heat_(terms_.heat, seed), waiter_(scheduler) {}
 
-void PlacementSide::start() {
+void PlacementHandler::start() {
     watch();
     task_ = run();
     task_.start([this](std::exception_ptr failure) {
@@ -32,66 +32,70 @@
 }
 
 // A watch sends the full map and then its changes; a fetch sends the full map only.
-void PlacementSide::watch() {
+void PlacementHandler::watch() {
     const auto begin = [this](net::Task& task, bool stream) {
         if (!task.done()) return;
-        task = watch_lines(
-            scheduler_,
-            {discovery_, terms_.path + (stream ? "?stream=1" : ""), stream, kLongestMap, kSilence, {}},
-            [this](const std::string& line) { return take_line(line); });
+        task = read_json_stream(scheduler_,
+                                {discovery_,
+                                 terms_.path + (stream ? "?stream=1" : ""),
+                                 stream,
+                                 kMaxMapBytes,
+                                 kSilenceTimeout,
+                                 {}},
+                                [this](const std::string& line) { return handle_object(line); });
         task.start([this](std::exception_ptr) {
-            if (!watching_.done()) return;
+            if (!watch_task_.done()) return;
             follower_.lost(scheduler_.now());
             waiter_.signal();
         });
     };
-    const bool watched = !watching_.done();
-    begin(watching_, true);
-    if (watched) begin(fetching_, false);
+    const bool watched = !watch_task_.done();
+    begin(watch_task_, true);
+    if (watched) begin(fetch_task_, false);
 }
 
-void PlacementSide::move_to(net::Endpoint discovery) {
+void PlacementHandler::move_to(net::Endpoint discovery) {
     if (discovery == discovery_) return;
     discovery_ = discovery;
-    watching_ = net::Task{};
-    fetching_ = net::Task{};
+    watch_task_ = net::Task{};
+    fetch_task_ = net::Task{};
     watch();
 }
 
-bool PlacementSide::take_line(const std::string& line) {
-    using Did = MapFollower::Did;
-    const auto heard = follower_.hear(scheduler_.now(), read_map_news(line, names_));
-    if (heard.did == Did::kRefused) log_.event(Level::kWarning, "map_refused", heard.why);
-    if (heard.did == Did::kOlder || heard.did == Did::kAside)
-        log_.event(Level::kInfo, "map_waits", heard.why);
-    if (heard.did == Did::kTaken) {
+bool PlacementHandler::handle_object(const std::string& line) {
+    using Effect = MapFollower::Did;
+    const auto result = follower_.hear(scheduler_.now(), read_map_news(line, box_names_));
+    if (result.did == Effect::kRefused) log_.event(Level::kWarning, "map_refused", result.why);
+    if (result.did == Effect::kOlder || result.did == Effect::kAside)
+        log_.event(Level::kInfo, "map_waits", result.why);
+    if (result.did == Effect::kTaken) {
         const auto& map = *follower_.present();
         log_.event(
             Level::kInfo, "map_taken",
             "map version " + std::to_string(map.version()) + ", " + std::to_string(map.size()) + " shards",
             {{"version", std::to_string(map.version())}});
-        act(gatherer_.map_is(scheduler_.now(), follower_.present()));
+        execute_all(gatherer_.map_is(scheduler_.now(), follower_.present()));
     }
     waiter_.signal();
     return true;
 }
 
-net::Task PlacementSide::run() {
+net::Task PlacementHandler::run() {
     for (;;) {
         const Time now = scheduler_.now();
         if (follower_.wants_whole(now)) watch();
         if (now >= wake_at_) {
             wake_at_ = net::kNever;
-            act(gatherer_.tick(now));
+            execute_all(gatherer_.tick(now));
         }
-        look();
+        check_heat();
         const Time heat_at = now + terms_.heat.look;
         const Time until = std::min({wake_at_, follower_.wake(), heat_at});
         co_await waiter_.wait(0, until);
     }
 }
 
-void PlacementSide::look() {
+void PlacementHandler::check_heat() {
     if (!follower_.present()) return;
     for (const auto& proposal : heat_.look(*follower_.present(), scheduler_.now())) {
         ++proposals_;
@@ -100,96 +104,97 @@
     }
 }
 
-TakenRequest PlacementSide::ask(MultigetAsked asked, std::function<void(Ending)> ended) {
-    if (const auto could = exchange_->could_take(asked.name); could != Acceptance::kTaken) return {could, 0};
+TakenRequest PlacementHandler::ask(MultigetAsked multiget, std::function<void(Ending)> ended) {
+    if (const auto acceptance = dispatcher_->could_take(multiget.name); acceptance != Acceptance::kTaken)
+        return {acceptance, 0};
     const auto number = ++last_number_;
-    GatherAsked told{asked.op_type, asked.not_after, {}};
-    for (const auto& part : asked.parts)
-        told.splits.push_back({part.shard, part.weight, part.key, part.cost_hint});
-    open_[number] = {std::move(asked), std::move(ended), {}};
-    act(gatherer_.ask(scheduler_.now(), number, std::move(told)));
+    GatherAsked request{multiget.op_type, multiget.not_after, {}};
+    for (const auto& part : multiget.parts)
+        request.splits.push_back({part.shard, part.weight, part.key, part.cost_hint});
+    open_[number] = {std::move(multiget), std::move(ended), {}};
+    execute_all(gatherer_.ask(scheduler_.now(), number, std::move(request)));
     return {Acceptance::kTaken, number};
 }
 
-store::PartFates PlacementSide::leave(Ticket multiget) {
+store::PartFates PlacementHandler::leave(Ticket multiget) {
     const auto at = open_.find(multiget);
     if (at == open_.end()) return {};
     std::vector<std::pair<Route, PieceFate>> known;
     for (const int leg : gatherer_.open_legs(multiget)) {
-        for (const auto& [route, fate] : exchange_->leave(at->second.legs[leg]))
+        for (const auto& [route, fate] : dispatcher_->leave(at->second.legs[leg]))
             known.emplace_back(route, from_store(fate));
     }
     store::PartFates fates;
     for (const auto& [split, fate] : gatherer_.left(multiget, known))
         fates.emplace_back(split, to_store(fate));
-    const bool tells = at->second.asked.tells_parts;
+    const bool wants_fates = at->second.request.tells_parts;
     open_.erase(at);
-    return tells ? fates : store::PartFates{};
+    return wants_fates ? fates : store::PartFates{};
 }
 
-std::shared_ptr<const std::string> PlacementSide::text(int route,
-                                                       const std::shared_ptr<const std::string>& text) {
+std::shared_ptr<const std::string> PlacementHandler::request_text(
+    int route, const std::shared_ptr<const std::string>& text) {
     const auto* piece = gatherer_.sending(route);
     if (piece == nullptr) return text;
-    auto made = '@' + std::to_string(piece->shard) + ' ' + std::to_string(piece->epoch) + ' ' +
-                print_key(piece->first) + ' ' + print_key(piece->last) + '\n' + *text;
-    return std::make_shared<const std::string>(std::move(made));
+    auto text_for_piece = '@' + std::to_string(piece->shard) + ' ' + std::to_string(piece->epoch) + ' ' +
+                          print_key(piece->first) + ' ' + print_key(piece->last) + '\n' + *text;
+    return std::make_shared<const std::string>(std::move(text_for_piece));
 }
 
-void PlacementSide::refused(int route, std::uint64_t epoch) {
-    act(gatherer_.refused(scheduler_.now(), route, epoch));
+void PlacementHandler::route_refused(int route, std::uint64_t epoch) {
+    execute_all(gatherer_.refused(scheduler_.now(), route, epoch));
 }
 
-std::vector<ServerId> PlacementSide::of(int shard) const {
+std::vector<ServerId> PlacementHandler::of(int shard) const {
     std::vector<ServerId> servers;
     const auto* piece = gatherer_.piece(shard);
     if (piece == nullptr) return servers;
     for (const auto box : gatherer_.boxes_now(scheduler_.now(), *piece)) {
-        if (const auto server = exchange_->server_named(names_.name(box))) servers.push_back(*server);
+        if (const auto server = dispatcher_->find_server(box_names_.name(box))) servers.push_back(*server);
     }
     return servers;
 }
 
 // Executes one action at a time, in order: an action may add further ones.
-void PlacementSide::act(Gatherer::Actions actions) {
-    for (auto& action : actions) to_do_.push_back(std::move(action));
-    if (acting_) return;
-    acting_ = true;
-    while (!to_do_.empty()) {
-        const auto action = std::move(to_do_.front());
-        to_do_.pop_front();
-        std::visit([this](const auto& what) { carry_out(what); }, action);
+void PlacementHandler::execute_all(Gatherer::Actions actions) {
+    for (auto& action : actions) pending_actions_.push_back(std::move(action));
+    if (executing_) return;
+    executing_ = true;
+    while (!pending_actions_.empty()) {
+        const auto action = std::move(pending_actions_.front());
+        pending_actions_.pop_front();
+        std::visit([this](const auto& each) { execute(each); }, action);
     }
-    acting_ = false;
+    executing_ = false;
 }
 
-void PlacementSide::carry_out(const gathering::AskLeg& leg) {
+void PlacementHandler::execute(const gathering::AskLeg& leg) {
     const auto at = open_.find(leg.number);
     if (at == open_.end()) return;  // the client has left
-    const auto& first = at->second.asked;
-    MultigetAsked asked;
-    asked.name = leg.leg == 0 ? first.name : first.name + '~' + std::to_string(leg.leg);
-    asked.op_type = first.op_type;
-    asked.tenant = first.tenant;
-    asked.repeat = first.repeat;
-    asked.not_after = first.not_after;
-    asked.text = first.text;
-    asked.tells_parts = true;
+    const auto& first = at->second.request;
+    MultigetAsked multiget;
+    multiget.name = leg.leg == 0 ? first.name : first.name + '~' + std::to_string(leg.leg);
+    multiget.op_type = first.op_type;
+    multiget.tenant = first.tenant;
+    multiget.repeat = first.repeat;
+    multiget.not_after = first.not_after;
+    multiget.query = first.query;
+    multiget.tells_parts = true;
     // The module expects the weights of a multiget's parts to sum to 1.
     double weight = 0;
     for (const auto& piece : leg.pieces) weight += piece.weight;
     const double scale = leg.leg == 0 || weight <= 0 ? 1 : 1 / weight;
     for (const auto& piece : leg.pieces) {
-        const auto& told = first.parts[piece.split];
-        asked.parts.push_back({0, piece.route, piece.weight * scale, told.key, told.cost_hint});
+        const auto& part = first.parts[piece.split];
+        multiget.parts.push_back({0, piece.route, piece.weight * scale, part.key, part.cost_hint});
         if (leg.leg == 0 && follower_.present())
             heat_.asked(follower_.present()->at(piece.first), piece.first, scheduler_.now());
     }
-    const auto [took, ticket] =
-        exchange_->ask(std::move(asked), [this, number = leg.number, which = leg.leg](Ending ending) {
+    const auto [acceptance, ticket] =
+        dispatcher_->ask(std::move(multiget), [this, number = leg.number, which = leg.leg](Ending ending) {
             leg_ended(number, which, std::move(ending));
         });
-    if (took == Acceptance::kTaken) {
+    if (acceptance == Acceptance::kTaken) {
         if (const auto still = open_.find(leg.number); still != open_.end())
             still->second.legs[leg.leg] = ticket;
         return;
@@ -199,33 +204,33 @@
     leg_ended(leg.number, leg.leg, std::move(none));
 }
 
-void PlacementSide::leg_ended(Number number, int leg, Ending ending) {
-    LegEnd told;
-    told.kind = ending.kind == Ending::Kind::kAnswered     ? LegEnd::Kind::kAnswered
-                : ending.kind == Ending::Kind::kPushedBack ? LegEnd::Kind::kPushedBack
-                                                           : LegEnd::Kind::kFailed;
-    told.wait = ending.wait;
-    for (auto& [route, value] : ending.values) told.values.emplace_back(route, std::move(value));
-    for (const auto& [route, fate] : ending.parts) told.fates.emplace_back(route, from_store(fate));
-    act(gatherer_.leg_ended(scheduler_.now(), number, leg, std::move(told)));
+void PlacementHandler::leg_ended(Number number, int leg, Ending ending) {
+    LegEnd result;
+    result.kind = ending.kind == Ending::Kind::kAnswered     ? LegEnd::Kind::kAnswered
+                  : ending.kind == Ending::Kind::kPushedBack ? LegEnd::Kind::kPushedBack
+                                                             : LegEnd::Kind::kFailed;
+    result.wait = ending.wait;
+    for (auto& [route, value] : ending.values) result.values.emplace_back(route, std::move(value));
+    for (const auto& [route, fate] : ending.parts) result.fates.emplace_back(route, from_store(fate));
+    execute_all(gatherer_.leg_ended(scheduler_.now(), number, leg, std::move(result)));
 }
 
-void PlacementSide::carry_out(const gathering::LeaveLeg& leg) {
+void PlacementHandler::execute(const gathering::LeaveLeg& leg) {
     const auto at = open_.find(leg.number);
-    if (at != open_.end()) exchange_->leave(at->second.legs[leg.leg]);
+    if (at != open_.end()) dispatcher_->leave(at->second.legs[leg.leg]);
 }
 
-void PlacementSide::carry_out(const gathering::WantMap& want) {
+void PlacementHandler::execute(const gathering::WantMap& want) {
     follower_.epoch_seen(scheduler_.now(), want.shard, want.epoch);
     waiter_.signal();
 }
 
-void PlacementSide::carry_out(const gathering::Wake& wake) {
+void PlacementHandler::execute(const gathering::Wake& wake) {
     wake_at_ = std::min(wake_at_, wake.at);
     waiter_.signal();
 }
 
-void PlacementSide::carry_out(const gathering::End& end) {
+void PlacementHandler::execute(const gathering::End& end) {
     const auto at = open_.find(end.number);
     if (at == open_.end()) return;
     Ending ending;
@@ -235,36 +240,36 @@
     ending.whole = end.whole;
     ending.wait = end.wait;
     ending.values = end.values;
-    if (at->second.asked.tells_parts) {
+    if (at->second.request.tells_parts) {
         for (const auto& [split, fate] : end.fates) ending.parts.emplace_back(split, to_store(fate));
     }
-    const auto ended = std::move(at->second.ended);
+    const auto ended = std::move(at->second.on_end);
     open_.erase(at);
     ended(std::move(ending));
 }
 
-std::string PlacementSide::print_gauges() const {
+std::string PlacementHandler::print_gauges() const {
     std::string out;
     const auto& map = follower_.present();
-    const auto& heard = follower_.counted();
-    const auto& gathered = gatherer_.counted();
+    const auto& map_counts = follower_.counted();
+    const auto& piece_counts = gatherer_.counted();
     append_line(out, "map_version", map ? map->version() : 0);
     append_line(out, "map_shards", map ? map->size() : 0);
-    append_line(out, "maps_taken", heard.taken);
-    append_line(out, "maps_repeated", heard.repeated);
-    append_line(out, "maps_older", heard.older);
-    append_line(out, "maps_refused", heard.refused);
+    append_line(out, "maps_taken", map_counts.taken);
+    append_line(out, "maps_repeated", map_counts.repeated);
+    append_line(out, "maps_older", map_counts.older);
+    append_line(out, "maps_refused", map_counts.refused);
     append_line(out, "map_changes_aside", follower_.aside());
-    append_line(out, "maps_asked_for", heard.asked_whole);
-    append_line(out, "pieces", gathered.pieces);
-    append_line(out, "parts_divided", gathered.divided);
-    append_line(out, "pieces_refused", gathered.refused);
-    append_line(out, "pieces_asked_again", gathered.asked_again);
-    append_line(out, "pieces_given_up", gathered.given_up);
-    append_line(out, "values_not_merged", gathered.unmerged);
+    append_line(out, "maps_asked_for", map_counts.asked_whole);
+    append_line(out, "pieces", piece_counts.pieces);
+    append_line(out, "parts_divided", piece_counts.divided);
+    append_line(out, "pieces_refused", piece_counts.refused);
+    append_line(out, "pieces_asked_again", piece_counts.asked_again);
+    append_line(out, "pieces_given_up", piece_counts.given_up);
+    append_line(out, "values_not_merged", piece_counts.unmerged);
     append_line(out, "placement_proposals", proposals_);
     append_line(out, "shards_cold_at_boxes", gatherer_.cold());
-    for (const auto& [shard, load] : heat_.hottest(kHottest))
+    for (const auto& [shard, load] : heat_.hottest(kHottestShards))
         append_line(out, "heat_shard_" + std::to_string(shard),
                     static_cast<std::uint64_t>(std::llround(load)));
     return out;
--- a/src/service/placement_side.hpp
+++ b/src/service/placement_side.hpp
@@ -22,63 +22,63 @@
 namespace pinedoor::service {
 
 // Request handler that divides multigets by the placement map and gathers their results.
-class PlacementSide : public RequestHandler, public Routes, public Holders {
+class PlacementHandler : public RequestHandler, public PartRouting, public Holders {
 public:
-    PlacementSide(net::Scheduler& scheduler, Log& log, placement::PlacementTerms terms,
-                  placement::GatherTerms gather, net::Endpoint discovery, std::uint64_t seed);
+    PlacementHandler(net::Scheduler& scheduler, Log& log, placement::PlacementTerms terms,
+                     placement::GatherTerms gather, net::Endpoint discovery, std::uint64_t seed);
 
-    void join(Exchange& exchange) { exchange_ = &exchange; }
+    void attach(Dispatcher& dispatcher) { dispatcher_ = &dispatcher; }
     void start();
     // Discovery has moved; the map is requested at the new address.
     void move_to(net::Endpoint discovery);
 
-    TakenRequest ask(MultigetAsked asked, std::function<void(Ending)> ended) override;
+    TakenRequest ask(MultigetAsked multiget, std::function<void(Ending)> ended) override;
     store::PartFates leave(Ticket multiget) override;
-    Acceptance could_take(const std::string& name) const override { return exchange_->could_take(name); }
+    Acceptance could_take(const std::string& name) const override { return dispatcher_->could_take(name); }
 
-    std::shared_ptr<const std::string> text(int route,
-                                            const std::shared_ptr<const std::string>& text) override;
-    void refused(int route, std::uint64_t epoch) override;
+    std::shared_ptr<const std::string> request_text(int route,
+                                                    const std::shared_ptr<const std::string>& text) override;
+    void route_refused(int route, std::uint64_t epoch) override;
     std::vector<ServerId> of(int shard) const override;
 
     std::string print_gauges() const;
 
 private:
-    struct Open {
-        MultigetAsked asked;
-        std::function<void(Ending)> ended;
+    struct OpenMultiget {
+        MultigetAsked request;
+        std::function<void(Ending)> on_end;
         std::map<int, Ticket> legs;
     };
     net::Task run();
     void watch();
-    bool take_line(const std::string& line);
-    void look();
-    void act(placement::Gatherer::Actions actions);
-    void carry_out(const placement::gathering::AskLeg& leg);
-    void carry_out(const placement::gathering::LeaveLeg& leg);
-    void carry_out(const placement::gathering::WantMap& want);
-    void carry_out(const placement::gathering::Wake& wake);
-    void carry_out(const placement::gathering::End& end);
+    bool handle_object(const std::string& line);
+    void check_heat();
+    void execute_all(placement::Gatherer::Actions actions);
+    void execute(const placement::gathering::AskLeg& leg);
+    void execute(const placement::gathering::LeaveLeg& leg);
+    void execute(const placement::gathering::WantMap& want);
+    void execute(const placement::gathering::Wake& wake);
+    void execute(const placement::gathering::End& end);
     void leg_ended(placement::Number number, int leg, Ending ending);
 
     net::Scheduler& scheduler_;
     Log& log_;
     const placement::PlacementTerms terms_;
     net::Endpoint discovery_;
-    Exchange* exchange_ = nullptr;
-    placement::BoxNames names_;
+    Dispatcher* dispatcher_ = nullptr;
+    placement::BoxNames box_names_;
     placement::MapFollower follower_;
     placement::Gatherer gatherer_;
     placement::HeatBook heat_;
-    std::map<placement::Number, Open> open_;
+    std::map<placement::Number, OpenMultiget> open_;
     placement::Number last_number_ = 0;
-    std::deque<placement::gathering::Action> to_do_;
-    bool acting_ = false;
+    std::deque<placement::gathering::Action> pending_actions_;
+    bool executing_ = false;
     Time wake_at_ = net::kNever;
     std::uint64_t proposals_ = 0;
     net::Waiter waiter_;
-    net::Task watching_;
-    net::Task fetching_;
+    net::Task watch_task_;
+    net::Task fetch_task_;
     net::Task task_;  // last member: destroyed first
 };
 
--- a/src/service/request_handler.hpp
+++ b/src/service/request_handler.hpp
@@ -19,7 +19,7 @@
     int tenant = 0;
     bool repeat = false;
     Time not_after = 0;
-    std::string text;                // query, sent with every part
+    std::string query;               // query, sent with every part
     std::vector<PartArrival> parts;  // the handler assigns their ids
     std::string key;                 // the client's Idempotency-Key; empty: none
     std::string fingerprint;         // with a key: fingerprint of op type and body
--- a/src/service/request_log.cpp
+++ b/src/service/request_log.cpp
@@ -30,18 +30,20 @@
     return "never sent";
 }
 
-std::string_view RequestLog::call_kind(const PartCall& call) { return call.send == 0 ? "first" : "further"; }
+std::string_view RequestLog::call_kind(const PartSend& call) {
+    return call.send_number == 0 ? "first" : "further";
+}
 
 void RequestLog::write(std::string_view event, const std::string& request, std::string_view text,
                        std::string_view reason) {
     log_.event(Level::kDebug, event, text, {{"request", request}, {"reason", std::string(reason)}});
 }
 
-void RequestLog::write_attempt(std::string_view event, const PartCall& call, std::string_view reason) {
+void RequestLog::write_attempt(std::string_view event, const PartSend& call, std::string_view reason) {
     log_.event(Level::kDebug, event, reason,
-               {{"request", call.name},
+               {{"request", call.multiget_name},
                 {"shard", std::to_string(call.shard)},
-                {"attempt", std::to_string(call.send)},
+                {"attempt", std::to_string(call.send_number)},
                 {"server", std::to_string(call.server.address)},
                 {"reason", std::string(reason)}});
 }
--- a/src/service/request_log.hpp
+++ b/src/service/request_log.hpp
@@ -11,35 +11,35 @@
 
 namespace pinedoor::service {
 
-struct PartCall;
+struct PartSend;
 
 class RequestLog {
 public:
     explicit RequestLog(Log& log) : log_(log) {}
 
-    void taken(const std::string& request, std::size_t parts) {
-        if (is_on()) write("request_taken", request, std::to_string(parts) + " parts", "");
+    void accepted(const std::string& request, std::size_t parts) {
+        if (is_enabled()) write("request_taken", request, std::to_string(parts) + " parts", "");
     }
-    void not_taken(const std::string& request, std::string_view reason) {
-        if (is_on()) write("request_not_taken", request, "refused before any decision", reason);
+    void rejected(const std::string& request, std::string_view reason) {
+        if (is_enabled()) write("request_not_taken", request, "refused before any decision", reason);
     }
-    void ended(const std::string& request, std::string_view how, std::string_view reason) {
-        if (is_on()) write("request_ended", request, how, reason);
+    void ended(const std::string& request, std::string_view result, std::string_view reason) {
+        if (is_enabled()) write("request_ended", request, result, reason);
     }
-    void attempt(const PartCall& call) {
-        if (is_on()) write_attempt("attempt", call, call_kind(call));
+    void attempt(const PartSend& call) {
+        if (is_enabled()) write_attempt("attempt", call, call_kind(call));
     }
-    void attempt_ended(const PartCall& call, Outcome outcome) {
-        if (is_on()) write_attempt("attempt_ended", call, name_of(outcome));
+    void attempt_ended(const PartSend& call, Outcome outcome) {
+        if (is_enabled()) write_attempt("attempt_ended", call, name_of(outcome));
     }
 
 private:
-    bool is_on() const { return log_.writes(Level::kDebug); }
-    static std::string_view call_kind(const PartCall& call);
+    bool is_enabled() const { return log_.is_enabled(Level::kDebug); }
+    static std::string_view call_kind(const PartSend& call);
     static std::string_view name_of(Outcome outcome);
     void write(std::string_view event, const std::string& request, std::string_view text,
                std::string_view reason);
-    void write_attempt(std::string_view event, const PartCall& call, std::string_view reason);
+    void write_attempt(std::string_view event, const PartSend& call, std::string_view reason);
 
     Log& log_;
 };
--- a/src/service/server_starts.hpp
+++ b/src/service/server_starts.hpp
@@ -18,17 +18,17 @@
 public:
     // Returns the start time of a server that was reported as wall time; 0 (long ago) stays 0. `now` and
     // `wall` are this process's clock and the wall clock, read at the same moment.
-    net::Moment take(const std::string& server, net::Moment told, net::Moment now, net::Moment wall);
-    void forget(const std::string& server) { known_.erase(server); }
+    net::Moment convert(const std::string& server, net::Moment reported, net::Moment now, net::Moment wall);
+    void forget(const std::string& server) { starts_.erase(server); }
     // Forgets all servers except these, which a full list names.
     void keep_only(const std::set<std::string>& servers);
 
 private:
     struct Start {
-        net::Moment told = 0;
+        net::Moment reported = 0;
         net::Moment started = 0;
     };
-    std::map<std::string, Start> known_;  // start times of listed servers
+    std::map<std::string, Start> starts_;  // start times of listed servers
 };
 
 }  // namespace pinedoor::service
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -18,32 +18,32 @@
 namespace net = pinedoor::net;
 
 // A server whose queue of new connections is full: further connections wait until one is accepted.
-class SlowToAccept {
+class FullBacklogServer {
 public:
-    SlowToAccept() : listener_(0), first_(listener_.at()) {}
+    FullBacklogServer() : listener_(0), filler_(listener_.at()) {}
     net::Endpoint at() const { return listener_.at(); }
     // Frees a place in the queue and accepts the connection that waited.
-    Peer let_in() {
+    Peer accept_waiting() {
         listener_.accept();
         return listener_.accept();
     }
 
 private:
     Listener listener_;
-    Peer first_;
+    Peer filler_;
 };
 
 // A discovery that the front node watches, and two servers: one that is slow to accept, and one that is not
 // listed at first.
-struct SlowServer {
-    SlowToAccept slow;
+struct SlowServerSetup {
+    FullBacklogServer slow;
     Listener other;
     Listener discovery;
     Program program{{{"s-1", slow.at()}}, discovery.at()};
     Peer client;
     Peer watch;
 
-    SlowServer() {
+    SlowServerSetup() {
         program.with("\"connect_timeout_ms\":250.0", "\"connect_timeout_ms\":3500.0")
             .with("\"max_attempts\":1", "\"max_attempts\":3");
     }
@@ -66,71 +66,71 @@
 // A queued send must be checked again once its connection is up, which may be a connect timeout after the
 // server was told to drain.
 TEST_CASE("a send that waits for a connection does not reach a server that has begun to drain") {
-    SlowServer two;
-    two.ask();
+    SlowServerSetup setup;
+    setup.ask();
     const char* phase = nullptr;
     SUBCASE("draining") { phase = "Terminating"; }
     SUBCASE("gone") { phase = "Gone"; }
-    two.tell({{"s-1", two.slow.at(), phase}, {"s-2", two.other.at()}});
-    auto link = two.other.accept();
-    CHECK(link.frame() == "St.1 1 1\nq");
-    link.reply("t.1", "done", "one");
-    CHECK(two.client.answer() == R"(200 {"whole":true,"results":[{"partition":1,"value":"one"}]})");
-    CHECK(two.slow.let_in().ended());
-    CHECK(two.program.counter("calls") == 1);
+    setup.tell({{"s-1", setup.slow.at(), phase}, {"s-2", setup.other.at()}});
+    auto connection = setup.other.accept();
+    CHECK(connection.frame() == "St.1 1 1\nq");
+    connection.reply("t.1", "done", "one");
+    CHECK(setup.client.answer() == R"(200 {"whole":true,"results":[{"partition":1,"value":"one"}]})");
+    CHECK(setup.slow.accept_waiting().ended());
+    CHECK(setup.program.counter("calls") == 1);
 }
 
 // Connections older than their server's start are closed, so the send goes elsewhere. This protects slow
 // start: the send was meant for a warm server, and the restarted one is cold.
 TEST_CASE("a send that waits for a connection is thought over when its server has begun anew") {
-    SlowServer two;
-    two.program.with("\"warm_after_ms\":16000.0", "\"warm_after_ms\":1600000.0");
-    two.ask();
+    SlowServerSetup setup;
+    setup.program.with("\"warm_after_ms\":16000.0", "\"warm_after_ms\":1600000.0");
+    setup.ask();
     const auto now = net::wall_clock() / 10;
-    two.tell({{"s-1", two.slow.at(), "Ready", now}, {"s-2", two.other.at()}});
-    auto link = two.other.accept();
-    CHECK(link.frame() == "St.1 1 1\nq");
+    setup.tell({{"s-1", setup.slow.at(), "Ready", now}, {"s-2", setup.other.at()}});
+    auto connection = setup.other.accept();
+    CHECK(connection.frame() == "St.1 1 1\nq");
 }
 
 // Nothing may begin for a client that has left, even where sends may not be cancelled.
 TEST_CASE("a send that waits for a connection is not written once its client has gone") {
-    SlowServer two;
-    two.program.with("\"cancel\":true", "\"cancel\":false");
-    two.ask();
-    two.client = Peer{};
-    REQUIRE(two.program.counter_at("clients_gone", 1) == 1);
-    auto late = two.slow.let_in();
-    two.client = two.program.client();
-    two.client.say(post("once", "u", asks({2})));
+    SlowServerSetup setup;
+    setup.program.with("\"cancel\":true", "\"cancel\":false");
+    setup.ask();
+    setup.client = Peer{};
+    REQUIRE(setup.program.counter_at("clients_gone", 1) == 1);
+    auto late = setup.slow.accept_waiting();
+    setup.client = setup.program.client();
+    setup.client.say(post("once", "u", asks({2})));
     CHECK(late.frame() == "Su.2 2 1\nq");
 }
 
 // A connection that is never established must be given up even if all of its sends have been withdrawn.
 TEST_CASE("a connection that nobody waits for any more is given up after a connect time-out") {
-    SlowServer two;
-    two.ask();
-    two.client = Peer{};
-    REQUIRE(two.program.counter_at("clients_gone", 1) == 1);
-    CHECK(two.program.counter_at("connections_failed", 1) == 1);
-    CHECK(two.program.counter_at("connections_open", 0) == 0);
+    SlowServerSetup setup;
+    setup.ask();
+    setup.client = Peer{};
+    REQUIRE(setup.program.counter_at("clients_gone", 1) == 1);
+    CHECK(setup.program.counter_at("connections_failed", 1) == 1);
+    CHECK(setup.program.counter_at("connections_open", 0) == 0);
 }
 
 // The front node with faulty system calls, one server, and a folder with files that make it pause.
-struct Faulty {
+struct PausableProgram {
     Listener server;
     Listener discovery;
     Program program{{{"s-1", server.at()}}, discovery.at()};
     std::string folder = scratch() + "/pinedoor-pause-XXXXXX";
     Peer client;
-    Peer link;
+    Peer connection;
 
-    Faulty() {
+    PausableProgram() {
         folder = mkdtemp(folder.data());
         program.run_program(PINEDOOR_FAULTY).with_environment("PINEDOOR_PAUSE", folder);
     }
-    ~Faulty() { std::filesystem::remove_all(folder); }
-    void put(const std::string& name) const { std::ofstream(folder + '/' + name); }
-    void wait_for(const std::string& name) const {
+    ~PausableProgram() { std::filesystem::remove_all(folder); }
+    void create_file(const std::string& name) const { std::ofstream(folder + '/' + name); }
+    void wait_for_file(const std::string& name) const {
         for (int tries = 0; tries < kPatienceSeconds * 1'000; ++tries) {
             if (std::filesystem::exists(folder + '/' + name)) return;
             usleep(1'000);
@@ -139,9 +139,9 @@
     void serve_one(const std::string& name) {
         client = program.start().client();
         client.say(post("once", name, asks({1})));
-        link = server.accept();
-        REQUIRE(link.frame() == "S" + name + ".1 1 1\nq");
-        link.reply(name + ".1", "done", "one");
+        connection = server.accept();
+        REQUIRE(connection.frame() == "S" + name + ".1 1 1\nq");
+        connection.reply(name + ".1", "done", "one");
         REQUIRE(client.answer().starts_with("200 "));
     }
 };
@@ -149,35 +149,35 @@
 // A send that is written to a connection which the server has closed may have run, so its request fails. The
 // close must be noticed before the write.
 TEST_CASE("a server's close that comes just before a request is seen before the request is written") {
-    Faulty one;
-    one.serve_one("t1");
-    one.put("pause");
-    one.client.say(post("once", "t2", asks({2})));
-    one.wait_for("paused");  // the request is read, the close is not noticed yet
-    SUBCASE("closed") { one.link = Peer{}; }
-    SUBCASE("closed for writing only") { one.link.end_writing(); }
-    SUBCASE("reset") { one.link.reset(); }
-    one.put("go");
-    one.link = one.server.accept();
-    CHECK(one.link.frame() == "St2.2 2 1\nq");
-    one.link.reply("t2.2", "done", "two");
-    CHECK(one.client.answer() == R"(200 {"whole":true,"results":[{"partition":2,"value":"two"}]})");
+    PausableProgram setup;
+    setup.serve_one("t1");
+    setup.create_file("pause");
+    setup.client.say(post("once", "t2", asks({2})));
+    setup.wait_for_file("paused");  // the request is read, the close is not noticed yet
+    SUBCASE("closed") { setup.connection = Peer{}; }
+    SUBCASE("closed for writing only") { setup.connection.end_writing(); }
+    SUBCASE("reset") { setup.connection.reset(); }
+    setup.create_file("go");
+    setup.connection = setup.server.accept();
+    CHECK(setup.connection.frame() == "St2.2 2 1\nq");
+    setup.connection.reply("t2.2", "done", "two");
+    CHECK(setup.client.answer() == R"(200 {"whole":true,"results":[{"partition":2,"value":"two"}]})");
 }
 
 // A partly written frame must not be completed when its server reads on later: the client may have left by
 // then, and the remaining time in the frame is wrong.
 TEST_CASE("a frame that its server does not take is taken back with its connection") {
-    Faulty one;
+    PausableProgram setup;
     // The first write is the call for the server list, the second one is the frame.
-    one.program.with_environment("PINEDOOR_FAULT", "transmit 2 stall");
-    one.client = one.program.start().client();
-    REQUIRE(one.discovery.accept().read_to("\r\n\r\n").starts_with("GET "));
-    one.client.say(post("once", "t", asks({1})));
-    one.link = one.server.accept();
-    CHECK(one.link.frame() == "S");  // the frame's letter, and then the end of the connection
-    CHECK(one.link.ended());
-    CHECK(is_pushback(one.client.answer(), 0.625, 1.25));  // it has never run
-    CHECK(one.program.counter("connections_closed_stalled") == 1);
+    setup.program.with_environment("PINEDOOR_FAULT", "transmit 2 stall");
+    setup.client = setup.program.start().client();
+    REQUIRE(setup.discovery.accept().read_to("\r\n\r\n").starts_with("GET "));
+    setup.client.say(post("once", "t", asks({1})));
+    setup.connection = setup.server.accept();
+    CHECK(setup.connection.frame() == "S");  // the frame's letter, and then the end of the connection
+    CHECK(setup.connection.ended());
+    CHECK(is_pushback(setup.client.answer(), 0.625, 1.25));  // it has never run
+    CHECK(setup.program.counter("connections_closed_stalled") == 1);
 }
 
 TEST_CASE("a server that ends its side in the middle of a request has lost it, and lives") {
@@ -186,15 +186,15 @@
     Program program({{"s-1", server.at()}}, discovery.at());
     auto client = program.start().client();
     client.say(post("once", "t1", asks({1})));
-    auto link = server.accept();
-    REQUIRE(link.frame() == "St1.1 1 1\nq");
-    link.end_writing();
+    auto connection = server.accept();
+    REQUIRE(connection.frame() == "St1.1 1 1\nq");
+    connection.end_writing();
     CHECK(client.answer() == "500");  // it may have run
-    CHECK(link.ended());
+    CHECK(connection.ended());
     client.say(post("once", "t2", asks({2})));
-    link = server.accept();
-    CHECK(link.frame() == "St2.2 2 1\nq");
-    link.reply("t2.2", "done", "two");
+    connection = server.accept();
+    CHECK(connection.frame() == "St2.2 2 1\nq");
+    connection.reply("t2.2", "done", "two");
     CHECK(client.answer() == R"(200 {"whole":true,"results":[{"partition":2,"value":"two"}]})");
 }
 
@@ -204,28 +204,28 @@
     Program program({{"s-1", server.at()}}, discovery.at());
     auto client = program.start().client();
     client.say(post("once", "t", asks({1})));
-    auto link = server.accept();
-    REQUIRE(link.frame() == "St.1 1 1\nq");
+    auto connection = server.accept();
+    REQUIRE(connection.frame() == "St.1 1 1\nq");
     client.end_writing();
-    CHECK(link.frame() == "Ct.1");
+    CHECK(connection.frame() == "Ct.1");
     CHECK(program.counter_at("clients_gone", 1) == 1);
     CHECK(client.ended());
 }
 
 // A front node that may open eight connections to its server, with four sends on each. A request of 36 parts
 // fills them; four of its sends wait for a free stream.
-struct FullConnections {
+struct FullConnectionsSetup {
     static constexpr std::size_t kConnections = 8;
-    static constexpr int kRoom = 32;
+    static constexpr int kStreams = 32;
     static constexpr int kParts = 36;
 
     Listener server;
     Listener discovery;
     Program program{{{"s-1", server.at()}}, discovery.at()};
     Peer client;
-    std::vector<Peer> links;
+    std::vector<Peer> connections;
 
-    FullConnections() {
+    FullConnectionsSetup() {
         program.with("\"sockets\":1024", "\"sockets\":32").with("\"shards\":12", "\"shards\":40");
     }
     void fill() {
@@ -233,11 +233,11 @@
         std::vector<int> shards(kParts);
         std::iota(shards.begin(), shards.end(), 1);
         client.say(post("again", "t", asks(shards)));
-        for (std::size_t i = 0; i < kConnections; ++i) links.push_back(server.accept());
-        for (int parts = 0; parts < kRoom; parts += 2) out.push_back(next_frame());
+        for (std::size_t i = 0; i < kConnections; ++i) connections.push_back(server.accept());
+        for (int parts = 0; parts < kStreams; parts += 2) out.push_back(next_frame());
     }
-    struct Heard {
-        std::size_t link = 0;
+    struct ReceivedFrame {
+        std::size_t connection = 0;
         std::string frame;
         // The names of the parts in the frame, at most two.
         std::vector<std::string> parts() const {
@@ -248,62 +248,62 @@
         }
     };
     // Reads the next frame from any connection; closed connections are skipped.
-    Heard next_frame() {
+    ReceivedFrame next_frame() {
         for (std::size_t ended = 0; ended < kConnections;) {
-            const auto link = readable_link();
-            if (link == links.size()) break;
-            const auto frame = links[link].frame();
-            if (frame != "nothing") return {link, frame};
-            links[link] = Peer{};
+            const auto connection = readable_link();
+            if (connection == connections.size()) break;
+            const auto frame = connections[connection].frame();
+            if (frame != "nothing") return {connection, frame};
+            connections[connection] = Peer{};
             ++ended;
         }
         return {0, "nothing"};
     }
     std::size_t readable_link() const {
         std::vector<pollfd> polled;
-        for (const auto& link : links) polled.push_back({link.fd(), POLLIN, 0});
-        for (std::size_t i = 0; i < links.size(); ++i) {
-            if (links[i].holds_more()) return i;
+        for (const auto& connection : connections) polled.push_back({connection.fd(), POLLIN, 0});
+        for (std::size_t i = 0; i < connections.size(); ++i) {
+            if (connections[i].holds_more()) return i;
         }
         poll(polled.data(), polled.size(), kPatienceSeconds * 1'000);
-        const auto readable = [](const pollfd& one) { return one.revents != 0; };
+        const auto readable = [](const pollfd& each) { return each.revents != 0; };
         return static_cast<std::size_t>(std::find_if(polled.begin(), polled.end(), readable) -
                                         polled.begin());
     }
-    void answer(const Heard& call) {
-        for (const auto& name : call.parts()) links[call.link].reply(name, "done", "v");
+    void answer(const ReceivedFrame& call) {
+        for (const auto& name : call.parts()) connections[call.connection].reply(name, "done", "v");
     }
-    std::vector<Heard> out;
+    std::vector<ReceivedFrame> out;
 };
 
 TEST_CASE("an attempt that waits for room among a connection's streams goes out as soon as there is some") {
-    FullConnections full;
-    full.fill();
-    for (const auto& call : full.out) CHECK(call.frame.starts_with("St."));
-    CHECK(full.program.counter("calls") == FullConnections::kRoom / 2);
-    for (const auto& call : full.out) full.answer(call);
-    for (int parts = FullConnections::kRoom; parts < FullConnections::kParts; parts += 2) {
-        const auto call = full.next_frame();
+    FullConnectionsSetup setup;
+    setup.fill();
+    for (const auto& call : setup.out) CHECK(call.frame.starts_with("St."));
+    CHECK(setup.program.counter("calls") == FullConnectionsSetup::kStreams / 2);
+    for (const auto& call : setup.out) setup.answer(call);
+    for (int parts = FullConnectionsSetup::kStreams; parts < FullConnectionsSetup::kParts; parts += 2) {
+        const auto call = setup.next_frame();
         CHECK(call.frame.starts_with("St."));
-        full.answer(call);
+        setup.answer(call);
     }
-    CHECK(full.client.answer().starts_with("200 {\"whole\":true"));
+    CHECK(setup.client.answer().starts_with("200 {\"whole\":true"));
 }
 
 // Nothing may begin for a client that has left: here a stream becomes free while it leaves.
 TEST_CASE("an attempt that waits for room is not written when its client leaves as room comes up") {
-    FullConnections full;
-    full.fill();
-    full.client = Peer{};
-    REQUIRE(full.program.counter_at("clients_gone", 1) == 1);
-    for (const auto& call : full.out) full.answer(call);
-    full.client = full.program.client();
-    full.client.say(post("again", "u", asks({7})));
+    FullConnectionsSetup setup;
+    setup.fill();
+    setup.client = Peer{};
+    REQUIRE(setup.program.counter_at("clients_gone", 1) == 1);
+    for (const auto& call : setup.out) setup.answer(call);
+    setup.client = setup.program.client();
+    setup.client.say(post("again", "u", asks({7})));
     // Parts that were answered before their cancellation are not cancelled.
-    auto next = full.next_frame();
-    while (next.frame.starts_with("Ct.")) next = full.next_frame();
+    auto next = setup.next_frame();
+    while (next.frame.starts_with("Ct.")) next = setup.next_frame();
     CHECK(next.frame == "Su.7 7 1\nq");
-    CHECK(full.program.counter("calls") == FullConnections::kRoom / 2 + 1);
+    CHECK(setup.program.counter("calls") == FullConnectionsSetup::kStreams / 2 + 1);
 }
 
 // With many servers, idle connections must not take up the whole limit and keep sends to other servers from
@@ -320,17 +320,17 @@
     Program program(listed, discovery.at());
     program.with("\"sockets\":1024", "\"sockets\":32").with("\"places\":1", "\"places\":12");
     auto client = program.start().client();
-    std::vector<Peer> links;
+    std::vector<Peer> connections;
     for (std::size_t i = 0; i < kServers; ++i) {
         const auto name = 't' + std::to_string(i);
         client.say(post("once", name, asks({static_cast<int>(i)})));
-        links.push_back(servers[i].accept());
+        connections.push_back(servers[i].accept());
         const auto part = name + '.' + std::to_string(i);
-        CHECK(links.back().frame() == 'S' + part + ' ' + std::to_string(i) + " 1\nq");
-        links.back().reply(part, "done", "v");
+        CHECK(connections.back().frame() == 'S' + part + ' ' + std::to_string(i) + " 1\nq");
+        connections.back().reply(part, "done", "v");
         CHECK(client.answer().starts_with("200 "));
     }
-    CHECK(links.front().ended());  // the connection that is idle longest is closed first
+    CHECK(connections.front().ended());  // the connection that is idle longest is closed first
     CHECK(program.counter("connections_open") <= 8);
 }
 
@@ -338,29 +338,29 @@
 // window, and its connection is established after the end of it.
 TEST_CASE("a retry that waits for a connection is not written once the deduplication window has passed") {
     constexpr int kWindowMs = 1'200;
-    SlowServer two;
-    two.program.with("\"connect_timeout_ms\":3500.0", "\"connect_timeout_ms\":400.0")
+    SlowServerSetup setup;
+    setup.program.with("\"connect_timeout_ms\":3500.0", "\"connect_timeout_ms\":400.0")
         .with("\"effect\":\"free\",\"late_worth\":0.0,\n\"memory_span_ms\":0.0",
               "\"effect\":\"guarded\",\"late_worth\":0.0,\n\"memory_span_ms\":" + std::to_string(kWindowMs) +
                   ".0");
-    auto client = two.program.start().client();
-    auto watch = two.discovery.accept();
+    auto client = setup.program.start().client();
+    auto watch = setup.discovery.accept();
     watch.read_to("\r\n\r\n");
-    watch.say(kStream + chunk(list_object(2, true, {{"s-2", two.other.at()}}) + "\n"));
-    REQUIRE(two.program.counter_at("list_news", 2) == 2);
+    watch.say(kStream + chunk(list_object(2, true, {{"s-2", setup.other.at()}}) + "\n"));
+    REQUIRE(setup.program.counter_at("list_news", 2) == 2);
     client.say(post("again", "t", asks({1})));
-    auto link = two.other.accept();
+    auto connection = setup.other.accept();
     const auto sent = std::chrono::steady_clock::now();
-    REQUIRE(link.frame() == "St.1 1 1\nq");
-    watch.say(chunk(list_object(3, true, {{"s-1", two.slow.at()}}) + "\n"));
-    REQUIRE(two.program.counter_at("list_news", 3) == 3);
-    link.reset();  // only the slow server is left for the retry
-    REQUIRE(two.program.counter_at("connections_opened", 2) == 2);
+    REQUIRE(connection.frame() == "St.1 1 1\nq");
+    watch.say(chunk(list_object(3, true, {{"s-1", setup.slow.at()}}) + "\n"));
+    REQUIRE(setup.program.counter_at("list_news", 3) == 3);
+    connection.reset();  // only the slow server is left for the retry
+    REQUIRE(setup.program.counter_at("connections_opened", 2) == 2);
     CHECK(client.answer().starts_with("50"));  // it may have run
     CHECK(std::chrono::steady_clock::now() - sent < std::chrono::milliseconds(kWindowMs));
-    CHECK(two.program.counter_at("connections_open", 0) ==
+    CHECK(setup.program.counter_at("connections_open", 0) ==
           0);  // no connection is left on which it could be written
-    CHECK(two.program.counter("calls") == 1);
+    CHECK(setup.program.counter("calls") == 1);
 }
 
 // The time of a pipelined request must not run from the end of the request before it.
@@ -370,11 +370,11 @@
     Program program({{"s-1", server.at()}}, discovery.at());
     auto client = program.start().client();
     client.say(post("again", "t1", asks({1})) + post("again", "t2", asks({2}), 1'500));
-    auto link = server.accept();
-    REQUIRE(link.frame() == "St1.1 1 1\nq");
+    auto connection = server.accept();
+    REQUIRE(connection.frame() == "St1.1 1 1\nq");
     usleep(200'000);  // this time counts against the second request
-    link.reply("t1.1", "done", "one");
-    const auto frame = link.frame_with_time();
+    connection.reply("t1.1", "done", "one");
+    const auto frame = connection.frame_with_time();
     CHECK(frame.starts_with("St2.2 2 d="));
     REQUIRE(frame.size() > 10);
     CHECK(std::stoi(frame.substr(10)) <= 1'300);
@@ -409,18 +409,18 @@
         program.with("\"aim_ms\":2000.0,\"deadline_ms\":4000.0", "\"aim_ms\":400.0,\"deadline_ms\":700.0");
     auto client = program.start().client();
     client.say(post("once", "t1", asks({1}), 4'000));
-    auto link = server.accept();
-    REQUIRE(link.frame() == "St1.1 1 1\nq");
+    auto connection = server.accept();
+    REQUIRE(connection.frame() == "St1.1 1 1\nq");
     program.kill(SIGTERM);
     auto late = program.client();
-    const auto begun = std::chrono::steady_clock::now();
+    const auto started_at = std::chrono::steady_clock::now();
     late.say(post("once", "t2", asks({2}), 4'000));
     CHECK(client.answer().starts_with("50"));
     CHECK(late.answer().starts_with("50"));
     CHECK(client.ended());
     CHECK(program.wait() == 0);
-    const auto took = std::chrono::steady_clock::now() - begun;
-    CHECK(took < std::chrono::milliseconds(700 + 700));  // the longest deadline plus the shutdown margin
+    const auto duration = std::chrono::steady_clock::now() - started_at;
+    CHECK(duration < std::chrono::milliseconds(700 + 700));  // the longest deadline plus the shutdown margin
 }
 
 TEST_CASE("a request with hardly any time left is refused, and no server hears of it") {
--- a/tests/quiet_time_test.cpp
+++ b/tests/quiet_time_test.cpp
@@ -11,7 +11,7 @@
 
 // Two servers and a client that has been served once, followed by a quiet period until no connection to a
 // server is left.
-struct Quiet {
+struct QuietSetup {
     Listener first;
     Listener second;
     Listener discovery;
@@ -19,7 +19,7 @@
     Peer client;
     Peer watch;
 
-    Quiet() {
+    QuietSetup() {
         program.with("\"conn_idle_ms\":30000.0", "\"conn_idle_ms\":300.0")
             .with("\"max_attempts\":1", "\"max_attempts\":3");
         client = program.start().client();
@@ -36,54 +36,54 @@
         REQUIRE(program.counter("connections_closed_idle") == 1);
     }
     void serve(Listener& by, const std::string& part) {
-        link = by.accept();
-        const auto frame = link.frame();
+        connection = by.accept();
+        const auto frame = connection.frame();
         CHECK(frame.substr(0, part.size() + 1) == 'S' + part);
-        link.reply(part, "done", "v");
+        connection.reply(part, "done", "v");
     }
     // Sends a request of two calls, which go to two servers if both are usable; the second server answers all
     // four parts.
     void serve_two_calls_by_second() {
         client.say(post("once", "u", asks({1, 2, 3, 4})));
-        link = second.accept();
+        connection = second.accept();
         for (int parts = 0; parts < 4;) {
-            const auto frame = link.frame();
+            const auto frame = connection.frame();
             REQUIRE(frame.starts_with("Su."));
             for (auto at = frame.find("u."); at != std::string::npos; at = frame.find("u.", at + 1), ++parts)
-                link.reply(frame.substr(at, frame.find(' ', at) - at), "done", "v");
+                connection.reply(frame.substr(at, frame.find(' ', at) - at), "done", "v");
         }
         CHECK(client.answer().starts_with("200 {\"whole\":true"));
     }
-    Peer link;
+    Peer connection;
 };
 
 TEST_CASE("a server that went during a quiet time costs no request its answer") {
-    Quiet fleet;
-    fleet.first.close();
-    fleet.serve_two_calls_by_second();
-    CHECK(fleet.program.counter("connections_failed") == 1);  // the first server was tried
+    QuietSetup setup;
+    setup.first.close();
+    setup.serve_two_calls_by_second();
+    CHECK(setup.program.counter("connections_failed") == 1);  // the first server was tried
 }
 
 TEST_CASE("a drain told during a quiet time is kept by the first request after it") {
-    Quiet fleet;
-    fleet.watch.say(chunk(list_object(4, false, {{"s-1", fleet.first.at(), "Terminating"}}) + "\n"));
-    REQUIRE(fleet.program.counter_at("list_news", 4) == 4);
-    fleet.serve_two_calls_by_second();
-    CHECK(fleet.program.counter("connections_opened") == 2);  // one before the quiet period and this one
+    QuietSetup setup;
+    setup.watch.say(chunk(list_object(4, false, {{"s-1", setup.first.at(), "Terminating"}}) + "\n"));
+    REQUIRE(setup.program.counter_at("list_news", 4) == 4);
+    setup.serve_two_calls_by_second();
+    CHECK(setup.program.counter("connections_opened") == 2);  // one before the quiet period and this one
 }
 
 TEST_CASE("a shutdown after a quiet time answers the request that comes with it, and ends") {
-    Quiet fleet;
-    fleet.watch.say(chunk(list_object(4, false, {{"s-1", fleet.first.at(), "Gone"}}) + "\n"));
-    REQUIRE(fleet.program.counter_at("list_news", 4) == 4);
-    fleet.program.kill(SIGTERM);
-    fleet.client.say(post("once", "u", asks({1})));
-    fleet.serve(fleet.second, "u.1");
-    const auto answer = fleet.client.answer();
+    QuietSetup setup;
+    setup.watch.say(chunk(list_object(4, false, {{"s-1", setup.first.at(), "Gone"}}) + "\n"));
+    REQUIRE(setup.program.counter_at("list_news", 4) == 4);
+    setup.program.kill(SIGTERM);
+    setup.client.say(post("once", "u", asks({1})));
+    setup.serve(setup.second, "u.1");
+    const auto answer = setup.client.answer();
     CHECK(answer.starts_with("200 "));
     CHECK(answer.ends_with(R"({"whole":true,"results":[{"partition":1,"value":"v"}]})"));
-    CHECK(fleet.client.ended());
-    CHECK(fleet.program.wait() == 0);
+    CHECK(setup.client.ended());
+    CHECK(setup.program.wait() == 0);
 }
 
 }  // namespace
--- a/tests/service/exchange_test.cpp
+++ b/tests/service/exchange_test.cpp
@@ -11,26 +11,26 @@
 using namespace pinedoor;
 using namespace pinedoor::service;
 
-struct ScriptedCaller : Caller {
-    std::vector<PartCall> calls;
-    void call(PartCall call) override { calls.push_back(std::move(call)); }
+struct ScriptedTransport : SendTransport {
+    std::vector<PartSend> calls;
+    void send(PartSend call) override { calls.push_back(std::move(call)); }
     void flush() override {}
-    void call_off(Id, int) override {}
-    void learn(ServerId, net::Endpoint, ServerState, Time) override {}
+    void cancel(Id, int) override {}
+    void update_server(ServerId, net::Endpoint, ServerState, Time) override {}
 };
 
-struct NoLister : Lister {
+struct NoListSource : ServerListSource {
     void watch(const WatchList&) override {}
     void fetch() override {}
 };
 
-struct Played {
+struct DispatcherFixture {
     net::Scheduler scheduler;
     Counters counters;
     Log log{stderr, scheduler, counters, {}};
-    ScriptedCaller caller;
-    NoLister lister;
-    Exchange exchange{
+    ScriptedTransport transport;
+    NoListSource list_source;
+    Dispatcher dispatcher{
         scheduler,
         FrontNode(7, NodePlace{0, 1, 0, 10},
                   std::vector<OpType>{{10'000, 40'000, Repeat::kRetriable, 0, 1, 0, 1, 1, 0.9, 0}},
@@ -42,16 +42,16 @@
         counters,
         log};
 
-    Played() {
-        exchange.join(caller, lister);
-        exchange.start();
-        std::vector<Member> members;
+    DispatcherFixture() {
+        dispatcher.attach(transport, list_source);
+        dispatcher.start();
+        std::vector<ListedServer> members;
         for (const char* name : {"s-1", "s-2"}) {
-            Member member{name, {}, {}, 0};
+            ListedServer member{name, {}, {}, 0};
             member.entry.state = ServerState::kReady;
             members.push_back(member);
         }
-        exchange.list_news(ListKind::kFull, members);
+        dispatcher.apply_list(ListKind::kFull, members);
     }
     void run_until(const std::function<bool()>& done) { scheduler.run(done); }
     void run_turns(std::uint64_t turns) {
@@ -60,7 +60,7 @@
     }
     int parts_out() const {
         int sum = 0;
-        for (const auto& [name, view] : exchange.servers()) sum += view.parts_out;
+        for (const auto& [name, view] : dispatcher.servers()) sum += view.parts_out;
         return sum;
     }
 };
@@ -69,21 +69,21 @@
 // first attempt. Otherwise the retry counts as outstanding at its server for good, and a server on trial is
 // never tried again: within 45 minutes a third of all requests were rejected for lack of servers.
 TEST_CASE("a retry whose client leaves in the same turn is out at no server") {
-    Played one;
-    MultigetAsked asked;
-    asked.name = "t";
-    asked.not_after = one.scheduler.now() + 30'000;
-    asked.text = "q";
-    asked.parts.push_back({0, 0, 1.0, 0, 0});
-    const auto [taken, ticket] = one.exchange.ask(asked, [](Ending) {});
+    DispatcherFixture fixture;
+    MultigetAsked multiget;
+    multiget.name = "t";
+    multiget.not_after = fixture.scheduler.now() + 30'000;
+    multiget.query = "q";
+    multiget.parts.push_back({0, 0, 1.0, 0, 0});
+    const auto [taken, ticket] = fixture.dispatcher.ask(multiget, [](Ending) {});
     REQUIRE(taken == Acceptance::kTaken);
-    one.run_until([&] { return one.caller.calls.size() == 1; });
-    CHECK(one.parts_out() == 1);
-    one.exchange.over(one.caller.calls.front(), Outcome::kError);
-    one.exchange.leave(ticket);
-    one.run_turns(3);
-    CHECK(one.caller.calls.size() == 1);
-    CHECK(one.parts_out() == 0);
+    fixture.run_until([&] { return fixture.transport.calls.size() == 1; });
+    CHECK(fixture.parts_out() == 1);
+    fixture.dispatcher.finish_send(fixture.transport.calls.front(), Outcome::kError);
+    fixture.dispatcher.leave(ticket);
+    fixture.run_turns(3);
+    CHECK(fixture.transport.calls.size() == 1);
+    CHECK(fixture.parts_out() == 0);
 }
 
 }  // namespace
--- a/tests/service/server_starts_test.cpp
+++ b/tests/service/server_starts_test.cpp
@@ -14,9 +14,9 @@
 
 TEST_CASE("a start is where the list says while no clock is stepped, and never in the future") {
     ServerStarts starts;
-    CHECK(starts.take("a", 0, kBegin, kBegin) == 0);
-    CHECK(starts.take("a", kBegin - kSecond, kBegin, kBegin) == kBegin - kSecond);
-    CHECK(starts.take("b", kBegin + kHour, kBegin, kBegin) == kBegin);
+    CHECK(starts.convert("a", 0, kBegin, kBegin) == 0);
+    CHECK(starts.convert("a", kBegin - kSecond, kBegin, kBegin) == kBegin - kSecond);
+    CHECK(starts.convert("b", kBegin + kHour, kBegin, kBegin) == kBegin);
 }
 
 // After the wall clock is stepped back, a server that started 2 s ago must not count as an hour old and
@@ -27,9 +27,9 @@
     for (const Moment step : {kHour, -kHour, 30 * kSecond, -30 * kSecond}) {
         CAPTURE(step);
         ServerStarts both;  // discovery's clock is stepped, too
-        CHECK(both.take("a", now + step - kAgo, now, now + step) == now - kAgo);
+        CHECK(both.convert("a", now + step - kAgo, now, now + step) == now - kAgo);
         ServerStarts own;  // only this machine's clock is stepped
-        CHECK(own.take("a", now - kAgo, now, now + step) == now - kAgo);
+        CHECK(own.convert("a", now - kAgo, now, now + step) == now - kAgo);
     }
 }
 
@@ -40,20 +40,20 @@
         CAPTURE(step);
         ServerStarts starts;
         const Moment told = kBegin - 2 * kHour;
-        REQUIRE(starts.take("a", told, kBegin, kBegin) == told);
+        REQUIRE(starts.convert("a", told, kBegin, kBegin) == told);
         const Moment now = kBegin + 60 * kSecond;
-        CHECK(starts.take("a", told, now, now + step) == told);
+        CHECK(starts.convert("a", told, now, now + step) == told);
     }
 }
 
 TEST_CASE("a server that has left the list is new when it returns") {
     ServerStarts starts;
-    starts.take("a", kBegin - kHour, kBegin, kBegin);
-    starts.take("b", kBegin - kHour, kBegin, kBegin);
+    starts.convert("a", kBegin - kHour, kBegin, kBegin);
+    starts.convert("b", kBegin - kHour, kBegin, kBegin);
     starts.keep_only({"b"});
     const Moment now = kBegin + kSecond;
-    CHECK(starts.take("a", kBegin - kHour, now, now - kHour) == kBegin);
-    CHECK(starts.take("b", kBegin - kHour, now, now - kHour) == kBegin - kHour);
+    CHECK(starts.convert("a", kBegin - kHour, now, now - kHour) == kBegin);
+    CHECK(starts.convert("b", kBegin - kHour, now, now - kHour) == kBegin - kHour);
 }
 
 }  // namespace
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -15,203 +15,205 @@
     Listener discovery;
     Program program{{{"s-1", server.at()}}, discovery.at()};
     Peer client;
-    Peer link;  // connection to the server, once it has received a call
+    Peer connection;  // connection to the server, once it has received a call
 
-    void go() { client = program.start().client(); }
+    void start() { client = program.start().client(); }
     // Sends a multiget and returns the call frame that the server receives.
     std::string ask(const std::string& op_type, const std::string& name, const std::vector<int>& shards) {
         client.say(post(op_type, name, asks(shards)));
-        link = server.accept();
-        return link.frame();
+        connection = server.accept();
+        return connection.frame();
     }
 };
 
 TEST_CASE("a multiget is sent in calls, and its values come back unchanged on a connection that stays open") {
-    OneServer one;
-    one.go();
-    one.client.say("GET /up HTTP/1.1\r\n\r\n");
-    CHECK(one.client.answer() == "200 up\n");
+    OneServer setup;
+    setup.start();
+    setup.client.say("GET /up HTTP/1.1\r\n\r\n");
+    CHECK(setup.client.answer() == "200 up\n");
     const auto request = post("again", "t1", asks({3, 4, 5}, "l\\u00e4nge\\n"));
-    for (const char c : request) one.client.say({&c, 1});
-    one.link = one.server.accept();
-    CHECK(one.link.frame() == "St1.3 3 7\nl\u00e4nge\nt1.4 4 7\nl\u00e4nge\n");
-    CHECK(one.link.frame() == "St1.5 5 7\nl\u00e4nge\n");
-    one.link.reply("t1.5", "done", "five");
-    one.link.reply("t1.3", "done", "a \"quoted\" \\ value");
-    one.link.reply("t1.4", "done");
-    CHECK(one.client.answer() ==
+    for (const char c : request) setup.client.say({&c, 1});
+    setup.connection = setup.server.accept();
+    CHECK(setup.connection.frame() == "St1.3 3 7\nl\u00e4nge\nt1.4 4 7\nl\u00e4nge\n");
+    CHECK(setup.connection.frame() == "St1.5 5 7\nl\u00e4nge\n");
+    setup.connection.reply("t1.5", "done", "five");
+    setup.connection.reply("t1.3", "done", "a \"quoted\" \\ value");
+    setup.connection.reply("t1.4", "done");
+    CHECK(setup.client.answer() ==
           R"(200 {"whole":true,"results":[{"partition":3,"value":"a \"quoted\" \\ value"},)"
           R"({"partition":4,"value":""},{"partition":5,"value":"five"}]})");
-    one.client.say(post("once", "t2", asks({7})));
-    CHECK(one.link.frame() == "St2.7 7 1\nq");
-    one.link.reply("t2.7", "done", "x");
-    CHECK(one.client.answer() == R"(200 {"whole":true,"results":[{"partition":7,"value":"x"}]})");
-    CHECK(one.program.counter("connections_opened") == 1);
-    CHECK(one.program.counter("multigets_answered_whole") == 2);
-    CHECK(one.program.counter("sends_returned") == 4);
-    CHECK(one.program.counter("calls") == 3);
-    CHECK(one.program.counter("invariants_broken") == 0);
+    setup.client.say(post("once", "t2", asks({7})));
+    CHECK(setup.connection.frame() == "St2.7 7 1\nq");
+    setup.connection.reply("t2.7", "done", "x");
+    CHECK(setup.client.answer() == R"(200 {"whole":true,"results":[{"partition":7,"value":"x"}]})");
+    CHECK(setup.program.counter("connections_opened") == 1);
+    CHECK(setup.program.counter("multigets_answered_whole") == 2);
+    CHECK(setup.program.counter("sends_returned") == 4);
+    CHECK(setup.program.counter("calls") == 3);
+    CHECK(setup.program.counter("invariants_broken") == 0);
 }
 
 TEST_CASE("an answer in part holds only what is in, and is not marked whole") {
-    OneServer one;
-    one.go();
-    CHECK(one.ask("again", "t", {1, 2}) == "St.1 1 1\nqt.2 2 1\nq");
-    one.link.reply("t.1", "failed");
-    one.link.reply("t.2", "done", "two");
-    CHECK(one.client.answer() == R"(200 {"whole":false,"results":[{"partition":2,"value":"two"}]})");
+    OneServer setup;
+    setup.start();
+    CHECK(setup.ask("again", "t", {1, 2}) == "St.1 1 1\nqt.2 2 1\nq");
+    setup.connection.reply("t.1", "failed");
+    setup.connection.reply("t.2", "done", "two");
+    CHECK(setup.client.answer() == R"(200 {"whole":false,"results":[{"partition":2,"value":"two"}]})");
 }
 
 TEST_CASE("what has surely not run is pushed back, what may have run has failed") {
-    OneServer one;
-    one.go();
+    OneServer setup;
+    setup.start();
     SUBCASE("full") {
-        one.ask("once", "t", {1});
-        one.link.reply("t.1", "full");
-        CHECK(pinedoor::test::is_pushback(one.client.answer(), 0.625, 1.25));
+        setup.ask("once", "t", {1});
+        setup.connection.reply("t.1", "full");
+        CHECK(pinedoor::test::is_pushback(setup.client.answer(), 0.625, 1.25));
     }
     SUBCASE("failed") {
-        one.ask("once", "t", {1});
-        one.link.reply("t.1", "failed");
-        CHECK(one.client.answer() == "500");
+        setup.ask("once", "t", {1});
+        setup.connection.reply("t.1", "failed");
+        CHECK(setup.client.answer() == "500");
     }
     SUBCASE("reset") {
-        one.ask("once", "t", {1});
-        one.link.reset();
-        CHECK(one.client.answer() == "500");
-        CHECK(one.program.counter("sends_reset") == 1);
+        setup.ask("once", "t", {1});
+        setup.connection.reset();
+        CHECK(setup.client.answer() == "500");
+        CHECK(setup.program.counter("sends_reset") == 1);
     }
     SUBCASE("closed") {
-        one.ask("once", "t", {1});
-        one.link = Peer{};
-        CHECK(one.client.answer() == "500");
+        setup.ask("once", "t", {1});
+        setup.connection = Peer{};
+        CHECK(setup.client.answer() == "500");
     }
     SUBCASE("no connection") {
-        one.server.close();
-        one.client.say(post("once", "t", asks({1})));
-        CHECK(pinedoor::test::is_pushback(one.client.answer(), 0.625, 1.25));
-        CHECK(one.program.counter("sends_no_connection") == 1);
+        setup.server.close();
+        setup.client.say(post("once", "t", asks({1})));
+        CHECK(pinedoor::test::is_pushback(setup.client.answer(), 0.625, 1.25));
+        CHECK(setup.program.counter("sends_no_connection") == 1);
     }
 }
 
 TEST_CASE("an index server that breaks the protocol loses its connection, and its sends get their outcomes") {
-    OneServer one;
-    one.go();
-    one.ask("once", "t", {1});
-    SUBCASE("an id that nobody sent") { one.link.reply("t.2", "done", "x"); }
-    SUBCASE("an unknown letter") { one.link.say_frame("Zwhat"); }
-    SUBCASE("a complaint") { one.link.say_frame("Fno"); }
-    SUBCASE("an unknown end") { one.link.reply("t.1", "perhaps"); }
+    OneServer setup;
+    setup.start();
+    setup.ask("once", "t", {1});
+    SUBCASE("an id that nobody sent") { setup.connection.reply("t.2", "done", "x"); }
+    SUBCASE("an unknown letter") { setup.connection.say_frame("Zwhat"); }
+    SUBCASE("a complaint") { setup.connection.say_frame("Fno"); }
+    SUBCASE("an unknown end") { setup.connection.reply("t.1", "perhaps"); }
     SUBCASE("an impossible length") {
-        one.link.say(
+        setup.connection.say(
             std::string("\xff\xff\xff\x7f"
                         "R",
                         5));
     }
-    SUBCASE("no length") { one.link.say(std::string(8, '\0')); }
-    SUBCASE("a frame that never ends") { one.link.say(std::string("\x50\0\0\0Rt.1 done 7 -\nx", 19)); }
-    SUBCASE("a value that is no text") { one.link.reply("t.1", "done", "x\x01"); }
-    CHECK(one.client.answer() == "500");
-    CHECK(one.link.ended());
-    CHECK(one.program.counter("bad_frames") == 1);
-    CHECK(one.program.counter("sends_reset") == 1);
+    SUBCASE("no length") { setup.connection.say(std::string(8, '\0')); }
+    SUBCASE("a frame that never ends") {
+        setup.connection.say(std::string("\x50\0\0\0Rt.1 done 7 -\nx", 19));
+    }
+    SUBCASE("a value that is no text") { setup.connection.reply("t.1", "done", "x\x01"); }
+    CHECK(setup.client.answer() == "500");
+    CHECK(setup.connection.ended());
+    CHECK(setup.program.counter("bad_frames") == 1);
+    CHECK(setup.program.counter("sends_reset") == 1);
 }
 
 TEST_CASE("a spoilt answer fails one send; what else is out there is given up, and the server stays in use") {
-    OneServer one;
-    one.go();
-    CHECK(one.ask("again", "t", {1, 2}) == "St.1 1 1\nqt.2 2 1\nq");
-    auto other = one.program.client();
+    OneServer setup;
+    setup.start();
+    CHECK(setup.ask("again", "t", {1, 2}) == "St.1 1 1\nqt.2 2 1\nq");
+    auto other = setup.program.client();
     other.say(post("again", "u", asks({3})));
-    CHECK(one.link.frame() == "Su.3 3 1\nq");
-    SUBCASE("named") { one.link.reply("t.1", "perhaps"); }
-    SUBCASE("noise") { one.link.say("noise that names nobody"); }
+    CHECK(setup.connection.frame() == "Su.3 3 1\nq");
+    SUBCASE("named") { setup.connection.reply("t.1", "perhaps"); }
+    SUBCASE("noise") { setup.connection.say("noise that names nobody"); }
     SUBCASE("broken off") {
-        one.link.say(std::string("\x20\0\0\0Rt.1 done", 13));
-        one.link.reset();
+        setup.connection.say(std::string("\x20\0\0\0Rt.1 done", 13));
+        setup.connection.reset();
     }
-    SUBCASE("closed in order") { one.link = Peer{}; }
-    CHECK(pinedoor::test::is_pushback(one.client.answer(), 0.625, 1.25));
+    SUBCASE("closed in order") { setup.connection = Peer{}; }
+    CHECK(pinedoor::test::is_pushback(setup.client.answer(), 0.625, 1.25));
     CHECK(pinedoor::test::is_pushback(other.answer(), 0.625, 1.25));
-    CHECK(one.program.counter("sends_reset") == 1);
-    CHECK(one.program.counter("sends_cancelled") == 2);
-    CHECK(one.ask("again", "v", {1}) == "Sv.1 1 1\nq");
-    CHECK(one.program.log().find("aside") == std::string::npos);
+    CHECK(setup.program.counter("sends_reset") == 1);
+    CHECK(setup.program.counter("sends_cancelled") == 2);
+    CHECK(setup.ask("again", "v", {1}) == "Sv.1 1 1\nq");
+    CHECK(setup.program.log().find("aside") == std::string::npos);
 }
 
 TEST_CASE("a good answer stays good, whatever else comes with it") {
-    OneServer one;
-    one.go();
-    one.ask("again", "t", {1});
+    OneServer setup;
+    setup.start();
+    setup.ask("again", "t", {1});
     SUBCASE("a second copy") {
-        one.link.reply("t.1", "done", "x");
-        one.link.reply("t.1", "done", "x");
+        setup.connection.reply("t.1", "done", "x");
+        setup.connection.reply("t.1", "done", "x");
     }
-    SUBCASE("an unreadable load report") { one.link.say_frame("Rt.1 done 7 util=much, and more\nx"); }
-    SUBCASE("no load report") { one.link.say_frame("Rt.1 done 7 \nx"); }
-    CHECK(one.client.answer() == R"(200 {"whole":true,"results":[{"partition":1,"value":"x"}]})");
-    one.client.say(post("again", "u", asks({1})));
-    CHECK(one.link.frame() == "Su.1 1 1\nq");
-    CHECK(one.program.counter("bad_frames") == 0);
+    SUBCASE("an unreadable load report") { setup.connection.say_frame("Rt.1 done 7 util=much, and more\nx"); }
+    SUBCASE("no load report") { setup.connection.say_frame("Rt.1 done 7 \nx"); }
+    CHECK(setup.client.answer() == R"(200 {"whole":true,"results":[{"partition":1,"value":"x"}]})");
+    setup.client.say(post("again", "u", asks({1})));
+    CHECK(setup.connection.frame() == "Su.1 1 1\nq");
+    CHECK(setup.program.counter("bad_frames") == 0);
 }
 
 TEST_CASE("a frame cut short by the end of the connection is no answer") {
-    OneServer one;
-    one.go();
-    one.ask("once", "t", {1});
-    one.link.say(std::string("\x20\0\0\0Rt.1 done", 13));
-    one.link = Peer{};
-    CHECK(one.client.answer() == "500");
+    OneServer setup;
+    setup.start();
+    setup.ask("once", "t", {1});
+    setup.connection.say(std::string("\x20\0\0\0Rt.1 done", 13));
+    setup.connection = Peer{};
+    CHECK(setup.client.answer() == "500");
 }
 
 TEST_CASE("a client that goes away takes its sends with it") {
-    OneServer one;
-    one.go();
-    one.ask("again", "t", {1});
-    one.client = Peer{};
-    CHECK(one.link.frame() == "Ct.1");
-    CHECK(one.program.counter_at("clients_gone", 1) == 1);
-    one.link.reply("t.1", "done", "late");
-    CHECK(one.program.counter_at("late_results", 1) == 1);
-    CHECK(one.program.counter("open_parts") == 0);
+    OneServer setup;
+    setup.start();
+    setup.ask("again", "t", {1});
+    setup.client = Peer{};
+    CHECK(setup.connection.frame() == "Ct.1");
+    CHECK(setup.program.counter_at("clients_gone", 1) == 1);
+    setup.connection.reply("t.1", "done", "late");
+    CHECK(setup.program.counter_at("late_results", 1) == 1);
+    CHECK(setup.program.counter("open_parts") == 0);
 }
 
 TEST_CASE("a late value reaches no other multiget, and a silent connection takes nothing new") {
-    OneServer one;
-    one.go();
-    one.client.say(post("again", "t1", asks({1}), 300));
-    one.link = one.server.accept();
-    CHECK(one.link.frame() == "St1.1 1 1\nq");
-    CHECK(pinedoor::test::is_pushback(one.client.answer(), 0.625, 1.25));
-    CHECK(one.link.frame() == "Ct1.1");
-    auto old_link = std::move(one.link);
-    CHECK(one.ask("again", "t2", {1}) == "St2.1 1 1\nq");  // on a new connection
-    CHECK(old_link.ended());
-    one.link.reply("t2.1", "done", "new");
-    CHECK(one.client.answer() == R"(200 {"whole":true,"results":[{"partition":1,"value":"new"}]})");
+    OneServer setup;
+    setup.start();
+    setup.client.say(post("again", "t1", asks({1}), 300));
+    setup.connection = setup.server.accept();
+    CHECK(setup.connection.frame() == "St1.1 1 1\nq");
+    CHECK(pinedoor::test::is_pushback(setup.client.answer(), 0.625, 1.25));
+    CHECK(setup.connection.frame() == "Ct1.1");
+    auto old_connection = std::move(setup.connection);
+    CHECK(setup.ask("again", "t2", {1}) == "St2.1 1 1\nq");  // on a new connection
+    CHECK(old_connection.ended());
+    setup.connection.reply("t2.1", "done", "new");
+    CHECK(setup.client.answer() == R"(200 {"whole":true,"results":[{"partition":1,"value":"new"}]})");
 }
 
 TEST_CASE("a connection that owes answers for a connect time-out is left, however short each send was") {
-    OneServer one;
-    one.go();
-    one.client.say(post("again", "t1", asks({1}), 200));
-    auto silent = one.server.accept();
+    OneServer setup;
+    setup.start();
+    setup.client.say(post("again", "t1", asks({1}), 200));
+    auto silent = setup.server.accept();
     CHECK(silent.frame() == "St1.1 1 1\nq");
-    CHECK(pinedoor::test::is_pushback(one.client.answer(), 0.625, 1.25));
+    CHECK(pinedoor::test::is_pushback(setup.client.answer(), 0.625, 1.25));
     usleep(100'000);
-    CHECK(one.ask("again", "t2", {1}) == "St2.1 1 1\nq");  // on a new connection
-    one.link.reply("t2.1", "done", "x");
-    CHECK(one.client.answer().starts_with("200 "));
+    CHECK(setup.ask("again", "t2", {1}) == "St2.1 1 1\nq");  // on a new connection
+    setup.connection.reply("t2.1", "done", "x");
+    CHECK(setup.client.answer().starts_with("200 "));
     CHECK(silent.frame() == "Ct1.1");
     CHECK(silent.ended());
 }
 
 TEST_CASE("bad requests get a plain answer, and the next ones are served") {
-    OneServer one;
-    one.program.with("\"max_open\":40", "\"max_open\":5");
-    one.go();
+    OneServer setup;
+    setup.program.with("\"max_open\":40", "\"max_open\":5");
+    setup.start();
     const auto answer_to = [&](const std::string& request) {
-        auto peer = one.program.client();
+        auto peer = setup.program.client();
         peer.say(request);
         return peer.answer();
     };
@@ -251,35 +253,35 @@
     }
     CHECK(answer_to_body(R"({"targets":[{"partition":1,"share":1,"route":"xyz"}],"query":"q"})") ==
           "400 connection=close route is not 16 hex digits\n");
-    CHECK(one.ask("again", "t", {1, 2}) == "St.1 1 1\nqt.2 2 1\nq");
-    auto other = one.program.client();
+    CHECK(setup.ask("again", "t", {1, 2}) == "St.1 1 1\nqt.2 2 1\nq");
+    auto other = setup.program.client();
     other.say(post("again", "u", asks({3})));
-    CHECK(one.link.frame() == "Su.3 3 1\nq");
+    CHECK(setup.connection.frame() == "Su.3 3 1\nq");
     CHECK(answer_to(post("again", "v", asks({1}))) == "503 no room\n");
-    one.link.reply("t.1", "done", "x");  // answered parts free capacity
-    CHECK(one.program.counter_at("open_parts", 2) == 2);
-    auto third = one.program.client();
+    setup.connection.reply("t.1", "done", "x");  // answered parts free capacity
+    CHECK(setup.program.counter_at("open_parts", 2) == 2);
+    auto third = setup.program.client();
     third.say(post("again", "w", asks({4})));
-    CHECK(one.link.frame() == "Sw.4 4 1\nq");
+    CHECK(setup.connection.frame() == "Sw.4 4 1\nq");
     other = Peer{};
     third = Peer{};
-    one.client = Peer{};
-    CHECK(one.program.counter_at("open_multigets", 0) == 0);
-    CHECK(one.program.counter("bad_requests") == 28);
+    setup.client = Peer{};
+    CHECK(setup.program.counter_at("open_multigets", 0) == 0);
+    CHECK(setup.program.counter("bad_requests") == 28);
 }
 
 TEST_CASE("a name that is under way is not taken twice") {
-    OneServer one;
-    one.go();
-    one.ask("again", "t", {1});
-    auto other = one.program.client();
+    OneServer setup;
+    setup.start();
+    setup.ask("again", "t", {1});
+    auto other = setup.program.client();
     other.say(post("again", "t", asks({2})));
     CHECK(other.answer() == "409 connection=close a request of this X-Txn is under way\n");
-    one.link.reply("t.1", "done", "x");
-    CHECK(one.client.answer().starts_with("200 "));
-    other = one.program.client();
+    setup.connection.reply("t.1", "done", "x");
+    CHECK(setup.client.answer().starts_with("200 "));
+    other = setup.program.client();
     other.say(post("again", "t", asks({2})));
-    CHECK(one.link.frame() == "St.2 2 1\nq");
+    CHECK(setup.connection.frame() == "St.2 2 1\nq");
 }
 
 TEST_CASE("the list is followed: new servers are used, drained ones are not, addresses may change") {
@@ -292,17 +294,17 @@
     watch.say(kStream + chunk("\n") + chunk(drained.substr(0, 30)) + chunk(drained.substr(30) + "\n"));
     CHECK(program.counter_at("list_news", 2) == 2);
     client.say(post("again", "t1", asks({1})));
-    auto link = second.accept();
-    CHECK(link.frame() == "St1.1 1 1\nq");
-    link.reply("t1.1", "done", "x");
+    auto connection = second.accept();
+    CHECK(connection.frame() == "St1.1 1 1\nq");
+    connection.reply("t1.1", "done", "x");
     CHECK(client.answer().starts_with("200 "));
     watch.say(chunk(list_object(3, true, {{"s-2", moved.at()}}) + "\n"));
     CHECK(program.counter_at("list_news", 3) == 3);
-    CHECK(link.ended());
+    CHECK(connection.ended());
     client.say(post("again", "t2", asks({1})));
-    link = moved.accept();
-    CHECK(link.frame() == "St2.1 1 1\nq");
-    link.reply("t2.1", "done", "x");
+    connection = moved.accept();
+    CHECK(connection.frame() == "St2.1 1 1\nq");
+    connection.reply("t2.1", "done", "x");
     CHECK(client.answer().starts_with("200 "));
     watch.say(chunk("{\"revision\":4,\"complete\":false,\"members\":[{\"id\":\"bad\"}," +
                     Listed{"s-3", first.at()}.text() + "]}\n"));
@@ -330,27 +332,27 @@
 
 TEST_CASE(
     "a server that is gone from the list is forgotten once nothing is out there, and returns as a new one") {
-    OneServer one;
+    OneServer setup;
     Listener second;
-    one.go();
-    auto watch = one.discovery.accept();
+    setup.start();
+    auto watch = setup.discovery.accept();
     watch.read_to("\r\n\r\n");
-    one.ask("again", "t1", {1});
-    std::string gone =
-        chunk(list_object(2, false, {{"s-1", one.server.at(), "Gone"}, {"s-2", second.at()}}) + "\n");
+    setup.ask("again", "t1", {1});
+    std::string removal =
+        chunk(list_object(2, false, {{"s-1", setup.server.at(), "Gone"}, {"s-2", second.at()}}) + "\n");
     SUBCASE("told") {}
-    SUBCASE("not named") { gone = chunk(list_object(2, true, {{"s-2", second.at()}}) + "\n"); }
-    watch.say(kStream + gone);
-    CHECK(one.program.counter_at("list_news", 2) == 2);
-    CHECK(one.program.counter("servers_known") == 2);
-    one.link.reply("t1.1", "done", "x");
-    CHECK(one.client.answer().starts_with("200 "));
-    CHECK(one.link.ended());
-    CHECK(one.program.counter_at("servers_known", 1) == 1);
-    watch.say(chunk(list_object(3, true, {{"s-1", one.server.at()}}) + "\n"));
-    CHECK(one.program.counter_at("list_news", 3) == 3);
-    CHECK(one.ask("again", "t2", {1}) == "St2.1 1 1\nq");
-    CHECK(one.program.log().find("server 3 is s-1 at ") != std::string::npos);
+    SUBCASE("not named") { removal = chunk(list_object(2, true, {{"s-2", second.at()}}) + "\n"); }
+    watch.say(kStream + removal);
+    CHECK(setup.program.counter_at("list_news", 2) == 2);
+    CHECK(setup.program.counter("servers_known") == 2);
+    setup.connection.reply("t1.1", "done", "x");
+    CHECK(setup.client.answer().starts_with("200 "));
+    CHECK(setup.connection.ended());
+    CHECK(setup.program.counter_at("servers_known", 1) == 1);
+    watch.say(chunk(list_object(3, true, {{"s-1", setup.server.at()}}) + "\n"));
+    CHECK(setup.program.counter_at("list_news", 3) == 3);
+    CHECK(setup.ask("again", "t2", {1}) == "St2.1 1 1\nq");
+    CHECK(setup.program.log().find("server 3 is s-1 at ") != std::string::npos);
 }
 
 TEST_CASE("a list call that fails or falls silent is made again, on the last revision, and not in a storm") {
@@ -384,45 +386,46 @@
 }
 
 TEST_CASE("a planned restart answers what was taken, also on new connections, and ends with 0") {
-    OneServer one;
-    one.go();
-    one.ask("again", "t1", {1});
-    auto idle = one.program.client();
+    OneServer setup;
+    setup.start();
+    setup.ask("again", "t1", {1});
+    auto idle = setup.program.client();
     idle.say("GET /up HTTP/1.1\r\n\r\n");
     CHECK(idle.answer() == "200 up\n");
-    one.program.kill(SIGTERM);
-    auto late = one.program.client();
+    setup.program.kill(SIGTERM);
+    auto late = setup.program.client();
     late.say(post("again", "t2", asks({2})));
-    CHECK(one.link.frame() == "St2.2 2 1\nq");
+    CHECK(setup.connection.frame() == "St2.2 2 1\nq");
     usleep(1'000'000);
     idle.say("GET /up HTTP/1.1\r\n\r\n");  // open connections go on for a while and are closed when idle
     CHECK(idle.answer() == "200 up\n");
     CHECK(idle.ended());
-    one.link.reply("t2.2", "done", "two");
-    one.link.reply("t1.1", "done", "one");
-    CHECK(one.client.answer() ==
+    setup.connection.reply("t2.2", "done", "two");
+    setup.connection.reply("t1.1", "done", "one");
+    CHECK(setup.client.answer() ==
           R"(200 connection=close {"whole":true,"results":[{"partition":1,"value":"one"}]})");
     CHECK(late.answer() ==
           R"(200 connection=close {"whole":true,"results":[{"partition":2,"value":"two"}]})");
-    CHECK(one.client.ended());
+    CHECK(setup.client.ended());
     late = Peer{};
-    one.client = Peer{};
-    CHECK(one.program.wait() == 0);
-    CHECK(one.program.log().find("multigets_answered_whole 2\n") != std::string::npos);
+    setup.client = Peer{};
+    CHECK(setup.program.wait() == 0);
+    CHECK(setup.program.log().find("multigets_answered_whole 2\n") != std::string::npos);
 }
 
 TEST_CASE("a reload asks at the new address for the whole list at once, and multigets notice nothing") {
-    Listener first, second, told, moved;
+    Listener first, second, initial_discovery, moved;
     Program program({{"s-1", first.at()}}, moved.at());
-    program.with_variable(told.at());  // overrides the file at the start, but not at a later reload
+    program.with_variable(
+        initial_discovery.at());  // overrides the file at the start, but not at a later reload
     auto client = program.start().client();
-    auto old_watch = told.accept();
+    auto old_watch = initial_discovery.accept();
     old_watch.read_to("\r\n\r\n");
     old_watch.say(kStream + chunk(list_object(7, false, {}) + "\n"));
     CHECK(program.counter_at("list_news", 2) == 2);
     client.say(post("again", "t1", asks({1})));
-    auto link = first.accept();
-    CHECK(link.frame() == "St1.1 1 1\nq");
+    auto connection = first.accept();
+    CHECK(connection.frame() == "St1.1 1 1\nq");
     program.kill(SIGHUP);
     program.kill(SIGHUP);
     auto watch = moved.accept();
@@ -430,12 +433,12 @@
     CHECK(old_watch.ended());
     watch.say(kStream + chunk(list_object(8, true, {{"s-2", second.at()}}) + "\n"));
     CHECK(program.counter_at("list_news", 3) == 3);
-    link.reply("t1.1", "done", "one");
+    connection.reply("t1.1", "done", "one");
     CHECK(client.answer() == R"(200 {"whole":true,"results":[{"partition":1,"value":"one"}]})");
     client.say(post("again", "t2", asks({1})));
-    link = second.accept();
-    CHECK(link.frame() == "St2.1 1 1\nq");
-    link.reply("t2.1", "done", "two");
+    connection = second.accept();
+    CHECK(connection.frame() == "St2.1 1 1\nq");
+    connection.reply("t2.1", "done", "two");
     CHECK(client.answer().starts_with("200 "));
     CHECK(program.counter("list_failures") == 0);
     program.kill(SIGTERM);
@@ -466,63 +469,63 @@
 }
 
 TEST_CASE("after a kill it starts from nothing on the same address at once") {
-    OneServer one;
-    one.go();
-    one.ask("again", "t1", {1});
-    one.program.kill(SIGKILL);
-    CHECK(one.client.answer() == "nothing");
-    CHECK(one.link.ended());
-    one.go();
-    CHECK(one.ask("again", "t1", {1}) == "St1.1 1 1\nq");
+    OneServer setup;
+    setup.start();
+    setup.ask("again", "t1", {1});
+    setup.program.kill(SIGKILL);
+    CHECK(setup.client.answer() == "nothing");
+    CHECK(setup.connection.ended());
+    setup.start();
+    CHECK(setup.ask("again", "t1", {1}) == "St1.1 1 1\nq");
 }
 
 TEST_CASE("with few descriptors idle clients make room for new ones") {
-    OneServer one;
-    one.program.with("\"sockets\":1024", "\"sockets\":32");  // eight of them for clients
-    one.go();
+    OneServer setup;
+    setup.program.with("\"sockets\":1024", "\"sockets\":32");  // eight of them for clients
+    setup.start();
     std::vector<Peer> idle;
     for (int i = 0; i < 20; ++i) {
-        idle.push_back(one.program.client());
+        idle.push_back(setup.program.client());
         idle.back().say("GET /up HTTP/1.1\r\n\r\n");
         CHECK(idle.back().answer() == "200 up\n");
     }
     CHECK(idle.front().ended());
-    CHECK(one.program.counter("clients_open_most_at_once") == 8);
+    CHECK(setup.program.counter("clients_open_most_at_once") == 8);
     for (int i = 0; i < 20; ++i) {  // clients that never complete a request do not keep others out either
-        idle.push_back(one.program.client());
+        idle.push_back(setup.program.client());
         idle.back().say("POST /again HTTP/1.1\r\nX-Txn");
     }
-    one.client = one.program.client();
-    CHECK(one.ask("again", "t", {1}) == "St.1 1 1\nq");
+    setup.client = setup.program.client();
+    CHECK(setup.ask("again", "t", {1}) == "St.1 1 1\nq");
 }
 
 TEST_CASE("a client that says nothing, or never ends its first request, is closed in time") {
-    OneServer one;
-    one.go();
-    const auto began = std::chrono::steady_clock::now();
-    auto silent = one.program.client();
-    auto slow = one.program.client();
+    OneServer setup;
+    setup.start();
+    const auto started_at = std::chrono::steady_clock::now();
+    auto silent = setup.program.client();
+    auto slow = setup.program.client();
     slow.say("POST /again HTTP/1.1\r\nX-Txn");
     CHECK(silent.ended());
     CHECK(slow.answer() == "408 connection=close the request did not come whole\n");
-    CHECK(std::chrono::steady_clock::now() - began < std::chrono::seconds(kPatienceSeconds));
+    CHECK(std::chrono::steady_clock::now() - started_at < std::chrono::seconds(kPatienceSeconds));
 }
 
 TEST_CASE("clients that never come up with a request make room before those that did") {
-    OneServer one;
-    one.program.with("\"sockets\":1024", "\"sockets\":32");  // eight of them for clients
-    one.go();
-    one.client = Peer{};
-    std::vector<Peer> usual, silent;
-    const auto up = [](Peer& peer) {
+    OneServer setup;
+    setup.program.with("\"sockets\":1024", "\"sockets\":32");  // eight of them for clients
+    setup.start();
+    setup.client = Peer{};
+    std::vector<Peer> active, silent;
+    const auto is_up = [](Peer& peer) {
         peer.say("GET /up HTTP/1.1\r\n\r\n");
         return peer.answer() == "200 up\n";
     };
-    for (int i = 0; i < 4; ++i) CHECK(up(usual.emplace_back(one.program.client())));
-    for (int i = 0; i < 4; ++i) silent.push_back(one.program.client());
+    for (int i = 0; i < 4; ++i) CHECK(is_up(active.emplace_back(setup.program.client())));
+    for (int i = 0; i < 4; ++i) silent.push_back(setup.program.client());
     usleep(300'000);  // longer than the connect timeout
-    for (int i = 0; i < 4; ++i) CHECK(up(usual.emplace_back(one.program.client())));
-    for (auto& peer : usual) CHECK(up(peer));
+    for (int i = 0; i < 4; ++i) CHECK(is_up(active.emplace_back(setup.program.client())));
+    for (auto& peer : active) CHECK(is_up(peer));
     for (auto& peer : silent) CHECK(peer.ended());
 }
 
@@ -575,21 +578,23 @@
 }
 
 TEST_CASE("a configuration that cannot be used ends the start with the faulty key") {
-    OneServer one;
-    std::string told;
+    OneServer setup;
+    std::string expected_message;
     SUBCASE("missing") {
-        one.program.with("\"tick_ms\":1.0", "\"tock_ms\":1.0"), told = "settings: tick_ms is missing";
+        setup.program.with("\"tick_ms\":1.0", "\"tock_ms\":1.0"),
+            expected_message = "settings: tick_ms is missing";
     }
     SUBCASE("a second step") {
-        one.program.with("\"follow_up\":[0,0]", "\"follow_up\":[0,2]");
-        told = "settings: family_info.follow_up asks for a second step, which this protocol lacks";
+        setup.program.with("\"follow_up\":[0,0]", "\"follow_up\":[0,2]");
+        expected_message =
+            "settings: family_info.follow_up asks for a second step, which this protocol lacks";
     }
     SUBCASE("no JSON") {
-        one.program.with("{\"name\"", "{{\"name\""), told = "configuration: JSON, byte 2: ";
+        setup.program.with("{\"name\"", "{{\"name\""), expected_message = "configuration: JSON, byte 2: ";
     }
-    one.program.start();
-    CHECK(one.program.wait() == 1);
-    CHECK(one.program.log().starts_with("pinedoor: " + told));
+    setup.program.start();
+    CHECK(setup.program.wait() == 1);
+    CHECK(setup.program.log().starts_with("pinedoor: " + expected_message));
 }
 
 }  // namespace
