--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -15,10 +15,10 @@
 
 using namespace pinedoor::test;
 
-struct Seen {
+struct Tally {
     int served = 0;
-    int in_part = 0;
-    int turned_away = 0;  // pushed back, nothing of it has run
+    int partial = 0;
+    int pushed_back = 0;  // pushed back, nothing of it has run
     int ended = 0;        // with any final answer
     int unanswered = 0;
 };
@@ -35,9 +35,9 @@
 
 // The fault may hit the request for the counter itself: it is repeated once.
 std::uint64_t counter(Program& program, const std::string& name) {
-    constexpr std::uint64_t kNotTold = 999'999;
+    constexpr std::uint64_t kUnknown = 999'999;
     const auto value = program.counter(name);
-    return value == kNotTold ? program.counter(name) : value;
+    return value == kUnknown ? program.counter(name) : value;
 }
 
 using Clock = std::chrono::steady_clock;
@@ -54,57 +54,57 @@
 // ends without an answer opens a new one. The request is sent once more, as the protocol allows, where
 // connections without input may be closed because descriptors are short, or where the connection was idle for
 // as long as the front node keeps idle ones while another client's answer was awaited.
-Seen play(const std::string& fault, Mischief& servers, Listener& discovery, bool short_of_descriptors = false,
-          Load load = kLight) {
+Tally run_requests(const std::string& fault, Mischief& servers, Listener& discovery,
+                   bool short_of_descriptors = false, Load load = kLight) {
     Program program({{"s-1", servers.at(0)}, {"s-2", servers.at(1)}}, discovery.at());
     program.run_program(PINEDOOR_FAULTY)
         .with("\"max_attempts\":1", "\"max_attempts\":3")
         .with("\"max_open\":40", "\"max_open\":" + std::to_string(std::max(40, 4 * load.clients)))
         .with_environment("PINEDOOR_FAULT", fault);
     program.start();
-    Seen seen;
+    Tally tally;
     std::vector<Peer> clients;
     for (int i = 0; i < load.clients; ++i) clients.push_back(program.client());
     std::vector<Clock::time_point> asked(clients.size(), Clock::now());
-    std::vector<bool> stood_idle(clients.size(), false);
+    std::vector<bool> was_idle(clients.size(), false);
     for (int request = 0; request < load.requests_each; ++request) {
         for (int i = 0; i < load.clients; ++i) {
             const auto at = static_cast<std::size_t>(i);
             const auto now = Clock::now();
-            stood_idle[at] = now - std::exchange(asked[at], now) >= kNearlyIdleTime;
+            was_idle[at] = now - std::exchange(asked[at], now) >= kNearlyIdleTime;
             clients[at].say(request_of(i, request));
         }
         for (int i = 0; i < load.clients; ++i) {
             auto& client = clients[static_cast<std::size_t>(i)];
             auto answer = client.answer();
-            if (answer == "nothing" && (short_of_descriptors || stood_idle[static_cast<std::size_t>(i)])) {
+            if (answer == "nothing" && (short_of_descriptors || was_idle[static_cast<std::size_t>(i)])) {
                 client = program.client();
                 client.say(request_of(i, request));
                 answer = client.answer();
             }
-            seen.served += answer.starts_with("200 {\"whole\":true") ? 1 : 0;
-            seen.in_part += answer.starts_with("200 {\"whole\":false") ? 1 : 0;
-            seen.turned_away += answer.starts_with("503 retry-after=") ? 1 : 0;
-            seen.ended += answer == "nothing" ? 0 : 1;
-            seen.unanswered += answer == "nothing" ? 1 : 0;
+            tally.served += answer.starts_with("200 {\"whole\":true") ? 1 : 0;
+            tally.partial += answer.starts_with("200 {\"whole\":false") ? 1 : 0;
+            tally.pushed_back += answer.starts_with("503 retry-after=") ? 1 : 0;
+            tally.ended += answer == "nothing" ? 0 : 1;
+            tally.unanswered += answer == "nothing" ? 1 : 0;
             if (answer == "nothing") client = program.client();
         }
     }
     CHECK(counter(program, "invariants_broken") == 0);  // this also shows that it still listens
     CHECK(counter(program, "tasks_threw") == 0);
-    return seen;
+    return tally;
 }
 
-struct Case {
+struct FaultCase {
     const char* call;
     int error;
 };
 
-std::string text(const Case& one, int n) {
-    return std::string(one.call) + ' ' + std::to_string(n) + ' ' + std::to_string(one.error);
+std::string text(const FaultCase& fault_case, int n) {
+    return std::string(fault_case.call) + ' ' + std::to_string(n) + ' ' + std::to_string(fault_case.error);
 }
 
-constexpr int kCallsOfARun = 10;
+constexpr int kCallsPerRun = 10;
 
 // The calls that the program makes before it serves end its start when they fail.
 int first_call(const std::string& call) {
@@ -116,7 +116,7 @@
 TEST_CASE("a call that fails for a moment on this machine costs no request its answer") {
     Mischief servers(2, Mischief::Manners::kGood);
     Listener discovery;
-    const std::vector<Case> cases{
+    const std::vector<FaultCase> cases{
         {"accept", ECONNABORTED},   {"accept", EINTR},          {"accept", EMFILE},
         {"accept", ENFILE},         {"accept", ENOBUFS},        {"accept", ENOMEM},
         {"accept", EPROTO},         {"accept", EPERM},          {"socket", EMFILE},
@@ -126,25 +126,27 @@
         {"receive", EINTR},         {"transmit", EINTR},        {"wait", EINTR},
     };
     SUBCASE("each call of a short run") {
-        for (const auto& one : cases) {
-            for (int n = first_call(one.call); n <= kCallsOfARun; ++n) {
-                CAPTURE(text(one, n));
-                const auto seen = play(text(one, n), servers, discovery, one.error == EMFILE);
-                CHECK(seen.served == kRequests);
+        for (const auto& fault_case : cases) {
+            for (int n = first_call(fault_case.call); n <= kCallsPerRun; ++n) {
+                CAPTURE(text(fault_case, n));
+                const auto tally =
+                    run_requests(text(fault_case, n), servers, discovery, fault_case.error == EMFILE);
+                CHECK(tally.served == kRequests);
             }
         }
     }
     SUBCASE("under load, several in a row") {
         constexpr int kFailures = 3;
-        for (const auto& one : cases) {
+        for (const auto& fault_case : cases) {
             for (const int n : {4, 16}) {
-                const auto fault = text(one, n) + ' ' + std::to_string(kFailures);
+                const auto fault = text(fault_case, n) + ' ' + std::to_string(kFailures);
                 CAPTURE(fault);
-                const auto seen = play(fault, servers, discovery, one.error == EMFILE, kHeavy);
+                const auto tally =
+                    run_requests(fault, servers, discovery, fault_case.error == EMFILE, kHeavy);
                 // A node that has just started answers in part, or pushes back, what exceeds its first
                 // credit.
-                CHECK(seen.served + seen.in_part + seen.turned_away == kHeavy.requests());
-                CHECK(seen.served > kHeavy.requests() / 3);
+                CHECK(tally.served + tally.partial + tally.pushed_back == kHeavy.requests());
+                CHECK(tally.served > kHeavy.requests() / 3);
             }
         }
     }
@@ -198,10 +200,10 @@
     Mischief servers(2, Mischief::Manners::kGood);
     Listener discovery;
     for (const char* call : {"receive", "transmit"}) {
-        for (int n = 1; n <= kCallsOfARun; ++n) {
+        for (int n = 1; n <= kCallsPerRun; ++n) {
             const auto fault = std::string(call) + ' ' + std::to_string(n) + " short 5";
             CAPTURE(fault);
-            CHECK(play(fault, servers, discovery).served == kRequests);
+            CHECK(run_requests(fault, servers, discovery).served == kRequests);
         }
     }
 }
@@ -211,23 +213,23 @@
 TEST_CASE("a connection that breaks costs at most the request on it, and no other its answer") {
     Mischief servers(2, Mischief::Manners::kGood);
     Listener discovery;
-    const std::vector<Case> cases{{"receive", ETIMEDOUT},
-                                  {"receive", EHOSTUNREACH},
-                                  {"receive", ECONNRESET},
-                                  {"transmit", ETIMEDOUT},
-                                  {"transmit", EHOSTUNREACH},
-                                  {"transmit", EPIPE},
-                                  {"pending", ETIMEDOUT},
-                                  {"pending", EHOSTUNREACH},
-                                  {"connect", EHOSTUNREACH},
-                                  {"add", ENOMEM},
-                                  {"add", ENOSPC}};
-    for (const auto& one : cases) {
-        for (int n = first_call(one.call); n <= kCallsOfARun; ++n) {
-            CAPTURE(text(one, n));
-            const auto seen = play(text(one, n), servers, discovery);
-            CHECK(seen.unanswered <= 1);
-            CHECK(seen.ended >= kRequests - 1);
+    const std::vector<FaultCase> cases{{"receive", ETIMEDOUT},
+                                       {"receive", EHOSTUNREACH},
+                                       {"receive", ECONNRESET},
+                                       {"transmit", ETIMEDOUT},
+                                       {"transmit", EHOSTUNREACH},
+                                       {"transmit", EPIPE},
+                                       {"pending", ETIMEDOUT},
+                                       {"pending", EHOSTUNREACH},
+                                       {"connect", EHOSTUNREACH},
+                                       {"add", ENOMEM},
+                                       {"add", ENOSPC}};
+    for (const auto& fault_case : cases) {
+        for (int n = first_call(fault_case.call); n <= kCallsPerRun; ++n) {
+            CAPTURE(text(fault_case, n));
+            const auto tally = run_requests(text(fault_case, n), servers, discovery);
+            CHECK(tally.unanswered <= 1);
+            CHECK(tally.ended >= kRequests - 1);
         }
     }
 }
@@ -242,12 +244,12 @@
         program.run_program(PINEDOOR_FAULTY)
             .with_environment("PINEDOOR_FAULT",
                               "accept 1 " + std::to_string(error) + ' ' + std::to_string(kFailures));
-        const auto begun = std::chrono::steady_clock::now();
+        const auto started_at = std::chrono::steady_clock::now();
         auto client = program.start().client();
         client.say(post("again", "t", asks({1})));
         CHECK(client.answer().starts_with("200 "));
-        const auto took = std::chrono::steady_clock::now() - begun;
-        CHECK(took > std::chrono::milliseconds(50 * (kFailures - 1)));
+        const auto duration = std::chrono::steady_clock::now() - started_at;
+        CHECK(duration > std::chrono::milliseconds(50 * (kFailures - 1)));
         CHECK(program.counter("accept_failures") == kFailures);
     }
 }
