--- a/src/service/fleet_side.cpp
+++ b/src/service/fleet_side.cpp
@@ -99,9 +99,9 @@
         // module alone.
         if (report.aside && set_aside_.insert(at->first).second) {
             ++verdicts_aside_;
-            log_.event(
-                Level::kInfo, "server_told_aside",
-                "others have " + at->first + " aside" + (report.held ? "" : "; this node is to try it"));
+            log_.event(Level::kInfo, "server_told_aside",
+                       "other front nodes have set " + at->first + " aside" +
+                           (report.held ? "" : "; this node tries it"));
         }
         dispatcher_.notify(at->first, {{},
                                        report.aside,
@@ -137,7 +137,8 @@
         for (const auto& [key, left] : fleet::read_keys(fact.value)) {
             const Time until = now + std::min(left, fact.lives) - fact.age;
             if (until <= now || !received_keys_.try_emplace(key, until).second) continue;
-            log_.event(Level::kInfo, "deadly_key_told", "servers died under a multiget at " + fact.origin);
+            log_.event(Level::kInfo, "deadly_key_told",
+                       "multiget that crashes servers, reported by " + fact.origin);
             dispatcher_.notify(DeadlyKey{key, until});
         }
     }
@@ -152,7 +153,7 @@
             (report.aside ? report.held ? ", others try it" : ", this node tries it" : "") +
             (report.cold_for >= 0 ? ", cold for " + std::to_string(report.cold_for / 10) + " ms" : "") + '\n';
     }
-    return out.empty() ? "no server is spoken against\n" : out;
+    return out.empty() ? "no reports against any server\n" : out;
 }
 
 std::string FleetReporter::print_server(std::string_view server) const {
@@ -163,7 +164,7 @@
         out = "this node: " + std::string(each.doubted ? "doubts it" : "has nothing against it") +
               ", failed " + age_text(now, each.failed) + ", answered " + age_text(now, each.answered) + '\n';
     }
-    if (out.empty()) return "nobody has listed a server of that name\n";
+    if (out.empty()) return "no server of that name is listed\n";
     fleet::WordReader reader(terms_.verdict);
     const auto others = read_reports(reader);
     const auto entry = others.servers.find(std::string(server));
--- a/src/service/front_door.cpp
+++ b/src/service/front_door.cpp
@@ -45,7 +45,8 @@
     for (const auto& type : stated.op_types()) {
         if (type.second_step_parts > 0) {
             throw stated::BadStated(
-                "settings: family_info.follow_up asks for a second step, which this protocol lacks");
+                "settings: family_info.follow_up asks for a second step, which this protocol does not "
+                "support");
         }
         longest = std::max(longest, type.route_timeout);
     }
@@ -120,7 +121,7 @@
 }
 
 void FrontDoor::stop() {
-    log_.event(Level::kInfo, "shutdown", "asked to end: what has been taken is answered first");
+    log_.event(Level::kInfo, "shutdown", "shutdown requested; accepted requests are answered first");
     client_connections_.stop();
     if (limiter_) limiter_->stop();
     if (peers_) peers_->leave();
@@ -204,7 +205,7 @@
     placement::GatherTerms gather;
     for (const auto& [name, rule] : terms.merge) {
         if (std::find(names.begin(), names.end(), name) == names.end())
-            throw stated::BadStated("placement.merge names " + name + ", which is no op type");
+            throw stated::BadStated("placement.merge names " + name + ", which is not an op type");
     }
     for (std::size_t i = 0; i < names.size(); ++i) {
         const auto& type = types[i];
--- a/src/service/limit_side.cpp
+++ b/src/service/limit_side.cpp
@@ -16,7 +16,7 @@
 int index_of(const std::vector<std::string>& names, const std::string& name, const std::string& what) {
     if (name.empty()) return -1;
     const auto at = std::find(names.begin(), names.end(), name);
-    if (at == names.end()) throw std::invalid_argument(what + " names " + name + ", which is none");
+    if (at == names.end()) throw std::invalid_argument(what + " names " + name + ", which is not configured");
     return static_cast<int>(at - names.begin());
 }
 
@@ -38,7 +38,7 @@
         return "passed " + std::to_string(gate.passed()) + ", turned away " +
                std::to_string(gate.turned_away());
     if (terms.of == Of::kConnections) return "put off " + std::to_string(pace.put_off());
-    return "in the module's hands";
+    return "enforced by the decision module";
 }
 
 FleetLimiter::FleetLimiter(net::Scheduler& scheduler, RequestHandler& inner, Dispatcher& dispatcher,
@@ -121,7 +121,7 @@
                 log_.event(
                     Level::kInfo, owns ? "limit_owned" : "limit_not_owned",
                     "limit " + each->terms.name +
-                        (owns ? " is lent out by this node" : " is not lent out by this node any more"));
+                        (owns ? " is leased out by this node" : " is not leased out by this node any more"));
         }
         co_await waiter_.wait(0, std::max(due, scheduler_.now() + 1));
     }
--- a/src/service/list_share.cpp
+++ b/src/service/list_share.cpp
@@ -60,7 +60,7 @@
         // treated alike.
         if (current_source_ && !current_source_->discovery && now - called_at_ > kSourceTimeout &&
             age() > kMaxAge)
-            drop_source("its word is old");
+            drop_source("its list is outdated");
         // The system of a suspended source accepts the call, but nothing is sent.
         if (source_selection_.is_silent(now)) drop_source("it does not answer");
         if (const auto source = source_selection_.tick(now)) call_source(*source);
@@ -87,9 +87,9 @@
     current_source_ = source;
     called_at_ = scheduler_.now();
     discovery_calls_ += source.discovery ? 1U : 0U;
-    log_.event(
-        Level::kInfo, "list_source",
-        source.discovery ? "the list is asked of discovery" : "the list is asked of peer " + source.name);
+    log_.event(Level::kInfo, "list_source",
+               source.discovery ? "requesting the server list from discovery"
+                                : "requesting the server list from peer " + source.name);
     list_client_.call_source(source.discovery ? list_client_.discovery()
                                               : net::Endpoint{source.at.address, source.at.port});
 }
@@ -99,7 +99,7 @@
     ++sources_lost_;
     log_.event(Level::kInfo, "list_source_lost",
                (current_source_->discovery ? std::string("discovery") : "peer " + current_source_->name) +
-                   " as the list's source: " + reason);
+                   " dropped as source of the server list: " + reason);
     current_source_.reset();
     source_selection_.lost(scheduler_.now());
     waiter_.signal();
@@ -131,7 +131,8 @@
     }
     if (!source_selection_.compare(now, has_list_ ? number(revision_) : 0, others)) return;
     ++sources_behind_;
-    log_.event(Level::kInfo, "list_source_behind", "the list's source lies behind another member's");
+    log_.event(Level::kInfo, "list_source_behind",
+               "the source of the server list is behind another member's");
 }
 
 void ServerListRelay::on_call_ended() { drop_source("the call ended"); }
@@ -179,7 +180,7 @@
     if (source_selection_.is_circle(source.via)) {
         ++cycles_detected_;
         has_list_ = false;
-        return drop_source("it has the list from this node");
+        return drop_source("it gets the list from this node");
     }
     via_ = source.via;
     if (!has_list_) return;
--- a/src/service/list_watch.cpp
+++ b/src/service/list_watch.cpp
@@ -23,7 +23,7 @@
 
 void ServerListClient::load_known(const parse::Json& known) {
     if (!apply_list(known, true))
-        log_.event(Level::kWarning, "known_list_refused", "the known list cannot be used");
+        log_.event(Level::kWarning, "known_list_refused", "the stored server list is invalid and is ignored");
 }
 
 void ServerListClient::watch(const WatchList& options) {
--- a/src/service/server_side.cpp
+++ b/src/service/server_side.cpp
@@ -601,7 +601,7 @@
     close(connection, connection.close_reason);
     counters_.add(connection.close_reason);
     if (log_.is_enabled(Level::kDebug)) {
-        log_.event(Level::kDebug, "connection_closed", "a connection to a server ended",
+        log_.event(Level::kDebug, "connection_closed", "connection to an index server closed",
                    {{"server", std::to_string(connection.server.id.address)},
                     {"reason", std::string(name_of(connection.close_reason))},
                     {"attempts", std::to_string(connection.open_sends)}});
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -82,7 +82,7 @@
 
 // Connections older than their server's start are closed, so the send goes elsewhere. This protects slow
 // start: the send was meant for a warm server, and the restarted one is cold.
-TEST_CASE("a send that waits for a connection is thought over when its server has begun anew") {
+TEST_CASE("a send that waits for a connection is decided again when its server has restarted") {
     SlowServerSetup setup;
     setup.program.with("\"warm_after_ms\":16000.0", "\"warm_after_ms\":1600000.0");
     setup.ask();
@@ -166,7 +166,7 @@
 
 // A partly written frame must not be completed when its server reads on later: the client may have left by
 // then, and the remaining time in the frame is wrong.
-TEST_CASE("a frame that its server does not take is taken back with its connection") {
+TEST_CASE("a frame that its server does not read is withdrawn by closing the connection") {
     PausableProgram setup;
     // The first write is the call for the server list, the second one is the frame.
     setup.program.with_environment("PINEDOOR_FAULT", "transmit 2 stall");
@@ -180,7 +180,7 @@
     CHECK(setup.program.counter("connections_closed_stalled") == 1);
 }
 
-TEST_CASE("a server that ends its side in the middle of a request has lost it, and lives") {
+TEST_CASE("a server that closes its side during a request has lost the request, but stays in use") {
     Listener server;
     Listener discovery;
     Program program({{"s-1", server.at()}}, discovery.at());
@@ -198,7 +198,7 @@
     CHECK(client.answer() == R"(200 {"whole":true,"results":[{"partition":2,"value":"two"}]})");
 }
 
-TEST_CASE("a client that ends its side after its request has gone, and its request with it") {
+TEST_CASE("a client that closes its side after its request counts as gone and the request is cancelled") {
     Listener server;
     Listener discovery;
     Program program({{"s-1", server.at()}}, discovery.at());
@@ -276,7 +276,7 @@
     std::vector<ReceivedFrame> out;
 };
 
-TEST_CASE("an attempt that waits for room among a connection's streams goes out as soon as there is some") {
+TEST_CASE("a send that waits for a free stream is written as soon as there is one") {
     FullConnectionsSetup setup;
     setup.fill();
     for (const auto& call : setup.out) CHECK(call.frame.starts_with("St."));
@@ -291,7 +291,7 @@
 }
 
 // Nothing may begin for a client that has left: here a stream becomes free while it leaves.
-TEST_CASE("an attempt that waits for room is not written when its client leaves as room comes up") {
+TEST_CASE("a send that waits for a free stream is not written when its client leaves as one becomes free") {
     FullConnectionsSetup setup;
     setup.fill();
     setup.client = Peer{};
@@ -308,7 +308,7 @@
 
 // With many servers, idle connections must not take up the whole limit and keep sends to other servers from
 // getting a connection.
-TEST_CASE("idle connections make room for one to a server that has none") {
+TEST_CASE("an idle connection is closed for one to a server that has none") {
     constexpr std::size_t kServers = 12;  // more than the eight connections that may be open
     std::vector<Listener> servers(kServers);
     Listener discovery;
@@ -364,7 +364,7 @@
 }
 
 // The time of a pipelined request must not run from the end of the request before it.
-TEST_CASE("the time of a request that waits behind another one runs from when it came") {
+TEST_CASE("the time of a pipelined request runs from its arrival") {
     Listener server;
     Listener discovery;
     Program program({{"s-1", server.at()}}, discovery.at());
@@ -381,7 +381,7 @@
 }
 
 // A connection with a partly read request must not be closed without an answer when its descriptor is needed.
-TEST_CASE("a client whose connection is wanted in the middle of its request is told") {
+TEST_CASE("a client whose connection is evicted in the middle of its request gets an answer") {
     Listener server;
     Listener discovery;
     Program program({{"s-1", server.at()}}, discovery.at());
@@ -423,7 +423,7 @@
     CHECK(duration < std::chrono::milliseconds(700 + 700));  // the longest deadline plus the shutdown margin
 }
 
-TEST_CASE("a request with hardly any time left is refused, and no server hears of it") {
+TEST_CASE("a request with hardly any time left is pushed back and nothing is sent") {
     Listener server;
     Listener discovery;
     Program program({{"s-1", server.at()}}, discovery.at());
@@ -434,7 +434,7 @@
 }
 
 // Lists may be indented: an object does not end with its line.
-TEST_CASE("a list that is laid out over many lines and comes in pieces is taken") {
+TEST_CASE("a list that spans many lines and arrives in pieces is accepted") {
     Listener first, second, discovery;
     Program program({{"s-1", first.at()}}, discovery.at());
     auto client = program.start().client();
--- a/tests/discovery_trouble_test.cpp
+++ b/tests/discovery_trouble_test.cpp
@@ -54,7 +54,8 @@
     }
 };
 
-TEST_CASE("while discovery is crowded requests are served by the known list, and it is asked with pauses") {
+TEST_CASE(
+    "while discovery is overloaded requests are served by the known list, and it is called with delays") {
     constexpr int kRefusals = 4;
     TwoServersSetup setup;
     Listener discovery(64, setup.discovery_port.at());
@@ -77,7 +78,7 @@
     CHECK(setup.program.counter("list_failures") == kRefusals);
 }
 
-TEST_CASE("a list that comes slowly is used when it is whole, and not before; requests do not wait for it") {
+TEST_CASE("a list that arrives slowly is used when it is complete; requests do not wait for it") {
     TwoServersSetup setup;
     Listener discovery(64, setup.discovery_port.at());
     setup.start();
@@ -97,7 +98,7 @@
     CHECK(setup.program.counter("list_failures") == 0);
 }
 
-TEST_CASE("after an outage of discovery its list is asked for once, and used") {
+TEST_CASE("after an outage of discovery the list is requested once, and used") {
     constexpr int kFailures = 5;
     TwoServersSetup setup;
     setup.start();  // nothing listens at discovery's port
@@ -117,7 +118,7 @@
     CHECK(setup.program.counter("list_failures") == failures + 1);
 }
 
-TEST_CASE("a watch on which half a change trickles is dead, and is opened anew") {
+TEST_CASE("a watch on which an incomplete change trickles in counts as dead and is opened again") {
     TwoServersSetup setup;
     Listener discovery(64, setup.discovery_port.at());
     setup.start();
@@ -143,7 +144,7 @@
     setup.serve_by_later_server();
 }
 
-TEST_CASE("after standing still a front node reads its watch before it decides or gives the watch up") {
+TEST_CASE("after a suspension a front node reads its watch before it decides or gives the watch up") {
     TwoServersSetup setup;
     Listener discovery(64, setup.discovery_port.at());
     setup.start();
@@ -161,7 +162,7 @@
     CHECK(setup.program.counter("list_failures") == 0);
 }
 
-TEST_CASE("of several configurations in a row the last one holds, and requests notice none of them") {
+TEST_CASE("of several configurations in a row the last one is used, and requests are not affected") {
     constexpr int kMoves = 6;
     TwoServersSetup setup;
     Listener first(64, setup.discovery_port.at());
--- a/tests/quiet_time_test.cpp
+++ b/tests/quiet_time_test.cpp
@@ -57,14 +57,14 @@
     Peer connection;
 };
 
-TEST_CASE("a server that went during a quiet time costs no request its answer") {
+TEST_CASE("a server that dies during a quiet period costs no request its answer") {
     QuietSetup setup;
     setup.first.close();
     setup.serve_two_calls_by_second();
     CHECK(setup.program.counter("connections_failed") == 1);  // the first server was tried
 }
 
-TEST_CASE("a drain told during a quiet time is kept by the first request after it") {
+TEST_CASE("a drain that is announced during a quiet period is respected by the next request") {
     QuietSetup setup;
     setup.watch.say(chunk(list_object(4, false, {{"s-1", setup.first.at(), "Terminating"}}) + "\n"));
     REQUIRE(setup.program.counter_at("list_news", 4) == 4);
@@ -72,7 +72,7 @@
     CHECK(setup.program.counter("connections_opened") == 2);  // one before the quiet period and this one
 }
 
-TEST_CASE("a shutdown after a quiet time answers the request that comes with it, and ends") {
+TEST_CASE("a shutdown after a quiet period answers the request that arrives with it, and ends") {
     QuietSetup setup;
     setup.watch.say(chunk(list_object(4, false, {{"s-1", setup.first.at(), "Gone"}}) + "\n"));
     REQUIRE(setup.program.counter_at("list_news", 4) == 4);
--- a/tests/service/exchange_test.cpp
+++ b/tests/service/exchange_test.cpp
@@ -68,7 +68,7 @@
 // If the client leaves in the turn in which a retry is decided, the outcome must name the retry and not the
 // first attempt. Otherwise the retry counts as outstanding at its server for good, and a server on trial is
 // never tried again: within 45 minutes a third of all requests were rejected for lack of servers.
-TEST_CASE("a retry whose client leaves in the same turn is out at no server") {
+TEST_CASE("a retry whose client leaves in the same turn is not outstanding at any server") {
     DispatcherFixture fixture;
     MultigetAsked multiget;
     multiget.name = "t";
--- a/tests/service/request_log_test.cpp
+++ b/tests/service/request_log_test.cpp
@@ -27,7 +27,7 @@
     return found;
 }
 
-TEST_CASE("one id runs through a request's lines, with the reason of each end") {
+TEST_CASE("the lines of a request share its name and give the reason of each end") {
     Listener server;
     Program program({{"s-1", server.at()}}, Listener().at());
     program.with_settings("[log]\nlevel = \"debug\"\n").with("\"max_open\":40", "\"max_open\":2");
@@ -48,7 +48,7 @@
     CHECK(lines_of(program, "t2") == "request_not_taken: refused before any decision, no room\n");
 }
 
-TEST_CASE("at the usual level no line is written for a request that is served") {
+TEST_CASE("at level info no line is written for a request that is served") {
     Listener server;
     Program program({{"s-1", server.at()}}, Listener().at());
     auto client = program.start().client();
--- a/tests/service/server_starts_test.cpp
+++ b/tests/service/server_starts_test.cpp
@@ -12,7 +12,7 @@
 constexpr Moment kHour = 3'600 * kSecond;
 constexpr Moment kBegin = 1'800'000'000 * kSecond;  // start of this process by both clocks
 
-TEST_CASE("a start is where the list says while no clock is stepped, and never in the future") {
+TEST_CASE("without clock steps a start time is the listed one, and never in the future") {
     ServerStarts starts;
     CHECK(starts.convert("a", 0, kBegin, kBegin) == 0);
     CHECK(starts.convert("a", kBegin - kSecond, kBegin, kBegin) == kBegin - kSecond);
@@ -21,7 +21,7 @@
 
 // After the wall clock is stepped back, a server that started 2 s ago must not count as an hour old and
 // receive the load of a warm one; after a step forward it must not stay cold for over an hour.
-TEST_CASE("a start that is told after a step of the wall clock is as long ago as it was") {
+TEST_CASE("a start time received after a step of the wall clock keeps its age") {
     constexpr Moment kAgo = 2 * kSecond;
     const Moment now = kBegin + 60 * kSecond;
     for (const Moment step : {kHour, -kHour, 30 * kSecond, -30 * kSecond}) {
@@ -35,7 +35,7 @@
 
 // A list that names the same start time again after a clock step must not make the server look restarted,
 // which would close its connections.
-TEST_CASE("a start that was told before a step stays as it was") {
+TEST_CASE("a start time received before a step does not change") {
     for (const Moment step : {kHour, -kHour, 5 * kSecond, -5 * kSecond}) {
         CAPTURE(step);
         ServerStarts starts;
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -26,7 +26,7 @@
     }
 };
 
-TEST_CASE("a multiget is sent in calls, and its values come back unchanged on a connection that stays open") {
+TEST_CASE("a multiget is sent in calls and its values are returned unchanged on a persistent connection") {
     OneServer setup;
     setup.start();
     setup.client.say("GET /up HTTP/1.1\r\n\r\n");
@@ -53,7 +53,7 @@
     CHECK(setup.program.counter("invariants_broken") == 0);
 }
 
-TEST_CASE("an answer in part holds only what is in, and is not marked whole") {
+TEST_CASE("a partial answer has only the received values and is not marked whole") {
     OneServer setup;
     setup.start();
     CHECK(setup.ask("again", "t", {1, 2}) == "St.1 1 1\nqt.2 2 1\nq");
@@ -62,7 +62,7 @@
     CHECK(setup.client.answer() == R"(200 {"whole":false,"results":[{"partition":2,"value":"two"}]})");
 }
 
-TEST_CASE("what has surely not run is pushed back, what may have run has failed") {
+TEST_CASE("a request that has not run is pushed back, one that may have run fails") {
     OneServer setup;
     setup.start();
     SUBCASE("full") {
@@ -119,7 +119,9 @@
     CHECK(setup.program.counter("sends_reset") == 1);
 }
 
-TEST_CASE("a spoilt answer fails one send; what else is out there is given up, and the server stays in use") {
+TEST_CASE(
+    "a malformed answer fails one send; the others on the connection are cancelled and the server stays in "
+    "use") {
     OneServer setup;
     setup.start();
     CHECK(setup.ask("again", "t", {1, 2}) == "St.1 1 1\nqt.2 2 1\nq");
@@ -141,7 +143,7 @@
     CHECK(setup.program.log().find("aside") == std::string::npos);
 }
 
-TEST_CASE("a good answer stays good, whatever else comes with it") {
+TEST_CASE("a valid answer counts, whatever else arrives with it") {
     OneServer setup;
     setup.start();
     setup.ask("again", "t", {1});
@@ -166,7 +168,7 @@
     CHECK(setup.client.answer() == "500");
 }
 
-TEST_CASE("a client that goes away takes its sends with it") {
+TEST_CASE("the sends of a client that disconnects are cancelled") {
     OneServer setup;
     setup.start();
     setup.ask("again", "t", {1});
@@ -178,7 +180,7 @@
     CHECK(setup.program.counter("open_parts") == 0);
 }
 
-TEST_CASE("a late value reaches no other multiget, and a silent connection takes nothing new") {
+TEST_CASE("a late value reaches no other multiget, and a silent connection gets no new sends") {
     OneServer setup;
     setup.start();
     setup.client.say(post("again", "t1", asks({1}), 300));
@@ -193,7 +195,7 @@
     CHECK(setup.client.answer() == R"(200 {"whole":true,"results":[{"partition":1,"value":"new"}]})");
 }
 
-TEST_CASE("a connection that owes answers for a connect time-out is left, however short each send was") {
+TEST_CASE("a connection that owes answers for a connect timeout is closed, however short each send was") {
     OneServer setup;
     setup.start();
     setup.client.say(post("again", "t1", asks({1}), 200));
@@ -270,7 +272,7 @@
     CHECK(setup.program.counter("bad_requests") == 28);
 }
 
-TEST_CASE("a name that is under way is not taken twice") {
+TEST_CASE("a second request with the name of an open one is rejected") {
     OneServer setup;
     setup.start();
     setup.ask("again", "t", {1});
@@ -284,7 +286,7 @@
     CHECK(setup.connection.frame() == "St.2 2 1\nq");
 }
 
-TEST_CASE("the list is followed: new servers are used, drained ones are not, addresses may change") {
+TEST_CASE("list changes are applied: new servers are used, draining ones are not, addresses may change") {
     Listener first, second, moved, discovery;
     Program program({{"s-1", first.at()}}, discovery.at());
     auto client = program.start().client();
@@ -355,7 +357,7 @@
     CHECK(setup.program.log().find("server 3 is s-1 at ") != std::string::npos);
 }
 
-TEST_CASE("a list call that fails or falls silent is made again, on the last revision, and not in a storm") {
+TEST_CASE("a list call that fails or falls silent is repeated with the last revision, after a delay") {
     Listener server, discovery;
     Program program({{"s-1", server.at()}}, discovery.at());
     program.start();
@@ -385,7 +387,7 @@
     CHECK(program.counter("list_failures") == 1);
 }
 
-TEST_CASE("a planned restart answers what was taken, also on new connections, and ends with 0") {
+TEST_CASE("a shutdown answers accepted requests, also those on new connections, and exits with 0") {
     OneServer setup;
     setup.start();
     setup.ask("again", "t1", {1});
@@ -413,7 +415,7 @@
     CHECK(setup.program.log().find("multigets_answered_whole 2\n") != std::string::npos);
 }
 
-TEST_CASE("a reload asks at the new address for the whole list at once, and multigets notice nothing") {
+TEST_CASE("a reload requests the full list from the new address at once, and multigets are not affected") {
     Listener first, second, initial_discovery, moved;
     Program program({{"s-1", first.at()}}, moved.at());
     program.with_variable(
@@ -447,7 +449,7 @@
     CHECK(program.wait() == 0);
 }
 
-TEST_CASE("a file that cannot be used changes nothing, is read again soon, and names what needs a restart") {
+TEST_CASE("an invalid file changes nothing and is read again soon; settings that need a restart are logged") {
     Listener server, discovery, moved;
     Program program({{"s-1", server.at()}}, discovery.at());
     program.start().client();
@@ -468,7 +470,7 @@
           std::string::npos);
 }
 
-TEST_CASE("after a kill it starts from nothing on the same address at once") {
+TEST_CASE("after a kill it can be restarted on the same address at once") {
     OneServer setup;
     setup.start();
     setup.ask("again", "t1", {1});
@@ -479,7 +481,7 @@
     CHECK(setup.ask("again", "t1", {1}) == "St1.1 1 1\nq");
 }
 
-TEST_CASE("with few descriptors idle clients make room for new ones") {
+TEST_CASE("with few descriptors idle client connections are closed for new ones") {
     OneServer setup;
     setup.program.with("\"sockets\":1024", "\"sockets\":32");  // eight of them for clients
     setup.start();
@@ -499,7 +501,7 @@
     CHECK(setup.ask("again", "t", {1}) == "St.1 1 1\nq");
 }
 
-TEST_CASE("a client that says nothing, or never ends its first request, is closed in time") {
+TEST_CASE("a client that sends nothing, or never completes its first request, is disconnected in time") {
     OneServer setup;
     setup.start();
     const auto started_at = std::chrono::steady_clock::now();
@@ -511,7 +513,7 @@
     CHECK(std::chrono::steady_clock::now() - started_at < std::chrono::seconds(kPatienceSeconds));
 }
 
-TEST_CASE("clients that never come up with a request make room before those that did") {
+TEST_CASE("clients that never send a request are disconnected before those that did") {
     OneServer setup;
     setup.program.with("\"sockets\":1024", "\"sockets\":32");  // eight of them for clients
     setup.start();
@@ -577,7 +579,7 @@
     CHECK(program.wait() == 0);
 }
 
-TEST_CASE("a configuration that cannot be used ends the start with the faulty key") {
+TEST_CASE("an invalid configuration ends the start with a message that names the faulty key") {
     OneServer setup;
     std::string expected_message;
     SUBCASE("missing") {
@@ -587,7 +589,7 @@
     SUBCASE("a second step") {
         setup.program.with("\"follow_up\":[0,0]", "\"follow_up\":[0,2]");
         expected_message =
-            "settings: family_info.follow_up asks for a second step, which this protocol lacks";
+            "settings: family_info.follow_up asks for a second step, which this protocol does not support";
     }
     SUBCASE("no JSON") {
         setup.program.with("{\"name\"", "{{\"name\""), expected_message = "configuration: JSON, byte 2: ";
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -113,7 +113,7 @@
     return 1;
 }
 
-TEST_CASE("a call that fails for a moment on this machine costs no request its answer") {
+TEST_CASE("a temporary failure of a system call costs no request its answer") {
     Mischief servers(2, Mischief::Manners::kGood);
     Listener discovery;
     const std::vector<FaultCase> cases{
@@ -189,14 +189,14 @@
 }
 
 // Guards the test client: connected to itself, it would read its own request forever.
-TEST_CASE("what is not an answer ends the wait for one") {
+TEST_CASE("input that is not an answer ends the wait for one") {
     Listener server;
     Peer client(server.at());
     server.accept().say("POST / HTTP/1.1\r\n\r\n");
     CHECK(client.answer() == "malformed");
 }
 
-TEST_CASE("reads and writes that are short lose nothing") {
+TEST_CASE("short reads and writes lose nothing") {
     Mischief servers(2, Mischief::Manners::kGood);
     Listener discovery;
     for (const char* call : {"receive", "transmit"}) {
@@ -235,7 +235,7 @@
 }
 
 // accept() is not retried at once, which would spin, but it is retried.
-TEST_CASE("while no connection can be accepted the program waits, and then takes all that came") {
+TEST_CASE("while no connection can be accepted the program waits, and then accepts all pending ones") {
     constexpr int kFailures = 5;
     Mischief servers(2, Mischief::Manners::kGood);
     Listener discovery;
