--- a/src/service/client_side.cpp
+++ b/src/service/client_side.cpp
@@ -307,12 +307,12 @@
     MultigetAsked multiget;
     const auto fault = parse_multiget(request, arrived, multiget);
     if (!fault.empty()) return bad_request(400, fault);
-    const auto [taken, id] = handler_.ask(std::move(multiget), [at = &connection](Ending ending) {
+    const auto [acceptance, ticket] = handler_.ask(std::move(multiget), [at = &connection](Ending ending) {
         at->result = std::move(ending);
         at->stream.waiter().signal();
     });
-    switch (taken) {
-        case Acceptance::kTaken: connection.ticket = id; return std::nullopt;
+    switch (acceptance) {
+        case Acceptance::kTaken: connection.ticket = ticket; return std::nullopt;
         case Acceptance::kNoRoom: return Reply{503, "", "no room\n"};
         case Acceptance::kNameInUse: break;
     }
--- a/src/service/exchange.cpp
+++ b/src/service/exchange.cpp
@@ -288,9 +288,9 @@
     enqueue(std::move(news));
 }
 
-void Dispatcher::report_list_loss(ListKind kind, std::optional<Time> unheard, bool answered_in_part) {
+void Dispatcher::report_list_loss(ListKind kind, std::optional<Time> since_contact, bool answered_in_part) {
     if (kind == ListKind::kFailed) counters_.add(Count::kListFailures);
-    enqueue(ListNews{kind, {}, ListNews::kOld, unheard, answered_in_part});
+    enqueue(ListNews{kind, {}, ListNews::kOld, since_contact, answered_in_part});
 }
 
 std::optional<ServerId> Dispatcher::find_server(const std::string& name) const {
--- a/src/service/exchange.hpp
+++ b/src/service/exchange.hpp
@@ -28,7 +28,7 @@
     Id part = 0;
     int send_number = 0;
     ServerId server;
-    std::string multiget_name;  // of the multiget
+    std::string multiget_name;
     int shard = 0;
     std::shared_ptr<const std::string> query;
     Time sent_at = 0;
@@ -46,7 +46,7 @@
     // Cancels a send that has no outcome yet.
     virtual void cancel(Id part, int send) = 0;
     // Sets the address, state and start time of a server from the server list.
-    virtual void update_server(ServerId server, net::Endpoint at, ServerState state, Time started) = 0;
+    virtual void update_server(ServerId server, net::Endpoint endpoint, ServerState state, Time started) = 0;
 };
 
 // Requests the server list from its source, as the decision module asks for it.
@@ -105,8 +105,8 @@
     // `age` is for kSaved: time since the list was known to be valid; -1: unknown.
     void apply_list(ListKind kind, std::vector<ListedServer> members, Time age = -1);
     // A call for the server list failed, a watch ended, or discovery moved to another address (kFailed or
-    // kMoved). `unheard` is the time since the last contact with discovery, if there was any.
-    void report_list_loss(ListKind kind, std::optional<Time> unheard, bool answered_in_part);
+    // kMoved). `since_contact` is the time since the last contact with discovery, if there was any.
+    void report_list_loss(ListKind kind, std::optional<Time> since_contact, bool answered_in_part);
     // A watch reported that the list is unchanged.
     void note_list_contact(Time at) { last_list_contact_ = std::max(last_list_contact_, at); }
     // Reports of other front nodes on a server; ignored if the server is not listed.
@@ -153,6 +153,7 @@
         std::string value;
     };
 
+    // Runs a turn whenever an event or a timer is due, at most one per turn interval.
     net::Task run();
     void run_turn(Time now);
     void enqueue(Event event);
@@ -164,7 +165,9 @@
     void adjust_name_uses(const std::string& name, int change);
     std::size_t open_count() const { return multigets_.size() + open_parts_; }
     store::PartFates fates(const OpenMultiget& open) const;
+    // Removes a multiget and its parts from the open ones.
     OpenMultiget remove(std::map<Id, OpenMultiget>::iterator position);
+    // Calls the completion callback of a multiget with its result.
     void finish_multiget(Id multiget, Ending ending, std::string_view reason);
 
     void execute(const Send& send);
@@ -197,8 +200,8 @@
     Time next_turn_at_ = 0;  // the next turn does not start earlier
     std::map<Id, OpenMultiget> multigets_;
     std::map<Id, OpenPart> parts_;
-    std::map<std::pair<Id, int>, std::string>
-        outstanding_sends_;  // sends without an outcome -> name of their multiget
+    // Sends without an outcome -> name of their multiget.
+    std::map<std::pair<Id, int>, std::string> outstanding_sends_;
     // Names in use -> number of uses, by an open multiget and by its sends that have no outcome yet.
     std::map<std::string, int> name_uses_;
     struct KnownServer {
--- a/src/service/fleet_side.hpp
+++ b/src/service/fleet_side.hpp
@@ -52,8 +52,8 @@
     fleet::Said other_reports_;  // reports of other nodes, as last read
     std::uint64_t seen_changes_ = 0;
     Time read_at_ = 0;
-    std::map<std::string, fleet::ServerTold>
-        pending_reports_;              // reports on servers that are not on the server list yet
+    // Reports on servers that are not on the server list yet.
+    std::map<std::string, fleet::ServerTold> pending_reports_;
     std::set<std::string> set_aside_;  // servers that are set aside by verdicts the module has received
     std::vector<std::uint64_t> published_keys_;
     std::map<std::uint64_t, Time> received_keys_;  // key -> end of its validity
--- a/src/service/front_door.cpp
+++ b/src/service/front_door.cpp
@@ -272,8 +272,8 @@
     if (list_relay_) out += list_relay_->print_gauges();
     if (fleet_reporter_) out += fleet_reporter_->print_gauges();
     if (limiter_) out += limiter_->print_gauges();
-    const std::filesystem::directory_iterator held("/proc/self/fd"), end;
-    append_line(out, "descriptors_open", static_cast<std::uint64_t>(std::distance(held, end)) - 1);
+    const std::filesystem::directory_iterator descriptors("/proc/self/fd"), end;
+    append_line(out, "descriptors_open", static_cast<std::uint64_t>(std::distance(descriptors, end)) - 1);
     append_line(out, "longest_turn_us", static_cast<std::uint64_t>(scheduler_.longest_round()) * 100);
     return out;
 }
--- a/src/service/line_watch.cpp
+++ b/src/service/line_watch.cpp
@@ -44,7 +44,7 @@
     bool has_input = false;
     parse::HttpReader reader(parse::HttpReader::Kind::kResponse, {16 * 1024, call.max_object_bytes});
     parse::JsonObjects objects(call.max_object_bytes);
-    const auto end = [&](CallEnd how) { state.end = how; };
+    const auto end = [&](CallEnd reason) { state.end = reason; };
     for (;;) {
         if (connection.broken()) co_return end(has_input ? CallEnd::kBroken : CallEnd::kNoConnection);
         if (written < request.size() && waiter.may(net::kWrite)) {
--- a/src/service/list_share.hpp
+++ b/src/service/list_share.hpp
@@ -71,7 +71,7 @@
     std::vector<std::string> via_;  // front nodes that the list passed through
     net::Moment confirmed_at_ = 0;  // when discovery last confirmed the list
     net::Moment next_heartbeat_at_ = 0;
-    net::Moment published_at_ = 0;  // when `claimed_` was last published
+    net::Moment published_at_ = 0;  // when `published_revision_` was last published
     std::string published_revision_;
     std::list<Follower> followers_;
     std::uint64_t followers_served_ = 0, followers_rejected_ = 0, sources_lost_ = 0, discovery_calls_ = 0,
--- a/src/service/list_watch.cpp
+++ b/src/service/list_watch.cpp
@@ -191,11 +191,11 @@
         return true;
     }
     // The stored list may contain the wall-clock time at which it was last known to be valid.
-    const auto* held = list.member("saved_unix_ms");
-    const bool is_dated = held != nullptr && held->number() != nullptr;
-    const Time age =
-        is_dated ? scheduler_.now() - static_cast<Time>(std::clamp(held->number()->value, 0.0, kMaxMs) * 10)
-                 : -1;
+    const auto* saved_at = list.member("saved_unix_ms");
+    const bool is_dated = saved_at != nullptr && saved_at->number() != nullptr;
+    const Time age = is_dated ? scheduler_.now() -
+                                    static_cast<Time>(std::clamp(saved_at->number()->value, 0.0, kMaxMs) * 10)
+                              : -1;
     dispatcher_.apply_list(ListKind::kSaved, std::move(read), age);
     return true;
 }
--- a/src/service/list_watch.hpp
+++ b/src/service/list_watch.hpp
@@ -27,8 +27,8 @@
     struct SourceInfo {
         Time age = 0;        // time since discovery confirmed the list, at least
         std::string digest;  // of the whole current list
-        std::vector<std::string>
-            via;  // front nodes that the list passed through, starting with the one that calls discovery
+        // Front nodes that the list passed through, starting with the one that calls discovery.
+        std::vector<std::string> via;
     };
     // A list or a change from the current source.
     virtual void on_list(const std::string& revision, bool whole, const std::vector<ListedServer>& members,
@@ -53,7 +53,7 @@
     // the list is requested from the new one at once; the current list stays in use.
     void move_to(net::Endpoint discovery);
 
-    // From now on the listener decides which source is called and when, with call().
+    // From now on the listener decides which source is called and when, with call_source().
     void set_listener(ServerListListener& listener) { listener_ = &listener; }
     void call_source(net::Endpoint source);
     net::Endpoint discovery() const { return discovery_; }
--- a/src/service/request_handler.hpp
+++ b/src/service/request_handler.hpp
@@ -62,7 +62,7 @@
 public:
     virtual ~RequestHandler() = default;
     // Calls `ended` exactly once, possibly before submit() returns, unless abandon() is called first.
-    virtual TakenRequest ask(MultigetAsked asked, std::function<void(Ending)> ended) = 0;
+    virtual TakenRequest ask(MultigetAsked multiget, std::function<void(Ending)> ended) = 0;
     // Abandons a multiget. Returns the fates of its parts; empty if it has ended.
     virtual store::PartFates leave(Ticket multiget) = 0;
     // What submit() would return now.
--- a/src/service/server_side.cpp
+++ b/src/service/server_side.cpp
@@ -39,12 +39,12 @@
     });
 }
 
-void ServerConnections::update_server(ServerId id, net::Endpoint at, ServerState state, Time started) {
+void ServerConnections::update_server(ServerId id, net::Endpoint endpoint, ServerState state, Time started) {
     auto& server = servers_[id];
     server.id = id;
-    const bool moved = server.endpoint != at;
+    const bool moved = server.endpoint != endpoint;
     const bool restarted = started > server.started;
-    server.endpoint = at;
+    server.endpoint = endpoint;
     server.state = state;
     server.started = started;
     // Queued sends were chosen for a server that was ready and for its warm-up state at that time.
@@ -216,10 +216,10 @@
     connection.last_used = scheduler_.now();
     update_idle(connection);
     auto got = net::Stream::Got::kNothing;
-    const auto over = [&] { return got == net::Stream::Got::kEnd || got == net::Stream::Got::kBroken; };
+    const auto is_closed = [&] { return got == net::Stream::Got::kEnd || got == net::Stream::Got::kBroken; };
     while (!connection.closing) {
         if (waiter.may(net::kRead)) got = read_frames(connection);
-        if (over() || connection.closing) break;
+        if (is_closed() || connection.closing) break;
         write_frames(connection);
         update_idle(connection);
         if (stream.broken()) {  // input that arrived before the failure is still used
@@ -271,9 +271,9 @@
                 connection.partial_frame_since = connection.last_used;
             return got;
         }
-        const bool good = frame.state == parse::FrameScan::State::kFrame && frame.letter == 'R' &&
-                          handle_result(connection, frame.rest);
-        if (!good) {
+        const bool is_valid = frame.state == parse::FrameScan::State::kFrame && frame.letter == 'R' &&
+                              handle_result(connection, frame.rest);
+        if (!is_valid) {
             handle_bad_frame(connection, frame.rest);
             return got;
         }
@@ -325,9 +325,9 @@
             return true;
         }
         auto& cancelled = connection.cancelled_names;
-        const auto late = std::find(cancelled.begin(), cancelled.end(), result->id);
-        if (late == cancelled.end()) return false;
-        cancelled.erase(late);
+        const auto cancelled_name = std::find(cancelled.begin(), cancelled.end(), result->id);
+        if (cancelled_name == cancelled.end()) return false;
+        cancelled.erase(cancelled_name);
         counters_.add(Count::kLateResults);
         return true;
     }
@@ -519,7 +519,7 @@
     return call;
 }
 
-void ServerConnections::set_check_time(const SendKey& key, ActiveSend& sent, Time due) {
+void ServerConnections::set_check_time(const SendKey& key, ActiveSend& sent, Time check_at) {
     if (sent.check_at != net::kNever) {
         auto [from, to] = check_times_.equal_range(sent.check_at);
         for (; from != to; ++from) {
@@ -528,10 +528,10 @@
             break;
         }
     }
-    sent.check_at = due;
-    if (due == net::kNever) return;
-    const bool first = check_times_.empty() || due < check_times_.begin()->first;
-    check_times_.emplace(due, key);
+    sent.check_at = check_at;
+    if (check_at == net::kNever) return;
+    const bool first = check_times_.empty() || check_at < check_times_.begin()->first;
+    check_times_.emplace(check_at, key);
     if (first) waiter_.signal();
 }
 
@@ -586,11 +586,11 @@
     if (!idle_connections_.empty()) close(*idle_connections_.begin()->second, Count::kClosedIdle);
 }
 
-void ServerConnections::close(Connection& connection, Count cause) {
+void ServerConnections::close(Connection& connection, Count reason) {
     if (connection.closing) return;
     connection.closing = true;
     ++closing_count_;
-    connection.close_reason = cause;
+    connection.close_reason = reason;
     update_idle(connection);
     connection.stream.waiter().signal();
 }
--- a/src/service/server_side.hpp
+++ b/src/service/server_side.hpp
@@ -29,14 +29,14 @@
                       std::size_t max_idle);
 
     // To be called before start(). `may_connect` is called before each new connection and may refuse it.
-    void set_connection_pacing(std::function<bool(net::Endpoint)> may_open) {
-        may_connect_ = std::move(may_open);
+    void set_connection_pacing(std::function<bool(net::Endpoint)> may_connect) {
+        may_connect_ = std::move(may_connect);
     }
     void start();
     void send(PartSend send) override;
     void flush() override;
     void cancel(Id part, int send) override;
-    void update_server(ServerId id, net::Endpoint at, ServerState state, Time started) override;
+    void update_server(ServerId id, net::Endpoint endpoint, ServerState state, Time started) override;
     std::string print_gauges() const;
 
 private:
@@ -57,13 +57,13 @@
         std::deque<std::vector<SendKey>> queued;         // calls of which no byte is written
         std::vector<SendKey> writing;                    // the call whose frame is being written
         std::map<std::string, SendKey> awaiting_answer;  // by the part's name on the wire
-        std::deque<std::string>
-            cancelled_names;        // names of cancelled parts, for which a result may still arrive
+        // Names of cancelled parts, for which a result may still arrive.
+        std::deque<std::string> cancelled_names;
         std::string cancel_frames;  // cancel frames to be written
         std::string frame;          // frame that is being written
         std::size_t bytes_written = 0;
-        Time frame_started =
-            net::kNever;             // time of the frame's first written byte, until its last one is written
+        // Time at which the first byte of the frame was written, until its last one is written.
+        Time frame_started = net::kNever;
         std::size_t open_sends = 0;  // in all three stages
         bool connected = false;
         bool closing = false;
@@ -107,6 +107,7 @@
     net::Task run_connection(Connection& connection);
     // Handles a send whose check time has come.
     void check_send(const SendKey& key, Time now);
+    // Assigns one call to a connection, or reports its sends' outcome if there is none.
     void assign(Server& server, std::vector<PartSend> calls);
     struct Choice {
         Connection* connection;  // null: none
@@ -140,10 +141,11 @@
     void finish_send(SendKey key, Outcome outcome, std::vector<double> load = {}, std::string value = {});
     // Removes a send from the active ones and returns it; the caller reports its outcome.
     std::optional<PartSend> remove_send(const SendKey& key);
-    void set_check_time(const SendKey& key, ActiveSend& sent, Time due);
+    void set_check_time(const SendKey& key, ActiveSend& sent, Time check_at);
+    // Updates whether a connection counts as idle.
     void update_idle(Connection& connection);
     void close_longest_idle();
-    void close(Connection& connection, Count cause);
+    void close(Connection& connection, Count reason);
     void finish_connection(Connection& connection);
     void forget_if_removed(ServerId id);
 
