--- a/src/service/client_side.hpp
+++ b/src/service/client_side.hpp
@@ -1,4 +1,4 @@
-// The clients' HTTP connections: takes multigets in, and writes how each has ended.
+// HTTP connections of clients: parses multigets, submits them and writes their answers.
 #pragma once
 
 #include <cstddef>
@@ -18,16 +18,18 @@
 
 namespace pinedoor::service {
 
-class ClientSide {
+// HTTP/1.1 server for multigets, `GET /up` and `GET /counters`.
+class ClientConnections {
 public:
-    ClientSide(net::Scheduler& scheduler, RequestHandler& handler, Counters& counters, Log& log,
-               net::Endpoint listen, std::vector<std::string> op_types, std::vector<std::string> tenants,
-               int shards, Time patience, Time grace, std::size_t most_connections, bool takes_keys,
-               std::function<std::string()> print_counters, std::function<bool()> can_serve);
+    ClientConnections(net::Scheduler& scheduler, RequestHandler& handler, Counters& counters, Log& log,
+                      net::Endpoint listen, std::vector<std::string> op_types,
+                      std::vector<std::string> tenants, int shards, Time write_timeout,
+                      Time first_request_time, std::size_t max_connections, bool accepts_keys,
+                      std::function<std::string()> print_counters, std::function<bool()> is_ready);
 
     void start();
-    // Goes on accepting for as long as new connections may still come, then closes what is idle, answers what
-    // was taken, and is done when no connection is left.
+    // Begins a graceful shutdown: accepts connections for as long as new ones may arrive, then closes idle
+    // ones and answers what was accepted. done() is true once no connection is left.
     void stop();
     bool done() const { return stopping_ && !accepting_ && connections_.empty(); }
     std::string print_gauges() const;
@@ -35,63 +37,70 @@
 private:
     struct Connection {
         Connection(net::Scheduler& scheduler, net::Fd fd)
-            : stream(scheduler, std::move(fd)), since(scheduler.now()) {}
+            : stream(scheduler, std::move(fd)), phase_since(scheduler.now()) {}
         net::Stream stream;
-        // kNew: no request has come whole yet; kIdle: between two; kLeaving: answered for the last time.
+        // kNew: no complete request yet; kIdle: between two requests; kLeaving: the last answer is written.
         enum class Phase { kNew, kIdle, kReading, kBusy, kLeaving } phase = Phase::kNew;
-        Time since = 0;        // of the phase
-        bool closing = false;  // to be closed when idle
-        bool evicted = false;  // to be closed unless a request is whole
-        Time next_came = 0;    // when bytes of the request after the open one came; 0: none did
-        Ticket multiget = 0;   // the open one
-        std::optional<Ending> ending;
-        net::Task task;  // last: goes first
+        Time phase_since = 0;          // when the phase began
+        bool close_when_idle = false;  // to be closed when idle
+        bool evicted = false;          // to be closed unless a complete request has been read
+        // When the first bytes of a pipelined request, behind the open one, were read; 0: none were.
+        Time next_arrived_at = 0;
+        Ticket ticket = 0;  // of the open multiget; 0: none
+        std::optional<Ending> result;
+        net::Task task;  // last member: destroyed first
     };
     struct Reply {
         int status = 200;
         std::string headers;
         std::string body;
-        bool last = false;  // of its connection
+        bool close_after = false;  // the connection is closed after this reply
     };
 
-    net::Task accept();
-    net::Task serve(Connection& connection);
-    void note_next(Connection& connection);
-    bool take_all_queued();
-    void make_room();
-    int readiness_to_go(const Connection& connection) const;
-    void drop(Connection& connection);
-    std::optional<Reply> handle(Connection& connection, parse::HttpReader& request, Time arrived);
-    std::optional<Reply> ask(Connection& connection, parse::HttpReader& request, Time arrived);
-    std::string read_multiget(parse::HttpReader& request, Time arrived, MultigetAsked& asked) const;
-    std::string read_parts(const std::string& body, MultigetAsked& asked) const;
-    Reply bad(int status, std::string why);
-    static Reply reply_to(const Ending& ending);
+    net::Task accept_clients();
+    net::Task run_connection(Connection& connection);
+    // Records the arrival time of a pipelined request.
+    void note_pipelined_request(Connection& connection);
+    // Accepts all pending connections. Returns false if there is no capacity for one more.
+    bool accept_pending();
+    void evict_connection();
+    // Rank for eviction: the connection with the lowest rank is closed first.
+    int eviction_rank(const Connection& connection) const;
+    void remove(Connection& connection);
+    // Returns nothing if the answer follows with the multiget's end.
+    std::optional<Reply> handle_request(Connection& connection, parse::HttpReader& request, Time arrived);
+    std::optional<Reply> submit_multiget(Connection& connection, parse::HttpReader& request, Time arrived);
+    // Returns what is wrong with the request, or an empty string.
+    std::string parse_multiget(parse::HttpReader& request, Time arrived, MultigetAsked& multiget) const;
+    // Returns what is wrong with the body, or an empty string.
+    std::string parse_parts(const std::string& body, MultigetAsked& multiget) const;
+    Reply bad_request(int status, std::string reason);
+    static Reply make_reply(const Ending& ending);
 
     net::Scheduler& scheduler_;
     RequestHandler& handler_;
     Counters& counters_;
     Log& log_;
-    const net::Endpoint at_;
+    const net::Endpoint endpoint_;
     const std::vector<std::string> op_types_;
     const std::vector<std::string> tenants_;
     const int shards_;
-    const Time patience_;  // with a client that takes its answer slowly
-    const Time grace_;     // in which a new connection's first request usually comes
-    const std::size_t most_connections_;
-    const bool takes_keys_;  // Idempotency-Key is read; else it is passed over
+    const Time write_timeout_;       // time limit for writing an answer
+    const Time first_request_time_;  // time in which the first request usually arrives on a new connection
+    const std::size_t max_connections_;
+    const bool accepts_keys_;  // whether Idempotency-Key is read; else it is ignored
     const std::function<std::string()> print_counters_;
-    const std::function<bool()> can_serve_;
+    const std::function<bool()> is_ready_;
     bool stopping_ = false;
     bool accepting_ = false;
     Time accept_until_ = net::kNever;
     Time serve_until_ = net::kNever;
     Time answer_until_ = net::kNever;
-    std::size_t most_at_once_ = 0;
+    std::size_t peak_connections_ = 0;
     std::list<std::unique_ptr<Connection>> connections_;
     net::Fd listener_;
     std::optional<net::Waiter> waiter_;
-    net::Task task_;
+    net::Task accept_task_;
 };
 
 }  // namespace pinedoor::service
--- a/src/service/descriptors.hpp
+++ b/src/service/descriptors.hpp
@@ -1,18 +1,18 @@
-// How the told number of descriptors is shared: a reserve for what every process holds, the rest for both
-// sides.
+// Divides the configured number of descriptors: a reserve for the process itself, the rest for index servers
+// and clients.
 #pragma once
 
 #include <cstddef>
 
 namespace pinedoor::service {
 
-class Descriptors {
+class DescriptorBudget {
 public:
-    // Standard streams, epoll, the listener, signals, discovery's connections and a few to spare.
+    // Standard streams, epoll, the listener, signals, discovery's connections and a few spare ones.
     static constexpr std::size_t kReserve = 16;
 
-    explicit Descriptors(std::size_t told)
-        : for_servers_((told - kReserve) / 2), for_clients_(told - kReserve - for_servers_) {}
+    explicit DescriptorBudget(std::size_t total)
+        : for_servers_((total - kReserve) / 2), for_clients_(total - kReserve - for_servers_) {}
 
     std::size_t for_servers() const { return for_servers_; }
     std::size_t for_clients() const { return for_clients_; }
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -1,6 +1,5 @@
-// What happens when two things cross at the front node's sides: a request and a close, a send and a drain, an
-// answer and a signal. Each crossing is forced: one side is held until the other has acted
-// (docs/lifecycle.md).
+// Races at the front node's edges: a request and a close, a send and a drain, an answer and a signal. Each
+// race is forced: one side is held until the other one has acted (docs/lifecycle.md).
 #include <doctest/doctest.h>
 #include <poll.h>
 
@@ -18,37 +17,37 @@
 using namespace pinedoor::test;
 namespace net = pinedoor::net;
 
-// A server whose queue of new connections is full: what connects to it waits until there is room.
-class SlowToAccept {
+// A server whose queue of new connections is full: further connections wait until one is accepted.
+class FullBacklogServer {
 public:
-    SlowToAccept() : listener_(0), first_(listener_.at()) {}
+    FullBacklogServer() : listener_(0), filler_(listener_.at()) {}
     net::Endpoint at() const { return listener_.at(); }
-    // Makes room, and takes the connection that waited.
-    Peer let_in() {
+    // Frees a place in the queue and accepts the connection that waited.
+    Peer accept_waiting() {
         listener_.accept();
         return listener_.accept();
     }
 
 private:
     Listener listener_;
-    Peer first_;
+    Peer filler_;
 };
 
-// A discovery that the front node watches, and two servers: one slow to accept, the other not listed at
-// first.
-struct SlowServer {
-    SlowToAccept slow;
+// A discovery that the front node watches, and two servers: one that is slow to accept, and one that is not
+// listed at first.
+struct SlowServerSetup {
+    FullBacklogServer slow;
     Listener other;
     Listener discovery;
     Program program{{{"s-1", slow.at()}}, discovery.at()};
     Peer client;
     Peer watch;
 
-    SlowServer() {
+    SlowServerSetup() {
         program.with("\"connect_timeout_ms\":250.0", "\"connect_timeout_ms\":3500.0")
             .with("\"max_attempts\":1", "\"max_attempts\":3");
     }
-    // A request whose send waits for a connection.
+    // Sends a request whose send waits for a connection.
     void ask() {
         client = program.start().client();
         watch = discovery.accept();
@@ -64,74 +63,74 @@
     }
 };
 
-// Guards drains: what waited for a connection was written once it was up, up to a connect time-out after its
-// server had been told to drain.
+// A queued send must be checked again once its connection is up, which may be a connect timeout after the
+// server was told to drain.
 TEST_CASE("a send that waits for a connection does not reach a server that has begun to drain") {
-    SlowServer two;
-    two.ask();
+    SlowServerSetup setup;
+    setup.ask();
     const char* phase = nullptr;
     SUBCASE("draining") { phase = "Terminating"; }
     SUBCASE("gone") { phase = "Gone"; }
-    two.tell({{"s-1", two.slow.at(), phase}, {"s-2", two.other.at()}});
-    auto link = two.other.accept();
-    CHECK(link.frame() == "St.1 1 1\nq");
-    link.reply("t.1", "done", "one");
-    CHECK(two.client.answer() == R"(200 {"whole":true,"results":[{"partition":1,"value":"one"}]})");
-    CHECK(two.slow.let_in().ended());
-    CHECK(two.program.counter("calls") == 1);
+    setup.tell({{"s-1", setup.slow.at(), phase}, {"s-2", setup.other.at()}});
+    auto connection = setup.other.accept();
+    CHECK(connection.frame() == "St.1 1 1\nq");
+    connection.reply("t.1", "done", "one");
+    CHECK(setup.client.answer() == R"(200 {"whole":true,"results":[{"partition":1,"value":"one"}]})");
+    CHECK(setup.slow.accept_waiting().ended());
+    CHECK(setup.program.counter("calls") == 1);
 }
 
-// Held before too, since connections older than their server's start are closed. Guards slow start: the
-// server that the send was meant for was warm, the one that it would reach is not.
-TEST_CASE("a send that waits for a connection is thought over when its server has begun anew") {
-    SlowServer two;
-    two.program.with("\"warm_after_ms\":16000.0", "\"warm_after_ms\":1600000.0");
-    two.ask();
+// Connections older than their server's start are closed, so the send goes elsewhere. This protects slow
+// start: the send was meant for a warm server, and the restarted one is cold.
+TEST_CASE("a send that waits for a connection is decided again when its server has restarted") {
+    SlowServerSetup setup;
+    setup.program.with("\"warm_after_ms\":16000.0", "\"warm_after_ms\":1600000.0");
+    setup.ask();
     const auto now = net::wall_clock() / 10;
-    two.tell({{"s-1", two.slow.at(), "Ready", now}, {"s-2", two.other.at()}});
-    auto link = two.other.accept();
-    CHECK(link.frame() == "St.1 1 1\nq");
+    setup.tell({{"s-1", setup.slow.at(), "Ready", now}, {"s-2", setup.other.at()}});
+    auto connection = setup.other.accept();
+    CHECK(connection.frame() == "St.1 1 1\nq");
 }
 
-// Guards the rule that nothing begins for a client that has gone, also where sends may not be cancelled.
+// Nothing may begin for a client that has left, even where sends may not be cancelled.
 TEST_CASE("a send that waits for a connection is not written once its client has gone") {
-    SlowServer two;
-    two.program.with("\"cancel\":true", "\"cancel\":false");
-    two.ask();
-    two.client = Peer{};
-    REQUIRE(two.program.counter_at("clients_gone", 1) == 1);
-    auto late = two.slow.let_in();
-    two.client = two.program.client();
-    two.client.say(post("once", "u", asks({2})));
+    SlowServerSetup setup;
+    setup.program.with("\"cancel\":true", "\"cancel\":false");
+    setup.ask();
+    setup.client = Peer{};
+    REQUIRE(setup.program.counter_at("clients_gone", 1) == 1);
+    auto late = setup.slow.accept_waiting();
+    setup.client = setup.program.client();
+    setup.client.say(post("once", "u", asks({2})));
     CHECK(late.frame() == "Su.2 2 1\nq");
 }
 
-// Guards servers whose connections never come up: one whose sends had all been taken back was kept for good.
+// A connection that is never established must be given up even if all of its sends have been withdrawn.
 TEST_CASE("a connection that nobody waits for any more is given up after a connect time-out") {
-    SlowServer two;
-    two.ask();
-    two.client = Peer{};
-    REQUIRE(two.program.counter_at("clients_gone", 1) == 1);
-    CHECK(two.program.counter_at("connections_failed", 1) == 1);
-    CHECK(two.program.counter_at("connections_open", 0) == 0);
+    SlowServerSetup setup;
+    setup.ask();
+    setup.client = Peer{};
+    REQUIRE(setup.program.counter_at("clients_gone", 1) == 1);
+    CHECK(setup.program.counter_at("connections_failed", 1) == 1);
+    CHECK(setup.program.counter_at("connections_open", 0) == 0);
 }
 
-// The front node with faulty system calls, one server, and a folder in which it can be told to pause.
-struct Faulty {
+// The front node with faulty system calls, one server, and a folder with files that make it pause.
+struct PausableProgram {
     Listener server;
     Listener discovery;
     Program program{{{"s-1", server.at()}}, discovery.at()};
     std::string folder = scratch() + "/pinedoor-pause-XXXXXX";
     Peer client;
-    Peer link;
+    Peer connection;
 
-    Faulty() {
+    PausableProgram() {
         folder = mkdtemp(folder.data());
         program.run_program(PINEDOOR_FAULTY).with_environment("PINEDOOR_PAUSE", folder);
     }
-    ~Faulty() { std::filesystem::remove_all(folder); }
-    void put(const std::string& name) const { std::ofstream(folder + '/' + name); }
-    void wait_for(const std::string& name) const {
+    ~PausableProgram() { std::filesystem::remove_all(folder); }
+    void create_file(const std::string& name) const { std::ofstream(folder + '/' + name); }
+    void wait_for_file(const std::string& name) const {
         for (int tries = 0; tries < kPatienceSeconds * 1'000; ++tries) {
             if (std::filesystem::exists(folder + '/' + name)) return;
             usleep(1'000);
@@ -140,93 +139,93 @@
     void serve_one(const std::string& name) {
         client = program.start().client();
         client.say(post("once", name, asks({1})));
-        link = server.accept();
-        REQUIRE(link.frame() == "S" + name + ".1 1 1\nq");
-        link.reply(name + ".1", "done", "one");
+        connection = server.accept();
+        REQUIRE(connection.frame() == "S" + name + ".1 1 1\nq");
+        connection.reply(name + ".1", "done", "one");
         REQUIRE(client.answer().starts_with("200 "));
     }
 };
 
-// Guards what may not run twice: written to a connection that its server had closed, a send may have run, and
-// its request failed.
+// A send that is written to a connection which the server has closed may have run, so its request fails. The
+// close must be noticed before the write.
 TEST_CASE("a server's close that comes just before a request is seen before the request is written") {
-    Faulty one;
-    one.serve_one("t1");
-    one.put("pause");
-    one.client.say(post("once", "t2", asks({2})));
-    one.wait_for("paused");  // with the request in hand, and not yet told of the close
-    SUBCASE("closed") { one.link = Peer{}; }
-    SUBCASE("closed for writing only") { one.link.end_writing(); }
-    SUBCASE("reset") { one.link.reset(); }
-    one.put("go");
-    one.link = one.server.accept();
-    CHECK(one.link.frame() == "St2.2 2 1\nq");
-    one.link.reply("t2.2", "done", "two");
-    CHECK(one.client.answer() == R"(200 {"whole":true,"results":[{"partition":2,"value":"two"}]})");
+    PausableProgram setup;
+    setup.serve_one("t1");
+    setup.create_file("pause");
+    setup.client.say(post("once", "t2", asks({2})));
+    setup.wait_for_file("paused");  // the request is read, the close is not noticed yet
+    SUBCASE("closed") { setup.connection = Peer{}; }
+    SUBCASE("closed for writing only") { setup.connection.end_writing(); }
+    SUBCASE("reset") { setup.connection.reset(); }
+    setup.create_file("go");
+    setup.connection = setup.server.accept();
+    CHECK(setup.connection.frame() == "St2.2 2 1\nq");
+    setup.connection.reply("t2.2", "done", "two");
+    CHECK(setup.client.answer() == R"(200 {"whole":true,"results":[{"partition":2,"value":"two"}]})");
 }
 
-// Guards the rule that nothing begins for a client that has gone, and what a server is told of the time left:
-// a frame of which a part was written went on whenever its server read on.
-TEST_CASE("a frame that its server does not take is taken back with its connection") {
-    Faulty one;
-    // The first write is the call for the list, the second one the frame.
-    one.program.with_environment("PINEDOOR_FAULT", "transmit 2 stall");
-    one.client = one.program.start().client();
-    REQUIRE(one.discovery.accept().read_to("\r\n\r\n").starts_with("GET "));
-    one.client.say(post("once", "t", asks({1})));
-    one.link = one.server.accept();
-    CHECK(one.link.frame() == "S");  // the letter, and then the end
-    CHECK(one.link.ended());
-    CHECK(is_pushback(one.client.answer(), 0.625, 1.25));  // it has never run
-    CHECK(one.program.counter("connections_closed_stalled") == 1);
+// A partly written frame must not be completed when its server reads on later: the client may have left by
+// then, and the remaining time in the frame is wrong.
+TEST_CASE("a frame that its server does not read is withdrawn by closing the connection") {
+    PausableProgram setup;
+    // The first write is the call for the server list, the second one is the frame.
+    setup.program.with_environment("PINEDOOR_FAULT", "transmit 2 stall");
+    setup.client = setup.program.start().client();
+    REQUIRE(setup.discovery.accept().read_to("\r\n\r\n").starts_with("GET "));
+    setup.client.say(post("once", "t", asks({1})));
+    setup.connection = setup.server.accept();
+    CHECK(setup.connection.frame() == "S");  // the frame's letter, and then the end of the connection
+    CHECK(setup.connection.ended());
+    CHECK(is_pushback(setup.client.answer(), 0.625, 1.25));  // it has never run
+    CHECK(setup.program.counter("connections_closed_stalled") == 1);
 }
 
-TEST_CASE("a server that ends its side in the middle of a request has lost it, and lives") {
+TEST_CASE("a server that closes its side during a request has lost the request, but stays in use") {
     Listener server;
     Listener discovery;
     Program program({{"s-1", server.at()}}, discovery.at());
     auto client = program.start().client();
     client.say(post("once", "t1", asks({1})));
-    auto link = server.accept();
-    REQUIRE(link.frame() == "St1.1 1 1\nq");
-    link.end_writing();
+    auto connection = server.accept();
+    REQUIRE(connection.frame() == "St1.1 1 1\nq");
+    connection.end_writing();
     CHECK(client.answer() == "500");  // it may have run
-    CHECK(link.ended());
+    CHECK(connection.ended());
     client.say(post("once", "t2", asks({2})));
-    link = server.accept();
-    CHECK(link.frame() == "St2.2 2 1\nq");
-    link.reply("t2.2", "done", "two");
+    connection = server.accept();
+    CHECK(connection.frame() == "St2.2 2 1\nq");
+    connection.reply("t2.2", "done", "two");
     CHECK(client.answer() == R"(200 {"whole":true,"results":[{"partition":2,"value":"two"}]})");
 }
 
-TEST_CASE("a client that ends its side after its request has gone, and its request with it") {
+TEST_CASE("a client that closes its side after its request counts as gone and the request is cancelled") {
     Listener server;
     Listener discovery;
     Program program({{"s-1", server.at()}}, discovery.at());
     auto client = program.start().client();
     client.say(post("once", "t", asks({1})));
-    auto link = server.accept();
-    REQUIRE(link.frame() == "St.1 1 1\nq");
+    auto connection = server.accept();
+    REQUIRE(connection.frame() == "St.1 1 1\nq");
     client.end_writing();
-    CHECK(link.frame() == "Ct.1");
+    CHECK(connection.frame() == "Ct.1");
     CHECK(program.counter_at("clients_gone", 1) == 1);
     CHECK(client.ended());
 }
 
-// A front node with room for eight connections to its server, on each of which four attempts may be out. A
-// request of 36 parts fills them; four of its attempts wait for room.
-struct FullConnections {
+// A front node that may open eight connections to its server, with four sends on each. A request of 36 parts
+// fills them; four of its sends wait for a free stream.
+struct FullConnectionsSetup {
     static constexpr std::size_t kConnections = 8;
-    static constexpr int kRoom = 32;
+    static constexpr int kStreams = 32;
     static constexpr int kParts = 36;
 
     Listener server;
     Listener discovery;
     Program program{{{"s-1", server.at()}}, discovery.at()};
     Peer client;
-    std::vector<Peer> links;
+    std::vector<Peer> connections;
 
-    FullConnections() {
+    FullConnectionsSetup() {
         program.with("\"sockets\":1024", "\"sockets\":32").with("\"shards\":12", "\"shards\":40");
     }
     void fill() {
@@ -234,13 +233,13 @@
         std::vector<int> shards(kParts);
         std::iota(shards.begin(), shards.end(), 1);
         client.say(post("again", "t", asks(shards)));
-        for (std::size_t i = 0; i < kConnections; ++i) links.push_back(server.accept());
-        for (int parts = 0; parts < kRoom; parts += 2) out.push_back(next_frame());
+        for (std::size_t i = 0; i < kConnections; ++i) connections.push_back(server.accept());
+        for (int parts = 0; parts < kStreams; parts += 2) out.push_back(next_frame());
     }
-    struct Heard {
-        std::size_t link = 0;
+    struct ReceivedFrame {
+        std::size_t connection = 0;
         std::string frame;
-        // The names of the parts in it, two at most.
+        // The names of the parts in the frame, at most two.
         std::vector<std::string> parts() const {
             std::vector<std::string> names;
             for (auto at = frame.find("t."); at != std::string::npos; at = frame.find("t.", at + 1))
@@ -248,69 +247,69 @@
             return names;
         }
     };
-    // On whichever connection it comes; one that has ended is passed over.
-    Heard next_frame() {
+    // Reads the next frame from any connection; closed connections are skipped.
+    ReceivedFrame next_frame() {
         for (std::size_t ended = 0; ended < kConnections;) {
-            const auto link = readable_link();
-            if (link == links.size()) break;
-            const auto frame = links[link].frame();
-            if (frame != "nothing") return {link, frame};
-            links[link] = Peer{};
+            const auto connection = readable_link();
+            if (connection == connections.size()) break;
+            const auto frame = connections[connection].frame();
+            if (frame != "nothing") return {connection, frame};
+            connections[connection] = Peer{};
             ++ended;
         }
         return {0, "nothing"};
     }
     std::size_t readable_link() const {
         std::vector<pollfd> polled;
-        for (const auto& link : links) polled.push_back({link.fd(), POLLIN, 0});
-        for (std::size_t i = 0; i < links.size(); ++i) {
-            if (links[i].holds_more()) return i;
+        for (const auto& connection : connections) polled.push_back({connection.fd(), POLLIN, 0});
+        for (std::size_t i = 0; i < connections.size(); ++i) {
+            if (connections[i].holds_more()) return i;
         }
         poll(polled.data(), polled.size(), kPatienceSeconds * 1'000);
-        const auto readable = [](const pollfd& one) { return one.revents != 0; };
+        const auto readable = [](const pollfd& each) { return each.revents != 0; };
         return static_cast<std::size_t>(std::find_if(polled.begin(), polled.end(), readable) -
                                         polled.begin());
     }
-    void answer(const Heard& call) {
-        for (const auto& name : call.parts()) links[call.link].reply(name, "done", "v");
+    void answer(const ReceivedFrame& call) {
+        for (const auto& name : call.parts()) connections[call.connection].reply(name, "done", "v");
     }
-    std::vector<Heard> out;
+    std::vector<ReceivedFrame> out;
 };
 
-TEST_CASE("an attempt that waits for room among a connection's streams goes out as soon as there is some") {
-    FullConnections full;
-    full.fill();
-    for (const auto& call : full.out) CHECK(call.frame.starts_with("St."));
-    CHECK(full.program.counter("calls") == FullConnections::kRoom / 2);
-    for (const auto& call : full.out) full.answer(call);
-    for (int parts = FullConnections::kRoom; parts < FullConnections::kParts; parts += 2) {
-        const auto call = full.next_frame();
+TEST_CASE("a send that waits for a free stream is written as soon as there is one") {
+    FullConnectionsSetup setup;
+    setup.fill();
+    for (const auto& call : setup.out) CHECK(call.frame.starts_with("St."));
+    CHECK(setup.program.counter("calls") == FullConnectionsSetup::kStreams / 2);
+    for (const auto& call : setup.out) setup.answer(call);
+    for (int parts = FullConnectionsSetup::kStreams; parts < FullConnectionsSetup::kParts; parts += 2) {
+        const auto call = setup.next_frame();
         CHECK(call.frame.starts_with("St."));
-        full.answer(call);
+        setup.answer(call);
     }
-    CHECK(full.client.answer().starts_with("200 {\"whole\":true"));
+    CHECK(setup.client.answer().starts_with("200 {\"whole\":true"));
 }
 
-// Guards the rule that nothing begins for a client that has gone: room and its leaving come together.
-TEST_CASE("an attempt that waits for room is not written when its client leaves as room comes up") {
-    FullConnections full;
-    full.fill();
-    full.client = Peer{};
-    REQUIRE(full.program.counter_at("clients_gone", 1) == 1);
-    for (const auto& call : full.out) full.answer(call);
-    full.client = full.program.client();
-    full.client.say(post("again", "u", asks({7})));
-    // Parts that were answered before they could be cancelled are not cancelled.
-    auto next = full.next_frame();
-    while (next.frame.starts_with("Ct.")) next = full.next_frame();
+// Nothing may begin for a client that has left: here a stream becomes free while it leaves.
+TEST_CASE("a send that waits for a free stream is not written when its client leaves as one becomes free") {
+    FullConnectionsSetup setup;
+    setup.fill();
+    setup.client = Peer{};
+    REQUIRE(setup.program.counter_at("clients_gone", 1) == 1);
+    for (const auto& call : setup.out) setup.answer(call);
+    setup.client = setup.program.client();
+    setup.client.say(post("again", "u", asks({7})));
+    // Parts that were answered before their cancellation are not cancelled.
+    auto next = setup.next_frame();
+    while (next.frame.starts_with("Ct.")) next = setup.next_frame();
     CHECK(next.frame == "Su.7 7 1\nq");
-    CHECK(full.program.counter("calls") == FullConnections::kRoom / 2 + 1);
+    CHECK(setup.program.counter("calls") == FullConnectionsSetup::kStreams / 2 + 1);
 }
 
-// Guards large fleets: once idle connections took up all that there may be, attempts at any other server were
-// turned away.
-TEST_CASE("idle connections make room for one to a server that has none") {
-    constexpr std::size_t kServers = 12;  // connections there may be: eight
+// With many servers, idle connections must not take up the whole limit and keep sends to other servers from
+// getting a connection.
+TEST_CASE("an idle connection is closed for one to a server that has none") {
+    constexpr std::size_t kServers = 12;  // more than the eight connections that may be open
     std::vector<Listener> servers(kServers);
     Listener discovery;
     std::vector<Listed> listed;
@@ -321,69 +320,68 @@
     Program program(listed, discovery.at());
     program.with("\"sockets\":1024", "\"sockets\":32").with("\"places\":1", "\"places\":12");
     auto client = program.start().client();
-    std::vector<Peer> links;
+    std::vector<Peer> connections;
     for (std::size_t i = 0; i < kServers; ++i) {
         const auto name = 't' + std::to_string(i);
         client.say(post("once", name, asks({static_cast<int>(i)})));
-        links.push_back(servers[i].accept());
+        connections.push_back(servers[i].accept());
         const auto part = name + '.' + std::to_string(i);
-        CHECK(links.back().frame() == 'S' + part + ' ' + std::to_string(i) + " 1\nq");
-        links.back().reply(part, "done", "v");
+        CHECK(connections.back().frame() == 'S' + part + ' ' + std::to_string(i) + " 1\nq");
+        connections.back().reply(part, "done", "v");
         CHECK(client.answer().starts_with("200 "));
     }
-    CHECK(links.front().ended());  // the longest idle goes first
+    CHECK(connections.front().ended());  // the connection that is idle longest is closed first
     CHECK(program.counter("connections_open") <= 8);
 }
 
-// Guards what may not run twice: a server remembers what it has run for so long only. The retry is decided in
-// that time, and its connection comes up after it.
+// A server recognises duplicates only within the deduplication window. The retry is decided within the
+// window, and its connection is established after the end of it.
 TEST_CASE("a retry that waits for a connection is not written once the deduplication window has passed") {
     constexpr int kWindowMs = 1'200;
-    SlowServer two;
-    two.program.with("\"connect_timeout_ms\":3500.0", "\"connect_timeout_ms\":400.0")
+    SlowServerSetup setup;
+    setup.program.with("\"connect_timeout_ms\":3500.0", "\"connect_timeout_ms\":400.0")
         .with("\"effect\":\"free\",\"late_worth\":0.0,\n\"memory_span_ms\":0.0",
               "\"effect\":\"guarded\",\"late_worth\":0.0,\n\"memory_span_ms\":" + std::to_string(kWindowMs) +
                   ".0");
-    auto client = two.program.start().client();
-    auto watch = two.discovery.accept();
+    auto client = setup.program.start().client();
+    auto watch = setup.discovery.accept();
     watch.read_to("\r\n\r\n");
-    watch.say(kStream + chunk(list_object(2, true, {{"s-2", two.other.at()}}) + "\n"));
-    REQUIRE(two.program.counter_at("list_news", 2) == 2);
+    watch.say(kStream + chunk(list_object(2, true, {{"s-2", setup.other.at()}}) + "\n"));
+    REQUIRE(setup.program.counter_at("list_news", 2) == 2);
     client.say(post("again", "t", asks({1})));
-    auto link = two.other.accept();
+    auto connection = setup.other.accept();
     const auto sent = std::chrono::steady_clock::now();
-    REQUIRE(link.frame() == "St.1 1 1\nq");
-    watch.say(chunk(list_object(3, true, {{"s-1", two.slow.at()}}) + "\n"));
-    REQUIRE(two.program.counter_at("list_news", 3) == 3);
-    link.reset();  // the retry can go to the slow one alone
-    REQUIRE(two.program.counter_at("connections_opened", 2) == 2);
+    REQUIRE(connection.frame() == "St.1 1 1\nq");
+    watch.say(chunk(list_object(3, true, {{"s-1", setup.slow.at()}}) + "\n"));
+    REQUIRE(setup.program.counter_at("list_news", 3) == 3);
+    connection.reset();  // only the slow server is left for the retry
+    REQUIRE(setup.program.counter_at("connections_opened", 2) == 2);
     CHECK(client.answer().starts_with("50"));  // it may have run
     CHECK(std::chrono::steady_clock::now() - sent < std::chrono::milliseconds(kWindowMs));
-    CHECK(two.program.counter_at("connections_open", 0) == 0);  // none is left on which it could be written
-    CHECK(two.program.counter("calls") == 1);
+    CHECK(setup.program.counter_at("connections_open", 0) ==
+          0);  // no connection is left on which it could be written
+    CHECK(setup.program.counter("calls") == 1);
 }
 
-// Guards deadlines: the time of a request that was sent before the one ahead of it was answered ran from its
-// turn.
-TEST_CASE("the time of a request that waits behind another one runs from when it came") {
+// The time of a pipelined request must not run from the end of the request before it.
+TEST_CASE("the time of a pipelined request runs from its arrival") {
     Listener server;
     Listener discovery;
     Program program({{"s-1", server.at()}}, discovery.at());
     auto client = program.start().client();
     client.say(post("again", "t1", asks({1})) + post("again", "t2", asks({2}), 1'500));
-    auto link = server.accept();
-    REQUIRE(link.frame() == "St1.1 1 1\nq");
-    usleep(200'000);  // of the second one's time
-    link.reply("t1.1", "done", "one");
-    const auto frame = link.frame_with_time();
+    auto connection = server.accept();
+    REQUIRE(connection.frame() == "St1.1 1 1\nq");
+    usleep(200'000);  // this time counts against the second request
+    connection.reply("t1.1", "done", "one");
+    const auto frame = connection.frame_with_time();
     CHECK(frame.starts_with("St2.2 2 d="));
     REQUIRE(frame.size() > 10);
     CHECK(std::stoi(frame.substr(10)) <= 1'300);
 }
 
-// Guards requests that were read in part: their connection was closed without a word when its descriptor was
-// wanted.
-TEST_CASE("a client whose connection is wanted in the middle of its request is told") {
+// A connection with a partly read request must not be closed without an answer when its descriptor is needed.
+TEST_CASE("a client whose connection is evicted in the middle of its request gets an answer") {
     Listener server;
     Listener discovery;
     Program program({{"s-1", server.at()}}, discovery.at());
@@ -401,8 +399,8 @@
     CHECK(slow.answer() == "503 connection=close no room\n");
 }
 
-// Guards shutdown: a server that hangs through the whole of it, and clients that hold on, must not keep a
-// request from its answer, nor the program from its end.
+// Neither a server that hangs during the whole shutdown nor clients that keep their connections may keep a
+// request from its answer or the program from its end.
 TEST_CASE("servers that hang through a whole shutdown keep no request from its answer before the kill") {
     Listener server;
     Listener discovery;
@@ -411,21 +409,21 @@
         program.with("\"aim_ms\":2000.0,\"deadline_ms\":4000.0", "\"aim_ms\":400.0,\"deadline_ms\":700.0");
     auto client = program.start().client();
     client.say(post("once", "t1", asks({1}), 4'000));
-    auto link = server.accept();
-    REQUIRE(link.frame() == "St1.1 1 1\nq");
+    auto connection = server.accept();
+    REQUIRE(connection.frame() == "St1.1 1 1\nq");
     program.kill(SIGTERM);
     auto late = program.client();
-    const auto begun = std::chrono::steady_clock::now();
+    const auto started_at = std::chrono::steady_clock::now();
     late.say(post("once", "t2", asks({2}), 4'000));
     CHECK(client.answer().starts_with("50"));
     CHECK(late.answer().starts_with("50"));
     CHECK(client.ended());
     CHECK(program.wait() == 0);
-    const auto took = std::chrono::steady_clock::now() - begun;
-    CHECK(took < std::chrono::milliseconds(700 + 700));  // the longest deadline, and what comes on top
+    const auto duration = std::chrono::steady_clock::now() - started_at;
+    CHECK(duration < std::chrono::milliseconds(700 + 700));  // the longest deadline plus the shutdown margin
 }
 
-TEST_CASE("a request with hardly any time left is refused, and no server hears of it") {
+TEST_CASE("a request with hardly any time left is pushed back and nothing is sent") {
     Listener server;
     Listener discovery;
     Program program({{"s-1", server.at()}}, discovery.at());
@@ -435,9 +433,8 @@
     CHECK(program.counter("sends") == 0);
 }
 
-// Guards lists that come indented: each line was taken for an object, and the watch ended as one that speaks
-// nonsense.
-TEST_CASE("a list that is laid out over many lines and comes in pieces is taken") {
+// Lists may be indented: an object does not end with its line.
+TEST_CASE("a list that spans many lines and arrives in pieces is accepted") {
     Listener first, second, discovery;
     Program program({{"s-1", first.at()}}, discovery.at());
     auto client = program.start().client();
@@ -455,8 +452,7 @@
     CHECK(program.counter("list_failures") == 0);
 }
 
-// Guards customers whose lists are pushed: nobody asked the agent for them, so that no drain was ever heard
-// of.
+// Where lists are pushed, the agent must be watched: otherwise no drain is ever received.
 TEST_CASE("where lists are pushed the agent is watched from the start, and again whenever a watch ends") {
     Listener first, second, agent;
     Program program({{"s-1", first.at()}}, agent.at());
@@ -467,7 +463,7 @@
     CHECK(watch.read_to("\r\n") == "GET /discovery/hosts?stream=1&index=1 HTTP/1.1\r\n");
     watch.say(kStream + chunk(list_object(2, true, {{"s-1", first.at()}, {"s-2", second.at()}}) + "\n"));
     REQUIRE(program.counter_at("list_news", 2) == 2);
-    watch = Peer{};  // it ends instead of telling
+    watch = Peer{};  // the watch ends instead of sending a change
     watch = agent.accept();
     watch.say(kStream + chunk(list_object(3, false, {{"s-1", first.at(), "Terminating"}}) + "\n"));
     REQUIRE(program.counter_at("list_news", 3) == 3);
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -1,5 +1,5 @@
-// The front node under system calls that fail: each call fails at its n-th time, for every n of a short run,
-// with each error that Linux documents for a moment's trouble. What counts is what clients see.
+// The front node with failing system calls: each call fails at its n-th use, for every n of a short run, with
+// each error that Linux documents for temporary conditions. Checked is what clients see.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -15,10 +15,10 @@
 
 using namespace pinedoor::test;
 
-struct Seen {
+struct Tally {
     int served = 0;
-    int in_part = 0;
-    int turned_away = 0;  // for now, with nothing of it run
+    int partial = 0;
+    int pushed_back = 0;  // pushed back, nothing of it has run
     int ended = 0;        // with any final answer
     int unanswered = 0;
 };
@@ -33,17 +33,16 @@
 constexpr Load kHeavy{24, 6};
 constexpr int kRequests = kLight.requests();
 
-// The fault may hit who asks for the counter: then it is asked for once more.
+// The fault may hit the request for the counter itself: it is repeated once.
 std::uint64_t counter(Program& program, const std::string& name) {
-    constexpr std::uint64_t kNotTold = 999'999;
+    constexpr std::uint64_t kUnknown = 999'999;
     const auto value = program.counter(name);
-    return value == kNotTold ? program.counter(name) : value;
+    return value == kUnknown ? program.counter(name) : value;
 }
 
 using Clock = std::chrono::steady_clock;
 
-// The front node closes clients' connections that were idle for 2 s; its clock and this one may differ a
-// little.
+// The front node closes client connections that are idle for 2 s; its clock and this one may differ slightly.
 constexpr auto kNearlyIdleTime = std::chrono::milliseconds(1'900);
 
 std::string request_of(int client, int request) {
@@ -51,73 +50,73 @@
                 asks({client % 8, client % 8 + 4}));
 }
 
-// Some clients each ask some requests of a front node with that fault. One whose connection ends with no
-// answer goes on with a new connection. While descriptors are short, connections on which nothing was read
-// may be closed: their clients ask once more, as the protocol has it. So does one whose connection stood idle
-// for as long as the front node keeps such ones, while another client's answer was waited for.
-Seen play(const std::string& fault, Mischief& servers, Listener& discovery, bool short_of_descriptors = false,
-          Load load = kLight) {
+// Several clients each send some requests to a front node with the given fault. A client whose connection
+// ends without an answer opens a new one. The request is sent once more, as the protocol allows, where
+// connections without input may be closed because descriptors are short, or where the connection was idle for
+// as long as the front node keeps idle ones while another client's answer was awaited.
+Tally run_requests(const std::string& fault, Mischief& servers, Listener& discovery,
+                   bool short_of_descriptors = false, Load load = kLight) {
     Program program({{"s-1", servers.at(0)}, {"s-2", servers.at(1)}}, discovery.at());
     program.run_program(PINEDOOR_FAULTY)
         .with("\"max_attempts\":1", "\"max_attempts\":3")
         .with("\"max_open\":40", "\"max_open\":" + std::to_string(std::max(40, 4 * load.clients)))
         .with_environment("PINEDOOR_FAULT", fault);
     program.start();
-    Seen seen;
+    Tally tally;
     std::vector<Peer> clients;
     for (int i = 0; i < load.clients; ++i) clients.push_back(program.client());
     std::vector<Clock::time_point> asked(clients.size(), Clock::now());
-    std::vector<bool> stood_idle(clients.size(), false);
+    std::vector<bool> was_idle(clients.size(), false);
     for (int request = 0; request < load.requests_each; ++request) {
         for (int i = 0; i < load.clients; ++i) {
             const auto at = static_cast<std::size_t>(i);
             const auto now = Clock::now();
-            stood_idle[at] = now - std::exchange(asked[at], now) >= kNearlyIdleTime;
+            was_idle[at] = now - std::exchange(asked[at], now) >= kNearlyIdleTime;
             clients[at].say(request_of(i, request));
         }
         for (int i = 0; i < load.clients; ++i) {
             auto& client = clients[static_cast<std::size_t>(i)];
             auto answer = client.answer();
-            if (answer == "nothing" && (short_of_descriptors || stood_idle[static_cast<std::size_t>(i)])) {
+            if (answer == "nothing" && (short_of_descriptors || was_idle[static_cast<std::size_t>(i)])) {
                 client = program.client();
                 client.say(request_of(i, request));
                 answer = client.answer();
             }
-            seen.served += answer.starts_with("200 {\"whole\":true") ? 1 : 0;
-            seen.in_part += answer.starts_with("200 {\"whole\":false") ? 1 : 0;
-            seen.turned_away += answer.starts_with("503 retry-after=") ? 1 : 0;
-            seen.ended += answer == "nothing" ? 0 : 1;
-            seen.unanswered += answer == "nothing" ? 1 : 0;
+            tally.served += answer.starts_with("200 {\"whole\":true") ? 1 : 0;
+            tally.partial += answer.starts_with("200 {\"whole\":false") ? 1 : 0;
+            tally.pushed_back += answer.starts_with("503 retry-after=") ? 1 : 0;
+            tally.ended += answer == "nothing" ? 0 : 1;
+            tally.unanswered += answer == "nothing" ? 1 : 0;
             if (answer == "nothing") client = program.client();
         }
     }
-    CHECK(counter(program, "invariants_broken") == 0);  // it still listens, too
+    CHECK(counter(program, "invariants_broken") == 0);  // this also shows that it still listens
     CHECK(counter(program, "tasks_threw") == 0);
-    return seen;
+    return tally;
 }
 
-struct Case {
+struct FaultCase {
     const char* call;
     int error;
 };
 
-std::string text(const Case& one, int n) {
-    return std::string(one.call) + ' ' + std::to_string(n) + ' ' + std::to_string(one.error);
+std::string text(const FaultCase& fault_case, int n) {
+    return std::string(fault_case.call) + ' ' + std::to_string(n) + ' ' + std::to_string(fault_case.error);
 }
 
-constexpr int kCallsOfARun = 10;
+constexpr int kCallsPerRun = 10;
 
-// The calls that the program makes before it serves, which end its start when they fail.
+// The calls that the program makes before it serves end its start when they fail.
 int first_call(const std::string& call) {
     if (call == "socket") return 2;  // the listener's
     if (call == "add") return 4;     // those of the listener, the signals and the watch
     return 1;
 }
 
-TEST_CASE("a call that fails for a moment on this machine costs no request its answer") {
+TEST_CASE("a temporary failure of a system call costs no request its answer") {
     Mischief servers(2, Mischief::Manners::kGood);
     Listener discovery;
-    const std::vector<Case> cases{
+    const std::vector<FaultCase> cases{
         {"accept", ECONNABORTED},   {"accept", EINTR},          {"accept", EMFILE},
         {"accept", ENFILE},         {"accept", ENOBUFS},        {"accept", ENOMEM},
         {"accept", EPROTO},         {"accept", EPERM},          {"socket", EMFILE},
@@ -127,36 +126,39 @@
         {"receive", EINTR},         {"transmit", EINTR},        {"wait", EINTR},
     };
     SUBCASE("each call of a short run") {
-        for (const auto& one : cases) {
-            for (int n = first_call(one.call); n <= kCallsOfARun; ++n) {
-                CAPTURE(text(one, n));
-                const auto seen = play(text(one, n), servers, discovery, one.error == EMFILE);
-                CHECK(seen.served == kRequests);
+        for (const auto& fault_case : cases) {
+            for (int n = first_call(fault_case.call); n <= kCallsPerRun; ++n) {
+                CAPTURE(text(fault_case, n));
+                const auto tally =
+                    run_requests(text(fault_case, n), servers, discovery, fault_case.error == EMFILE);
+                CHECK(tally.served == kRequests);
             }
         }
     }
     SUBCASE("under load, several in a row") {
         constexpr int kFailures = 3;
-        for (const auto& one : cases) {
+        for (const auto& fault_case : cases) {
             for (const int n : {4, 16}) {
-                const auto fault = text(one, n) + ' ' + std::to_string(kFailures);
+                const auto fault = text(fault_case, n) + ' ' + std::to_string(kFailures);
                 CAPTURE(fault);
-                const auto seen = play(fault, servers, discovery, one.error == EMFILE, kHeavy);
-                // One that has just started answers in part, or turns away, what is beyond its first credit.
-                CHECK(seen.served + seen.in_part + seen.turned_away == kHeavy.requests());
-                CHECK(seen.served > kHeavy.requests() / 3);
+                const auto tally =
+                    run_requests(fault, servers, discovery, fault_case.error == EMFILE, kHeavy);
+                // A node that has just started answers in part, or pushes back, what exceeds its first
+                // credit.
+                CHECK(tally.served + tally.partial + tally.pushed_back == kHeavy.requests());
+                CHECK(tally.served > kHeavy.requests() / 3);
             }
         }
     }
 }
 
-// Guards a server against this machine's own trouble: a connection that could not be opened for want of a
-// descriptor, a port or a way was taken for one that its server refused, and the server for one that had
-// died.
+// If this machine cannot open a connection for lack of a descriptor, a port or a route, the server must not
+// count as refusing or dead.
 TEST_CASE("the only server stays in use when this machine fails to open a connection to it") {
     Mischief servers(1, Mischief::Manners::kGood);
     Listener discovery;
-    for (const int error : {EADDRNOTAVAIL, ENETUNREACH}) {  // of the second connect; the first is the watch's
+    for (const int error :
+         {EADDRNOTAVAIL, ENETUNREACH}) {  // the fault hits the second connect; the first one is the watch
         CAPTURE(error);
         Program program({{"s-1", servers.at(0)}}, discovery.at());
         program.run_program(PINEDOOR_FAULTY)
@@ -164,7 +166,7 @@
         auto client = program.start().client();
         CHECK(discovery.accept().read_to("\r\n\r\n").starts_with("GET "));
         client.say(post("again", "t1", asks({1})));
-        CHECK(is_pushback(client.answer(), 0.625, 1.25));  // it was never sent, and there is no other server
+        CHECK(is_pushback(client.answer(), 0.625, 1.25));  // never sent, and there is no other server
         CHECK(program.counter("connections_failed") == 1);
         client.say(post("again", "t2", asks({1, 2, 3})));
         CHECK(client.answer().starts_with("200 {\"whole\":true"));
@@ -172,8 +174,8 @@
     }
 }
 
-// Guards what may not run twice: a connection to a server of this machine that is down was now and then
-// connected to itself, and read its own frame as an answer that made no sense.
+// A connection to a port of this machine where no server listens may connect to itself and read its own frame
+// as an invalid answer. It must count as refused, so that nothing runs twice.
 TEST_CASE("a connection that would reach itself counts as refused") {
     pinedoor::lab::HeldPort down;
     Listener discovery;
@@ -186,53 +188,54 @@
     CHECK(program.counter("connections_failed") == 1);
 }
 
-// Guards the tests: a client that was connected to itself read its own request for ever.
-TEST_CASE("what is not an answer ends the wait for one") {
+// Guards the test client: connected to itself, it would read its own request forever.
+TEST_CASE("input that is not an answer ends the wait for one") {
     Listener server;
     Peer client(server.at());
     server.accept().say("POST / HTTP/1.1\r\n\r\n");
     CHECK(client.answer() == "malformed");
 }
 
-TEST_CASE("reads and writes that are short lose nothing") {
+TEST_CASE("short reads and writes lose nothing") {
     Mischief servers(2, Mischief::Manners::kGood);
     Listener discovery;
     for (const char* call : {"receive", "transmit"}) {
-        for (int n = 1; n <= kCallsOfARun; ++n) {
+        for (int n = 1; n <= kCallsPerRun; ++n) {
             const auto fault = std::string(call) + ' ' + std::to_string(n) + " short 5";
             CAPTURE(fault);
-            CHECK(play(fault, servers, discovery).served == kRequests);
+            CHECK(run_requests(fault, servers, discovery).served == kRequests);
         }
     }
 }
 
-// The connection is lost with what is out on it; a client's own takes its request with it.
+// A connection is lost with everything outstanding on it; a client's own connection takes its request with
+// it.
 TEST_CASE("a connection that breaks costs at most the request on it, and no other its answer") {
     Mischief servers(2, Mischief::Manners::kGood);
     Listener discovery;
-    const std::vector<Case> cases{{"receive", ETIMEDOUT},
-                                  {"receive", EHOSTUNREACH},
-                                  {"receive", ECONNRESET},
-                                  {"transmit", ETIMEDOUT},
-                                  {"transmit", EHOSTUNREACH},
-                                  {"transmit", EPIPE},
-                                  {"pending", ETIMEDOUT},
-                                  {"pending", EHOSTUNREACH},
-                                  {"connect", EHOSTUNREACH},
-                                  {"add", ENOMEM},
-                                  {"add", ENOSPC}};
-    for (const auto& one : cases) {
-        for (int n = first_call(one.call); n <= kCallsOfARun; ++n) {
-            CAPTURE(text(one, n));
-            const auto seen = play(text(one, n), servers, discovery);
-            CHECK(seen.unanswered <= 1);
-            CHECK(seen.ended >= kRequests - 1);
+    const std::vector<FaultCase> cases{{"receive", ETIMEDOUT},
+                                       {"receive", EHOSTUNREACH},
+                                       {"receive", ECONNRESET},
+                                       {"transmit", ETIMEDOUT},
+                                       {"transmit", EHOSTUNREACH},
+                                       {"transmit", EPIPE},
+                                       {"pending", ETIMEDOUT},
+                                       {"pending", EHOSTUNREACH},
+                                       {"connect", EHOSTUNREACH},
+                                       {"add", ENOMEM},
+                                       {"add", ENOSPC}};
+    for (const auto& fault_case : cases) {
+        for (int n = first_call(fault_case.call); n <= kCallsPerRun; ++n) {
+            CAPTURE(text(fault_case, n));
+            const auto tally = run_requests(text(fault_case, n), servers, discovery);
+            CHECK(tally.unanswered <= 1);
+            CHECK(tally.ended >= kRequests - 1);
         }
     }
 }
 
-// Guards the listener and the processor: accept is not asked again at once, and is asked again.
-TEST_CASE("while no connection can be accepted the program waits, and then takes all that came") {
+// accept() is not retried at once, which would spin, but it is retried.
+TEST_CASE("while no connection can be accepted the program waits, and then accepts all pending ones") {
     constexpr int kFailures = 5;
     Mischief servers(2, Mischief::Manners::kGood);
     Listener discovery;
@@ -241,12 +244,12 @@
         program.run_program(PINEDOOR_FAULTY)
             .with_environment("PINEDOOR_FAULT",
                               "accept 1 " + std::to_string(error) + ' ' + std::to_string(kFailures));
-        const auto begun = std::chrono::steady_clock::now();
+        const auto started_at = std::chrono::steady_clock::now();
         auto client = program.start().client();
         client.say(post("again", "t", asks({1})));
         CHECK(client.answer().starts_with("200 "));
-        const auto took = std::chrono::steady_clock::now() - begun;
-        CHECK(took > std::chrono::milliseconds(50 * (kFailures - 1)));
+        const auto duration = std::chrono::steady_clock::now() - started_at;
+        CHECK(duration > std::chrono::milliseconds(50 * (kFailures - 1)));
         CHECK(program.counter("accept_failures") == kFailures);
     }
 }
