--- a/src/net/buffer.hpp
+++ b/src/net/buffer.hpp
@@ -1,4 +1,4 @@
-// One connection's bytes that have come and are not used yet: grows as needed, compacted in place.
+// Receive buffer of one connection: bytes that were received and not consumed yet.
 #pragma once
 
 #include <cstddef>
@@ -9,18 +9,23 @@
 
 namespace pinedoor::net {
 
+// A growing byte buffer. Bytes are appended through room() and filled(), and removed from the front by
+// drop(). Spans and views are valid until the next call of a non-const function.
 class Buffer {
 public:
+    // The bytes that were received and not consumed.
     std::string_view held() const { return {bytes_.data() + begin_, end_ - begin_}; }
     bool empty() const { return begin_ == end_; }
 
+    // Consumes `count` bytes from the front.
     void drop(std::size_t count) {
         begin_ += count;
         if (begin_ != end_) return;
         begin_ = end_ = 0;
-        if (bytes_.size() > kSmall) std::vector<char>().swap(bytes_);  // an idle connection holds little
+        if (bytes_.size() > kSmall) std::vector<char>().swap(bytes_);  // keeps idle connections small
     }
 
+    // Returns at least kMinFreeBytes of writable space behind the held bytes; compacts or grows the buffer.
     std::span<char> room() {
         if (begin_ > 0) {
             std::memmove(bytes_.data(), bytes_.data() + begin_, end_ - begin_);
@@ -30,6 +35,7 @@
         if (bytes_.size() - end_ < kLeastRoom) bytes_.resize(bytes_.empty() ? kSmall : bytes_.size() * 2);
         return {bytes_.data() + end_, bytes_.size() - end_};
     }
+    // Appends the first `count` bytes of the space returned by room().
     void filled(std::size_t count) { end_ += count; }
 
 private:
--- a/src/net/scheduler.cpp
+++ b/src/net/scheduler.cpp
@@ -34,7 +34,7 @@
     auto& slots = scheduler_.slots_;
     if (scheduler_.free_slots_.empty()) {
         slots.emplace_back();
-        scheduler_.free_slots_.reserve(slots.capacity());  // so that giving a slot back cannot throw
+        scheduler_.free_slots_.reserve(slots.capacity());  // so that the destructor's push_back cannot throw
         slot_ = static_cast<std::uint32_t>(slots.size() - 1);
     } else {
         slot_ = scheduler_.free_slots_.back();
@@ -130,7 +130,7 @@
     for (int i = 0; i < count; ++i) {
         const auto& event = events[static_cast<std::size_t>(i)];
         const auto& slot = slots_[event.data.u64 & 0xffff'ffffU];
-        // Guards against an event fetched for a descriptor whose number has changed hands since.
+        // Ignores an event that was fetched for a waiter that has been destroyed since.
         if (slot.waiter == nullptr || slot.generation != event.data.u64 >> 32U) continue;
         if ((event.events & (EPOLLIN | EPOLLRDHUP | EPOLLHUP | EPOLLERR)) != 0) slot.waiter->state_ |= kRead;
         if ((event.events & (EPOLLOUT | EPOLLHUP | EPOLLERR)) != 0) slot.waiter->state_ |= kWrite;
@@ -140,7 +140,7 @@
 }
 
 void Scheduler::resume_ready() {
-    // Only what is queued by now: a coroutine that signals itself must not keep the sockets waiting.
+    // Handles only the waiters that are queued now: a coroutine that signals itself must not delay the poll.
     for (auto left = ready_.size(); left > 0; --left) {
         const auto [index, generation] = ready_.front();
         ready_.pop_front();
--- a/src/net/scheduler.hpp
+++ b/src/net/scheduler.hpp
@@ -1,17 +1,17 @@
-// Coroutines over epoll, on one thread.
+// Single-threaded coroutine scheduler on epoll.
 //
-// Who owns what. A Task owns its coroutine's frame; whoever holds the Task (a connection, a side) owns it. A
-// Waiter belongs to one descriptor, or to none, and at most one coroutine waits on it. start() runs a
-// coroutine up to its first wait, on the caller's stack; from then on only the scheduler resumes it, from
-// run(), never from within another coroutine: signal() puts a waiter into a queue, so nothing recurses and no
-// wake-up is lost.
+// Ownership: a Task owns its coroutine's frame, and the object that holds the Task (such as a connection)
+// controls its lifetime. A Waiter belongs to one descriptor, or to none, and at most one coroutine waits on
+// it. start() runs a coroutine up to its first wait, on the caller's stack; after that only Scheduler::run()
+// resumes it, never another coroutine. signal() puts a waiter into the ready queue, so resumption does not
+// recurse and no wake-up is lost.
 //
-// What happens when something goes. A suspended coroutine whose Task is destroyed is taken off its waiter
-// first and is never resumed. A waiter that goes is taken off epoll, the timers and the queue; events for it
-// that were already fetched carry an older generation of its slot and are passed over, even if the
-// descriptor's number is in use again. A coroutine left waiting on a destroyed waiter stays suspended until
-// its Task goes. A scheduler must outlive its waiters. What ends while its own code still runs is destroyed
-// by defer(), after the round.
+// Destruction: a suspended coroutine whose Task is destroyed is removed from its waiter first and is never
+// resumed. A destroyed waiter is removed from epoll, the timers and the ready queue; events for it that were
+// already fetched carry an older generation of its slot and are ignored, even if the descriptor number has
+// been reused. A coroutine that waits on a destroyed waiter stays suspended until its Task is destroyed. A
+// scheduler must outlive its waiters. An object that has to be destroyed while its own code is on the stack
+// is destroyed through defer(), at the end of the round.
 #pragma once
 
 #include <coroutine>
@@ -27,12 +27,15 @@
 
 namespace pinedoor::net {
 
-using Moment = std::int64_t;  // whole tenths of a millisecond since 1970, by a clock that never jumps
+// Time in units of 0.1 ms since the Unix epoch, by a monotonic clock that is set to the wall clock at start.
+using Moment = std::int64_t;
 constexpr Moment kNever = INT64_MAX;
 
-// The same unit by the clock that may be stepped: only to tell how long ago something was that others dated.
+// The wall clock in the same unit. It may be stepped, so it serves only to compute the age of timestamps that
+// other processes wrote.
 Moment wall_clock();
 
+// Owns a coroutine, which is suspended until start(). Destroying the Task destroys the coroutine.
 class Task {
 public:
     struct promise_type {
@@ -66,8 +69,8 @@
         if (handle_) handle_.destroy();
     }
 
-    // Told once when the coroutine has ended, with what it threw or null; it must not destroy the Task
-    // itself.
+    // Runs the coroutine up to its first wait. `ended` is called once when it finishes, with the exception
+    // that it threw or null; `ended` must not destroy the Task.
     void start(std::function<void(std::exception_ptr)> ended) {
         handle_.promise().ended = std::move(ended);
         handle_.resume();
@@ -81,8 +84,11 @@
 
 class Scheduler;
 
+// Readiness events of a descriptor, combined as bits. kClosed: the peer closed its end, or an error occurred.
 enum Interest : unsigned { kRead = 1, kWrite = 2, kClosed = 4 };
 
+// Lets a coroutine wait for readiness of a descriptor, for signal() or for a timeout. Without a descriptor
+// (-1) only the latter two apply.
 class Waiter {
 public:
     explicit Waiter(Scheduler& scheduler, int fd = -1);
@@ -90,6 +96,7 @@
     Waiter(const Waiter&) = delete;
     Waiter& operator=(const Waiter&) = delete;
 
+    // Awaitable returned by wait().
     class Wait {
     public:
         Wait(Waiter& waiter, unsigned interest, Moment until)
@@ -97,9 +104,8 @@
         Wait(const Wait&) = delete;
         Wait& operator=(const Wait&) = delete;
         ~Wait();
-        bool await_ready() const {
-            return false;
-        }  // always by way of the scheduler: nobody keeps the others out
+        // Always suspends, so that a coroutine whose event is already due cannot starve the others.
+        bool await_ready() const { return false; }
         void await_suspend(std::coroutine_handle<> handle);
         void await_resume() { waiter_->signalled_ = false; }
 
@@ -112,12 +118,16 @@
         std::coroutine_handle<> handle_;
     };
 
-    // Ends when something of interest holds, signal() was called since the last wait, or the time has come.
+    // Waits until an event in `interest` is ready, signal() has been called since the last wait, or the time
+    // is `until`.
     Wait wait(unsigned interest, Moment until = kNever) { return {*this, interest, until}; }
+    // Ends the current wait, or the next one if there is none. Repeated calls before that have the effect of
+    // one.
     void signal();
 
-    // What epoll has reported and no call has found used up since.
+    // Whether epoll has reported the event and no call has returned EAGAIN since (edge-triggered readiness).
     bool may(Interest what) const { return (state_ & what) != 0; }
+    // Clears the event after a call that returned EAGAIN.
     void used_up(Interest what) { state_ &= ~static_cast<unsigned>(what); }
 
 private:
@@ -134,6 +144,7 @@
     Wait* waiting_ = nullptr;
 };
 
+// The event loop: polls epoll and resumes the coroutines whose waits have ended.
 class Scheduler {
 public:
     Scheduler();
@@ -141,8 +152,11 @@
     Scheduler& operator=(const Scheduler&) = delete;
 
     Moment now() const;
+    // Runs rounds until `until`, which is called before each, returns true.
     void run(const std::function<bool()>& until);
+    // Runs `action` at the end of the current round, outside all coroutines.
     void defer(std::function<void()> what) { deferred_.push_back(std::move(what)); }
+    // The longest round so far, without the wait in epoll.
     Moment longest_round() const { return longest_round_; }
 
 private:
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -29,8 +29,8 @@
     setsockopt(fd.get(), level, name, &on, sizeof on);
 }
 
-// An outgoing connection is given a free local port; where nobody listens on the other end's port of this
-// very machine, it may be given that one, and TCP then connects it to itself.
+// The kernel picks a free local port for an outgoing connection. If the destination is a port of this host on
+// which no socket listens, it may pick that very port, and TCP then connects the socket to itself.
 bool has_reached_itself(const Fd& fd, const sockaddr_in& other_end) {
     sockaddr_in own{};
     socklen_t size = sizeof own;
@@ -74,7 +74,7 @@
         return std::system_error(errno, std::generic_category(), "listen on " + to_text(endpoint));
     };
     if (!fd) throw fail();
-    set_option(fd, SOL_SOCKET, SO_REUSEADDR);  // a start right after a kill must find the address free
+    set_option(fd, SOL_SOCKET, SO_REUSEADDR);  // allows a restart while old connections are in TIME_WAIT
     const auto address = to_sockaddr(endpoint);
     if (bind(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) throw fail();
     if (listen(fd.get(), SOMAXCONN) != 0) throw fail();
@@ -88,7 +88,7 @@
     const auto address = to_sockaddr(endpoint);
     const int done =
         system_calls::connect_socket(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
-    // Interrupted by a signal it goes on all the same (POSIX, connect).
+    // A connect that a signal interrupts continues asynchronously (POSIX, connect).
     if (done != 0 && errno != EINPROGRESS && errno != EINTR) return {Fd{}, errno};
     if (has_reached_itself(fd, address)) return {Fd{}, ECONNREFUSED};
     return {std::move(fd), 0};
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -1,4 +1,4 @@
-// Sockets as owned values. All are non-blocking IPv4 TCP.
+// RAII descriptors and functions for non-blocking IPv4 TCP sockets.
 #pragma once
 
 #include <compare>
@@ -10,6 +10,7 @@
 
 namespace pinedoor::net {
 
+// Owns a file descriptor and closes it on destruction.
 class Fd {
 public:
     Fd() = default;
@@ -27,24 +28,32 @@
     int fd_ = -1;
 };
 
+// An IPv4 address and a TCP port, both in host byte order.
 struct Endpoint {
     std::uint32_t address = 0;
     std::uint16_t port = 0;
     auto operator<=>(const Endpoint&) const = default;
 };
 
-std::optional<Endpoint> parse_endpoint(std::string_view text);  // "127.0.0.1:7070"
+// Parses "127.0.0.1:7070". Host names and port 0 are rejected.
+std::optional<Endpoint> parse_endpoint(std::string_view text);
 std::string to_text(Endpoint endpoint);
 
-Fd listen_on(Endpoint endpoint);  // throws std::system_error
-// Under way, or empty with the error's number if it failed at once. One that would reach itself is refused.
+// Opens a listening socket; throws std::system_error.
+Fd listen_on(Endpoint endpoint);
+// Starts a connect. Returns the socket, or an empty Fd and the errno if the connect failed at once. A
+// connection to itself (TCP simultaneous open) is rejected with ECONNREFUSED.
 std::pair<Fd, int> connect_to(Endpoint endpoint);
-// A connect failed for want of something on this machine, or of a way out of it: the other end had no part in
-// it.
+// Whether a connect failed because of this host (resource limits, no route), so that the error says nothing
+// about the other end.
 bool is_local_failure(int error);
-int socket_error(const Fd& fd);                      // of a connect that was under way; 0: it is up
-std::pair<Fd, int> accept_from(const Fd& listener);  // or empty, with the error's number
-bool is_readable(int fd);                            // or a listener's queue is not empty
+// The result of a connect that was in progress; 0 means that it is established.
+int socket_error(const Fd& fd);
+// Accepts a connection, or returns an empty Fd and the errno.
+std::pair<Fd, int> accept_from(const Fd& listener);
+// Whether a read would return at once; for a listener, whether a connection waits to be accepted.
+bool is_readable(int fd);
+// Shuts down the sending side.
 void end_writing(const Fd& fd);
 
 }  // namespace pinedoor::net
--- a/src/net/stream.hpp
+++ b/src/net/stream.hpp
@@ -1,4 +1,4 @@
-// One connection: its descriptor, its waiter and its buffer.
+// A connection: its descriptor, its waiter and its receive buffer.
 #pragma once
 
 #include <string_view>
@@ -9,15 +9,21 @@
 
 namespace pinedoor::net {
 
+// Non-blocking byte stream over a connected socket.
 class Stream {
 public:
+    // The result of a read: bytes were received, none are available, the peer has finished sending, or an
+    // error.
     enum class Got { kBytes, kNothing, kEnd, kBroken };
 
     Stream(Scheduler& scheduler, Fd fd) : fd_(std::move(fd)), waiter_(scheduler, fd_.get()) {}
 
-    Got read();  // once, into the buffer; kNothing: wait for kRead
-    // What was taken of the bytes; less than all: wait for kWrite. broken() tells if the connection is.
+    // Reads once into the buffer. After kNothing the caller waits for kRead.
+    Got read();
+    // Returns how many bytes the kernel accepted. If fewer than all, the caller waits for kWrite, unless the
+    // connection is broken().
     std::size_t write(std::string_view bytes);
+    // A read or write has failed with an error other than EAGAIN.
     bool broken() const { return broken_; }
 
     Buffer& buffer() { return buffer_; }
--- a/src/net/worker.cpp
+++ b/src/net/worker.cpp
@@ -21,7 +21,7 @@
 
 Worker::Worker(Scheduler& scheduler, std::size_t most)
     : most_(most), told_(event_fd()), waiter_(scheduler, told_.get()) {
-    // Signals are the loop's: the thread starts with all of them blocked.
+    // The scheduler's thread handles signals, so the worker thread starts with all of them blocked.
     sigset_t all, before;
     sigfillset(&all);
     pthread_sigmask(SIG_SETMASK, &all, &before);
--- a/src/net/worker.hpp
+++ b/src/net/worker.hpp
@@ -1,4 +1,5 @@
-// A thread for what blocks: jobs go there in order, and their ends come back to the scheduler's thread.
+// A thread for blocking work. Jobs run on it in order; their completion callbacks run on the scheduler's
+// thread.
 #pragma once
 
 #include <condition_variable>
@@ -11,17 +12,18 @@
 
 namespace pinedoor::net {
 
+// One worker thread with a bounded job queue.
 class Worker {
 public:
-    // At most `most` jobs may be queued, the one that runs not counted.
+    // At most `max_queued` jobs may be queued, not counting the one that runs.
     Worker(Scheduler& scheduler, std::size_t most);
-    // Waits for the job that runs; those queued are dropped, and none of their ends is told.
+    // Waits for the job that runs. Queued jobs are dropped, and no more completion callbacks are called.
     ~Worker();
     Worker(const Worker&) = delete;
     Worker& operator=(const Worker&) = delete;
 
-    // `job` runs on the thread and must not throw; `ended` runs on the scheduler's, from its loop. False: the
-    // queue is full, and neither runs.
+    // `job` runs on the worker thread and must not throw; `on_complete` then runs on the scheduler's thread,
+    // from its loop. Returns false if the queue is full; then neither runs.
     bool submit(std::function<void()> job, std::function<void()> ended);
 
 private:
@@ -34,7 +36,7 @@
     Task heed();
 
     const std::size_t most_;
-    const Fd told_;  // an eventfd: something has ended
+    const Fd told_;  // signalled when a job has completed
     std::mutex mutex_;
     std::condition_variable has_work_;
     std::deque<Work> queued_;
@@ -42,7 +44,7 @@
     bool stopping_ = false;
     Waiter waiter_;
     std::thread thread_;
-    Task task_;  // last: goes first
+    Task task_;  // destroyed first, since it waits on waiter_
 };
 
 }  // namespace pinedoor::net
--- a/src/parse/frame.cpp
+++ b/src/parse/frame.cpp
@@ -36,7 +36,7 @@
     result.id = next_word(line);
     const auto end = next_word(line);
     const auto score = next_word(line);
-    result.report = line;  // whether it can be read is another matter than the answer
+    result.report = line;  // parsed by the caller; a malformed report does not invalidate the result
     result.value = rest.substr(line_end + 1);
     if (result.id.empty() || score.empty() || !is_text(result.value)) return std::nullopt;
     if (end == "done")
--- a/src/parse/http.cpp
+++ b/src/parse/http.cpp
@@ -92,7 +92,7 @@
     }
     switch (step_) {
         case Step::kStart:
-            if (line.empty() && !started_) return;  // left over between two messages
+            if (line.empty() && !started_) return;  // an empty line between two messages is allowed
             return take_start(line);
         case Step::kHeaders: return line.empty() ? end_head() : take_header(line);
         case Step::kChunkSize: return take_chunk_size(line);
@@ -144,7 +144,7 @@
     const std::string value(trimmed(line.substr(colon + 1)));
     const auto [at, is_new] = headers_.emplace(name, value);
     if (is_new) return;
-    // Two lengths would let two readers see two different messages.
+    // Conflicting lengths would let two parsers see different messages (request smuggling).
     if (name == "content-length" && at->second != value) return bad(400, "contradictory lengths");
     if (name != "content-length") at->second += ", " + value;
 }
@@ -183,7 +183,7 @@
     body_bytes_ += piece.size();
     body_ += piece;
     left_ -= piece.size();
-    // A stream's body has no end: there only what has not been taken yet is held to the bound.
+    // A streaming response has no final size, so the limit applies only to the bytes not yet taken.
     const auto held = kind_ == Kind::kRequest ? body_bytes_ : body_.size();
     if (held > bounds_.body)
         bad(413, "the body is too large");
--- a/src/parse/http.hpp
+++ b/src/parse/http.hpp
@@ -1,4 +1,4 @@
-// HTTP/1.1 messages, read as their bytes come in any pieces, and written. No input or output happens here.
+// Incremental HTTP/1.1 parser, and functions that write messages. No input or output happens here.
 #pragma once
 
 #include <cstddef>
@@ -9,11 +9,13 @@
 
 namespace pinedoor::parse {
 
+// Limits of one message, in bytes.
 struct HttpBounds {
-    std::size_t head = 16 * 1024;  // start line and headers; trailers too
-    std::size_t body = 64 * 1024;
+    std::size_t head = 16 * 1024;  // start line and headers; applies to the trailers too
+    std::size_t body = 64 * 1024;  // of a response: bytes not yet taken by take_body()
 };
 
+// Parses one request or response from bytes that arrive in pieces of any size.
 class HttpReader {
 public:
     enum class Kind { kRequest, kResponse };
@@ -21,21 +23,27 @@
 
     explicit HttpReader(Kind kind, HttpBounds bounds = {}) : kind_(kind), bounds_(bounds) {}
 
-    // Takes bytes up to the message's end or its first fault, and tells how many.
+    // Consumes bytes up to the end of the message or the first error; returns how many.
     std::size_t feed(std::string_view bytes);
 
     State state() const { return state_; }
+    // Whether the start line has been received.
     bool started() const { return started_; }
-    int fault() const { return fault_; }  // kBad: the status that tells the sender
+    // In state kBad: the HTTP status for the sender.
+    int fault() const { return fault_; }
+    // In state kBad: the reason in words.
     const std::string& why() const { return why_; }
 
     const std::string& method() const { return method_; }
     const std::string& target() const { return target_; }
     int status() const { return status_; }
+    // Null if the header is missing; the values of repeated headers are joined by commas.
     const std::string* header(const std::string& lower_case_name) const;
+    // Whether the connection stays open after this message.
     bool keeps_open() const;
     bool expects_continue() const;
-    std::string take_body() { return std::exchange(body_, {}); }  // what has come of it since
+    // Returns the body bytes that were received since the last call.
+    std::string take_body() { return std::exchange(body_, {}); }
 
 private:
     enum class Step { kStart, kHeaders, kLength, kChunkSize, kChunk, kChunkEnd, kTrailers, kDone, kBad };
@@ -59,7 +67,7 @@
     std::string line_;
     std::size_t head_bytes_ = 0;
     std::size_t body_bytes_ = 0;
-    std::size_t left_ = 0;  // of the body or the chunk
+    std::size_t left_ = 0;  // bytes of the body or the chunk
     std::string method_;
     std::string target_;
     int minor_version_ = 1;
@@ -68,7 +76,9 @@
     std::string body_;
 };
 
-bool same_word(std::string_view a, std::string_view b);  // whatever their case
+// Compares ASCII text without regard to case.
+bool same_word(std::string_view a, std::string_view b);
+// `headers` are complete lines that end with CRLF; Content-Length is added.
 std::string http_answer(int status, std::string_view headers, std::string_view body, bool close);
 std::string http_get(std::string_view target, std::string_view host);
 
--- a/src/parse/json.cpp
+++ b/src/parse/json.cpp
@@ -12,7 +12,7 @@
     return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || c == 'E' || c == '+' || c == '-' || c == '.';
 }
 
-// JSON's own grammar of numbers, which from_chars is looser than.
+// Checks the number grammar of JSON, which is stricter than that of std::from_chars.
 bool is_number(std::string_view t) {
     std::size_t i = 0;
     const auto digits = [&] {
@@ -120,7 +120,7 @@
     }
 }
 
-// True at the closing quote.
+// Returns true at the closing quote.
 bool JsonReader::take_in_string(char c) {
     if (inside_ == Inside::kEscape) {
         take_escaped(c);
@@ -207,7 +207,7 @@
     const bool end_due =
         expect_ == Expect::kCommaOrEnd || expect_ == (c == ']' ? Expect::kValueOrEnd : Expect::kNameOrEnd);
     if (levels_.empty() || !end_due || (c == ']') != (levels_.back().value.list() != nullptr)) {
-        reject("an end is out of place");
+        reject("a closing bracket is out of place");
     }
     auto value = std::move(levels_.back().value);
     levels_.pop_back();
@@ -221,7 +221,7 @@
     } else if (auto* list = levels_.back().value.list()) {
         list->push_back(std::move(value));
     } else if (!levels_.back().value.members()->emplace(levels_.back().name, std::move(value)).second) {
-        reject("a name stands twice");
+        reject("a duplicate member name");
     }
 }
 
--- a/src/parse/json.hpp
+++ b/src/parse/json.hpp
@@ -1,5 +1,5 @@
-// JSON, read as its bytes come in any pieces into a tree of values, and strings written. Depth and size are
-// bounded.
+// Incremental JSON parser with limits on depth and size, the tree of values that it builds, and a function
+// that writes strings.
 #pragma once
 
 #include <cstddef>
@@ -14,17 +14,19 @@
 
 namespace pinedoor::parse {
 
+// Thrown for malformed JSON; the message names the offset in bytes.
 struct BadJson : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
+// A JSON value. Each accessor returns null if the value has another type.
 class Json {
 public:
     using List = std::vector<Json>;
     using Members = std::map<std::string, Json, std::less<>>;
     struct Number {
         double value = 0;
-        std::string text;  // as written
+        std::string text;  // the original spelling
         bool operator==(const Number&) const = default;
     };
 
@@ -41,7 +43,8 @@
     const Members* members() const { return std::get_if<Members>(&value_); }
     Members* members() { return std::get_if<Members>(&value_); }
     bool operator==(const Json& other) const;
-    const Json* member(std::string_view name) const;  // null if there is none, or this is no object
+    // Null if this is no object or has no such member.
+    const Json* member(std::string_view name) const;
 
 private:
     std::variant<std::monostate, bool, Number, std::string, List, Members> value_;
@@ -49,20 +52,21 @@
 
 struct JsonBounds {
     std::size_t bytes = 64 * 1024;
-    std::size_t depth = 16;
+    std::size_t depth = 16;  // nested lists and objects
 };
 
+// Parses one JSON value from text that arrives in pieces of any size.
 class JsonReader {
 public:
     explicit JsonReader(JsonBounds bounds = {}) : bounds_(bounds) {}
     void feed(std::string_view bytes);  // throws BadJson
-    Json finish();                      // throws BadJson if the value is not whole
+    Json finish();                      // throws BadJson if the value is incomplete
 
 private:
     enum class Expect { kValue, kValueOrEnd, kName, kNameOrEnd, kColon, kCommaOrEnd, kNothing };
     struct Level {
         Json value;
-        std::string name;  // of the member being read
+        std::string name;  // of the member being parsed
     };
 
     void take(char c);
@@ -77,7 +81,7 @@
     [[noreturn]] void reject(const char* why) const;
 
     const JsonBounds bounds_;
-    std::size_t at_ = 0;
+    std::size_t at_ = 0;  // bytes read
     Expect expect_ = Expect::kValue;
     std::vector<Level> levels_;
     Json whole_;
@@ -85,13 +89,15 @@
     std::string text_;
     int hex_digits_ = 0;
     std::uint32_t unit_ = 0;
-    std::uint32_t high_unit_ = 0;  // first half of a pair
+    std::uint32_t high_unit_ = 0;  // first half of a surrogate pair
 };
 
 bool is_utf8(std::string_view bytes);
-// UTF-8 without control characters: what may stand in a string as it is.
+// Whether the bytes are UTF-8 without control characters: only quotes and backslashes need an escape in JSON.
 bool is_text(std::string_view bytes);
+// Parses a complete text; throws BadJson.
 Json parse_json(std::string_view text, JsonBounds bounds = {});
+// Appends the text as a JSON string, quoted and escaped.
 void append_json_string(std::string& out, std::string_view text);
 
 }  // namespace pinedoor::parse
--- a/src/parse/json_objects.cpp
+++ b/src/parse/json_objects.cpp
@@ -22,7 +22,7 @@
     return std::nullopt;
 }
 
-// One character.
+// Scans one character.
 void JsonObjects::scan() {
     const char c = held_[scanned_];
     if (depth_ == 0) {
--- a/src/parse/json_objects.hpp
+++ b/src/parse/json_objects.hpp
@@ -1,6 +1,6 @@
-// Cuts a stream of text into the JSON objects that stand in it, in whatever pieces it comes and however the
-// objects are laid out over lines. No input or output happens here, and what stands in an object is not
-// checked.
+// Splits a stream of text into its top-level JSON objects. The text may arrive in pieces of any size, and an
+// object may span several lines. No input or output happens here, and the contents of objects are not
+// validated.
 #pragma once
 
 #include <cstddef>
@@ -10,18 +10,21 @@
 
 namespace pinedoor::parse {
 
+// The splitter of one stream.
 class JsonObjects {
 public:
+    // `max_bytes` bounds the size of one object.
+
     explicit JsonObjects(std::size_t longest) : longest_(longest) {}
 
     void feed(std::string_view bytes) { held_ += bytes; }
-    // The next object that is there whole, without what stood before it. Nothing: more has to come, or the
-    // text is bad.
+    // Removes and returns the next complete object, without the white space before it. Nothing is returned if
+    // more text is needed or the text is bad().
     std::optional<std::string> next();
-    // No object has begun without its end.
+    // Whether the text received so far ends between two objects.
     bool is_between() const { return depth_ == 0 && held_.empty(); }
-    // What stands between two objects is no white space, or an object is longer than the bound: nothing that
-    // comes can be used any more.
+    // Whether there is something other than white space between two objects, or an object exceeds the size
+    // limit. All further text is then ignored.
     bool bad() const { return bad_; }
 
 private:
@@ -29,10 +32,10 @@
 
     const std::size_t longest_;
     std::string held_;
-    std::size_t scanned_ = 0;  // of what is held
-    std::size_t depth_ = 0;    // of braces and brackets that are open there
+    std::size_t scanned_ = 0;  // bytes of buffer_ that belong to the current object
+    std::size_t depth_ = 0;    // open braces and brackets of the current object
     bool in_string_ = false;
-    bool escaped_ = false;  // the last character was a backslash in a string
+    bool escaped_ = false;  // the last character was an unescaped backslash in a string
     bool bad_ = false;
 };
 
--- a/src/stated/fleet_file.cpp
+++ b/src/stated/fleet_file.cpp
@@ -29,8 +29,8 @@
 Box read_box(TomlTable table, FleetFile& file) {
     Box box;
     const auto name = table.text("name", "");
-    if (name.empty()) table.reject("name", "is missing; write the box's id in the list");
-    if (file.names.find(name)) table.reject("name", "stands for two boxes");
+    if (name.empty()) table.reject("name", "is missing; write the box's id in the server list");
+    if (file.names.find(name)) table.reject("name", "is used by two boxes");
     box.id = *file.names.number(name);
     const auto zone = table.text("zone", "");
     const auto at = std::find(file.zones.begin(), file.zones.end(), zone);
@@ -50,7 +50,7 @@
         std::vector<BoxId> found;
         for (const auto& name : table.texts(key)) {
             const auto box = names.find(name);
-            if (!box) table.reject(key, "names '" + name + "', which is no box");
+            if (!box) table.reject(key, "names '" + name + "', which is not a box of this file");
             found.push_back(*box);
         }
         return found;
--- a/src/stated/fleet_file.hpp
+++ b/src/stated/fleet_file.hpp
@@ -1,5 +1,5 @@
-// A fleet as an operator states it, for `pinedoor shards check` and `plan` (docs/placement.md has an
-// example):
+// Reads the TOML description of a fleet for `pinedoor shards check` and `plan` (example in
+// docs/placement.md):
 //
 //   [limits]   fill, near_enough, most_copies, at_once, at_once_box, sound
 //   [[boxes]]  name, zone, capacity, space, draining
@@ -15,13 +15,14 @@
 
 namespace pinedoor::stated {
 
+// The parsed fleet, with the names of its boxes and zones; a zone's number is its index in `zones`.
 struct FleetFile {
     placement::Fleet fleet;
     placement::BoxNames names;
     std::vector<std::string> zones;
 };
 
-// Throw BadStated; its text names the file, the line, the key and the mend.
+// Both throw BadStated; the message names the file, the line, the key and how to correct it.
 FleetFile read_fleet_file(const std::string& path);
 FleetFile fleet_from_text(std::string_view text, const std::string& path);
 
--- a/src/stated/installation.cpp
+++ b/src/stated/installation.cpp
@@ -12,12 +12,14 @@
 constexpr std::size_t kMb = std::size_t{1} << 20U;
 constexpr std::size_t kKb = std::size_t{1} << 10U;
 
+// Reads a time in milliseconds; store::Time is in units of 0.1 ms.
 store::Time time(TomlTable& table, const std::string& key, store::Time otherwise, double least_ms,
                  double most_ms) {
     return static_cast<store::Time>(
         table.number(key, static_cast<double>(otherwise) / 10, least_ms, most_ms) * 10);
 }
 
+// Reads a size that the file gives in multiples of `unit` bytes or items; the bounds are in that unit too.
 std::size_t size(TomlTable& table, const std::string& key, std::size_t otherwise, std::size_t unit,
                  std::int64_t least, std::int64_t most) {
     return static_cast<std::size_t>(
@@ -99,7 +101,7 @@
     terms.heat.split_above = heat.number("split_above", terms.heat.split_above, 0.1, 1e9);
     terms.heat.merge_below = heat.number("merge_below", terms.heat.merge_below, 0, 1e9);
     if (terms.heat.merge_below > 0.6 * terms.heat.split_above)
-        heat.reject("merge_below", "is above 0.6 of split_above: a split would be merged again");
+        heat.reject("merge_below", "is more than 0.6 of split_above: split shards would be merged again");
     terms.heat.look = time(heat, "look_ms", terms.heat.look, 10, 3'600'000);
     terms.heat.looks = static_cast<int>(heat.whole("looks", terms.heat.looks, 1, 1'000));
     terms.heat.rest = time(heat, "rest_ms", terms.heat.rest, 0, 86'400'000);
@@ -109,7 +111,7 @@
 
 net::Endpoint endpoint(TomlTable& table, const std::string& key, const std::string& text) {
     const auto at = net::parse_endpoint(text);
-    if (!at) table.reject(key, "is no address; write 10.0.0.7:7946");
+    if (!at) table.reject(key, "is not an address and port; write for example 10.0.0.7:7946");
     return *at;
 }
 
@@ -124,16 +126,18 @@
     if (!listen.empty()) terms.listen = terms.advertise = endpoint(table, "listen", listen);
     if (!advertise.empty()) terms.advertise = endpoint(table, "advertise", advertise);
     if (terms.on && terms.advertise.address == 0)
-        table.reject("advertise", "is missing; others cannot reach every address at once");
+        table.reject("advertise",
+                     "is missing; listen is a wildcard address, which other nodes cannot connect to");
     for (const auto& each : table.texts("seeds")) terms.seeds.push_back(endpoint(table, "seeds", each));
     terms.seeds_file = table.text("seeds_file", "");
     terms.secret = table.text("secret", "");
-    if (!terms.secret.empty() && terms.secret.size() < 16) table.reject("secret", "is under 16 characters");
+    if (!terms.secret.empty() && terms.secret.size() < 16)
+        table.reject("secret", "is shorter than 16 characters");
     terms.control = table.text("control", "");
     auto& decided = terms.membership;
     decided.period = time(table, "period_ms", decided.period, 100, 60'000);
     decided.timeout = time(table, "timeout_ms", decided.timeout, 10, 30'000);
-    if (decided.timeout * 2 > decided.period) table.reject("timeout_ms", "is over half of period_ms");
+    if (decided.timeout * 2 > decided.period) table.reject("timeout_ms", "is more than half of period_ms");
     decided.suspicion = table.number("suspicion", decided.suspicion, 1, 100);
     decided.exchange = time(table, "exchange_ms", decided.exchange, 1'000, 3'600'000);
     decided.forget = time(table, "forget_ms", decided.forget, 1'000, 86'400'000);
@@ -155,9 +159,11 @@
     verdict.share = table.number("reporters_share", verdict.share, 0, 0.5);
     verdict.lives = time(table, "verdict_ms", verdict.lives, 1'000, 600'000);
     if (terms.renew * 3 > terms.lease)
-        table.reject("renew_ms", "is over a third of lease_ms: a lost message would cost the share");
+        table.reject("renew_ms",
+                     "is more than a third of lease_ms: one lost message would let the share expire");
     terms.late = time(table, "late_ms", terms.late, 100, 600'000);
-    if (terms.lease > terms.vote) table.reject("lease_ms", "is over vote_ms: shares end before the votes do");
+    if (terms.lease > terms.vote)
+        table.reject("lease_ms", "is more than vote_ms: shares must end before the votes do");
     for (auto& each : table.tables("limits")) {
         fleet::LimitTerms limit;
         limit.name = each.text("name", "");
@@ -172,20 +178,21 @@
             if (of == fleet::name_of(what)) limit.of = what;
         }
         if (limit.of != Of::kMultigets && !(limit.tenant + limit.op_type).empty())
-            each.reject(limit.tenant.empty() ? "op_type" : "tenant", "goes with a limit of multigets only");
+            each.reject(limit.tenant.empty() ? "op_type" : "tenant",
+                        "is allowed only for limits of multigets");
         const bool at_once = limit.of == Of::kPartsOut;
         limit.per_second = each.number(at_once ? "at_once" : "per_second", 0, 0, 1e9);
         if (limit.per_second <= 0)
             each.reject(at_once ? "at_once" : "per_second",
-                        "is missing; write how many of them all front nodes together may have");
+                        "is missing; write the limit of all front nodes together");
         if (!at_once) limit.burst = each.number("burst", limit.per_second / 10, 0, 1e9);
         using Kind = fleet::LimitTerms::Kind;
         const auto kind = each.word("kind", {"never-over", "about", "alone"});
         limit.kind = kind == "about" ? Kind::kAbout : kind == "alone" ? Kind::kAlone : Kind::kNeverOver;
         if (at_once && limit.kind == Kind::kNeverOver)
             each.reject("kind",
-                        "must be \"about\" or \"alone\" here: a part that is out outlives the share that it "
-                        "was sent by");
+                        "must be \"about\" or \"alone\" here: an outstanding part can outlive the share "
+                        "under which it was sent");
         each.finish();
         terms.limits.push_back(std::move(limit));
     }
@@ -195,15 +202,15 @@
                           [kind](const auto& each) { return each.kind == kind; }));
     };
     if (count(fleet::LimitTerms::Kind::kAbout) > fleet::kMostAbout)
-        table.reject("limits", "are over twenty that hold about");
+        table.reject("limits", "has more than twenty entries of kind \"about\"");
     if (terms.on && !peers && terms.needs_peers())
         table.reject("on",
-                     "needs [peers] but for limits of kind \"alone\": shares go among front nodes that know "
-                     "each other");
+                     "needs [peers] unless all limits are of kind \"alone\": peers divide the other limits "
+                     "among themselves");
     const auto voters = terms.voters.size();
     if (terms.on && (count(fleet::LimitTerms::Kind::kNeverOver) > 0 || voters > 0) &&
         (voters % 2 == 0 || voters > 7))
-        table.reject("voters", "must be 1, 3, 5 or 7 names of front nodes, the same at all");
+        table.reject("voters", "must be 1, 3, 5 or 7 names of front nodes, the same on all of them");
     table.finish();
 }
 
--- a/src/stated/installation.hpp
+++ b/src/stated/installation.hpp
@@ -1,5 +1,6 @@
-// What an installation states for pinedoor alone, as TOML (deploy/pinedoor.toml lists every key). The
-// platform's own configuration stays JSON (launch.hpp). Without a file all of it is off.
+// Reads pinedoor's own settings file, which is TOML (deploy/pinedoor.toml lists every key). The configuration
+// that the platform provides is JSON (launch.hpp). Without a settings file all features configured here are
+// off.
 #pragma once
 
 #include <string>
@@ -13,11 +14,13 @@
 
 namespace pinedoor::stated {
 
+// The log's format and minimum level, spelled as in the file.
 struct LogWords {
     std::string format = "pairs";
     std::string level = "info";
 };
 
+// The settings file, parsed and checked.
 struct Installation {
     LogWords log;
     store::StoreTerms store;
@@ -25,7 +28,7 @@
     peers::PeerTerms peers;
     fleet::FleetTerms fleet;
 
-    // Throw BadStated; its text names the file, the line, the key and the mend.
+    // Both throw BadStated; the message names the file, the line, the key and how to correct it.
     static Installation read_file(const std::string& path);
     static Installation from_text(std::string_view text, const std::string& path);
 };
--- a/src/stated/launch.cpp
+++ b/src/stated/launch.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t kLargestFile = std::size_t{8} << 20U;
-constexpr double kLeastSockets = 20;  // the reserve, and two for each side
+constexpr double kLeastSockets = 20;  // the reserve, and two each for client and server connections
 constexpr double kLeastMemoryMb = 4;
 
 const parse::Json& member(const parse::Json& in, const std::string& path, const std::string& name) {
@@ -87,7 +87,7 @@
     const auto& limits = member(file, "limits", "limits");
     sockets_ = static_cast<std::size_t>(limit_of(limits, "sockets", kLeastSockets));
     memory_ = static_cast<std::size_t>(limit_of(limits, "memory_mb", kLeastMemoryMb) * (1 << 20));
-    // The seed is new with each start, and the known list is of the start alone.
+    // The seed differs at each start, and the known list is used only at start, so neither is compared.
     for (const char* key : {"name", "listen", "limits", "settings"}) lasting_[key] = *file.member(key);
 }
 
--- a/src/stated/launch.hpp
+++ b/src/stated/launch.hpp
@@ -1,4 +1,5 @@
-// What a front node is told at its start: the file that ROUTER_CONFIG names, and the variables beside it.
+// Reads the configuration that the platform gives a front node at start: the JSON file named by
+// ROUTER_CONFIG, and the environment variables that override parts of it.
 #pragma once
 
 #include <cstdint>
@@ -13,25 +14,26 @@
 
 namespace pinedoor::stated {
 
-// Every key is checked here, at once; a fault throws BadStated, whose text names the key.
+// The launch configuration. All keys are checked on construction, which throws BadStated with the key's name.
 class Launch {
 public:
-    using Variable = std::function<const char*(const char* name)>;  // null: not set
+    // Returns the value of an environment variable, or null if it is not set.
+    using Variable = std::function<const char*(const char* name)>;
 
     static Launch read(const Variable& variable);
     Launch(const parse::Json& file, const Variable& variable);
 
-    // The same file, as it is now. The variables do not count any more: they hold what was told at the start,
-    // and would hide what the file now says.
+    // Reads the same file again. Environment variables are ignored then: they hold the values of the start
+    // and would hide changes in the file.
     Launch read_again() const;
-    // What the newer file says otherwise that this process cannot change while it runs.
+    // The keys that differ in `newer` and take effect only after a restart.
     std::vector<std::string> needing_restart(const Launch& newer) const;
 
     const std::string& name() const { return name_; }
     net::Endpoint listen() const { return listen_; }
     net::Endpoint discovery() const { return discovery_; }
     std::uint64_t seed() const { return seed_; }
-    std::size_t sockets() const { return sockets_; }  // descriptors this process may hold
+    std::size_t sockets() const { return sockets_; }  // the number of descriptors that this process may hold
     std::size_t memory() const { return memory_; }    // bytes
     const parse::Json& known() const { return known_; }
     const Stated& settings() const { return settings_; }
@@ -40,7 +42,7 @@
     static Launch read_file(const std::string& path, const Variable& variable);
 
     std::string path_;
-    std::map<std::string, parse::Json> lasting_;  // keys of the file that hold for the process's life
+    std::map<std::string, parse::Json> lasting_;  // those that cannot change while the process runs
     std::string name_;
     net::Endpoint listen_;
     net::Endpoint discovery_;
--- a/src/stated/stated.cpp
+++ b/src/stated/stated.cpp
@@ -46,8 +46,8 @@
     return stated;
 }
 
-// Nested JSON takes the form of the simulator's text: lists of plain values are joined by commas, lists of
-// objects get a count, and names are the path to a value.
+// Converts nested JSON to the form of the simulator's text: names are joined to paths, lists of plain values
+// are joined by commas, and each list gets a count.
 void Stated::flatten(const std::string& path, const parse::Json& value) {
     if (const auto* members = value.members()) {
         for (const auto& [name, member] : *members) flatten(path.empty() ? name : path + '.' + name, member);
@@ -148,7 +148,7 @@
         } else if (effect == "guarded") {
             type.repeat = Repeat::kDeduped;
             type.dedup_window = time(at + "memory_span_ms");
-            // A part may go again to any holder of its shard: each of them has to know the repeat.
+            // A further send may go to any replica of the shard, so all replicas have to detect the repeat.
             if (const auto* scope = find(at + "dedup_scope"); scope != nullptr && *scope != "all") {
                 throw BadStated("settings: " + at + "dedup_scope is not served: '" + *scope + "'");
             }
--- a/src/stated/stated.hpp
+++ b/src/stated/stated.hpp
@@ -1,5 +1,5 @@
-// Reads what is stated, as the simulator's text (path=value lines) or as JSON, and hands out each group of
-// figures.
+// Reads the deployment's settings, from the simulator's text (path=value lines) or from JSON, and returns
+// them in typed groups.
 #pragma once
 
 #include <cstddef>
@@ -14,11 +14,13 @@
 
 namespace pinedoor::stated {
 
+// Thrown for any invalid configuration; the message names the key.
 struct BadStated : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// Every path that is asked for must hold a value of its kind; paths that nobody asks for are ignored.
+// The settings as paths and values. Each accessor throws BadStated if a path that it needs is missing or
+// invalid; other paths are ignored.
 class Stated {
 public:
     static Stated from_text(std::string_view text);
@@ -35,7 +37,7 @@
     std::vector<TenantShare> tenants() const;
     HintTerms hint_terms() const;
 
-    // What only the sockets need.
+    // Used only by the network code.
     std::vector<std::string> op_type_names() const;
     std::vector<std::string> tenant_names() const;
     std::vector<std::string> zone_names() const;
--- a/src/stated/toml_table.cpp
+++ b/src/stated/toml_table.cpp
@@ -7,7 +7,7 @@
 namespace pinedoor::stated {
 namespace {
 
-// How many letters must be changed, added or taken out to make one word of the other.
+// Returns the Levenshtein distance of two words.
 std::size_t distance(std::string_view a, std::string_view b) {
     std::vector<std::size_t> row(b.size() + 1);
     std::iota(row.begin(), row.end(), 0U);
--- a/src/stated/toml_table.hpp
+++ b/src/stated/toml_table.hpp
@@ -1,5 +1,5 @@
-// One table of a TOML file, read key by key. Whoever reads it names every key that it knows, then calls
-// finish(), which refuses all others with the nearest known one.
+// Reads one table of a TOML file. The reader requests every key that it knows and then calls finish(), which
+// rejects any other key and suggests the nearest known one.
 #pragma once
 
 #include <toml++/toml.h>
@@ -13,38 +13,43 @@
 
 namespace pinedoor::stated {
 
-toml::table parse_toml(std::string_view text, const std::string& path);  // throws BadStated
+// Throws BadStated; `path` is the file's name in messages.
+toml::table parse_toml(std::string_view text, const std::string& path);
 
+// A table that must outlive this object, its path in the file and the keys that have been requested.
 class TomlTable {
 public:
     TomlTable(const toml::table& table, std::string path, std::string file)
         : table_(table), path_(std::move(path)), file_(std::move(file)) {}
 
-    // The value, or `otherwise` where the key is not there; throw BadStated for another type or out of range.
+    // These return the value, or `default_value` if the key is missing. They throw BadStated if the value has
+    // another type or is out of range.
     std::string text(const std::string& key, const std::string& otherwise);
-    std::string word(const std::string& key, const std::vector<std::string>& allowed);  // otherwise the first
+    std::string word(const std::string& key, const std::vector<std::string>& allowed);  // default: the first
     double number(const std::string& key, double otherwise, double least, double most);
     std::int64_t whole(const std::string& key, std::int64_t otherwise, std::int64_t least, std::int64_t most);
     std::vector<std::string> texts(const std::string& key);
     bool flag(const std::string& key, bool otherwise);
-    std::vector<double> numbers(const std::string& key);    // empty if it is no list
-    TomlTable table(const std::string& key);                // empty if it is not there
-    std::vector<TomlTable> tables(const std::string& key);  // of [[key]]
+    std::vector<double> numbers(const std::string& key);    // empty if the key is missing or no list
+    TomlTable table(const std::string& key);                // empty if the key is missing
+    std::vector<TomlTable> tables(const std::string& key);  // the tables of [[key]]
     bool holds_table(const std::string& key) const {
         return table_.get(key) != nullptr && table_.get(key)->is_table();
     }
-    void forget(const std::string& key) { known_.insert(key); }  // it is known, and not asked for
+    void forget(const std::string& key) { known_.insert(key); }  // accepts the key without reading it
 
-    std::vector<std::string> keys() const;  // as written
+    std::vector<std::string> keys() const;  // as spelled in the file
     bool has(const std::string& key) const { return table_.contains(key); }
-    void finish() const;  // throws BadStated for a key that nobody asked for
+    // Throws BadStated if the table has a key that was not requested.
+    void finish() const;
+    // Throws BadStated with the file, the line and the key's path before the reason.
     [[noreturn]] void reject(const std::string& key, const std::string& why) const;
 
 private:
     const toml::node* find(const std::string& key);
 
     const toml::table& table_;
-    const std::string path_;  // "store.write.", or empty
+    const std::string path_;  // prefix of the keys in messages: "store.write.", or empty
     const std::string file_;
     std::set<std::string> known_;
 };
