--- a/src/net/buffer.hpp
+++ b/src/net/buffer.hpp
@@ -22,7 +22,7 @@
         begin_ += count;
         if (begin_ != end_) return;
         begin_ = end_ = 0;
-        if (bytes_.size() > kSmall) std::vector<char>().swap(bytes_);  // keeps idle connections small
+        if (bytes_.size() > kInitialBytes) std::vector<char>().swap(bytes_);  // keeps idle connections small
     }
 
     // Returns at least kMinFreeBytes of writable space behind the held bytes; compacts or grows the buffer.
@@ -32,15 +32,16 @@
             end_ -= begin_;
             begin_ = 0;
         }
-        if (bytes_.size() - end_ < kLeastRoom) bytes_.resize(bytes_.empty() ? kSmall : bytes_.size() * 2);
+        if (bytes_.size() - end_ < kMinFreeBytes)
+            bytes_.resize(bytes_.empty() ? kInitialBytes : bytes_.size() * 2);
         return {bytes_.data() + end_, bytes_.size() - end_};
     }
     // Appends the first `count` bytes of the space returned by room().
     void filled(std::size_t count) { end_ += count; }
 
 private:
-    static constexpr std::size_t kSmall = 4096;
-    static constexpr std::size_t kLeastRoom = 1024;
+    static constexpr std::size_t kInitialBytes = 4096;
+    static constexpr std::size_t kMinFreeBytes = 1024;
 
     std::vector<char> bytes_;
     std::size_t begin_ = 0;
--- a/src/net/scheduler.cpp
+++ b/src/net/scheduler.cpp
@@ -13,15 +13,15 @@
 namespace pinedoor::net {
 namespace {
 
-constexpr std::int64_t kNanosPerTick = 100'000;
+constexpr std::int64_t kNanosecondsPerTick = 100'000;
 
-std::int64_t steady_nanos() {
+std::int64_t steady_clock_nanos() {
     return std::chrono::duration_cast<std::chrono::nanoseconds>(
                std::chrono::steady_clock::now().time_since_epoch())
         .count();
 }
 
-Moment wall_ticks() {
+Moment wall_clock_ticks() {
     return std::chrono::duration_cast<std::chrono::microseconds>(
                std::chrono::system_clock::now().time_since_epoch())
                .count() /
@@ -90,28 +90,31 @@
 }
 
 Scheduler::Scheduler()
-    : epoll_(epoll_create1(EPOLL_CLOEXEC)), wall_at_start_(wall_ticks()), steady_at_start_(steady_nanos()) {
+    : epoll_(epoll_create1(EPOLL_CLOEXEC)), wall_at_start_(wall_clock_ticks()),
+      steady_at_start_(steady_clock_nanos()) {
     if (!epoll_) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
 
-Moment wall_clock() { return wall_ticks(); }
+Moment wall_clock() { return wall_clock_ticks(); }
 
-Moment Scheduler::now() const { return wall_at_start_ + (steady_nanos() - steady_at_start_) / kNanosPerTick; }
+Moment Scheduler::now() const {
+    return wall_at_start_ + (steady_clock_nanos() - steady_at_start_) / kNanosecondsPerTick;
+}
 
 void Scheduler::run(const std::function<bool()>& until) {
     while (!until()) {
         Moment next = timers_.empty() ? kNever : timers_.begin()->first;
         if (!ready_.empty() || !deferred_.empty()) next = 0;
         poll(next);
-        const Moment began = now();
-        while (!timers_.empty() && timers_.begin()->first <= began) {
+        const Moment round_start = now();
+        while (!timers_.empty() && timers_.begin()->first <= round_start) {
             auto* waiter = timers_.begin()->second;
             timers_.erase(timers_.begin());
             waiter->signal();
         }
         resume_ready();
         run_deferred();
-        longest_round_ = std::max(longest_round_, now() - began);
+        longest_round_ = std::max(longest_round_, now() - round_start);
     }
 }
 
@@ -120,7 +123,7 @@
     timespec timeout{};
     timespec* limit = nullptr;
     if (until != kNever) {
-        const auto nanos = std::max<std::int64_t>(0, until - now()) * kNanosPerTick;
+        const auto nanos = std::max<std::int64_t>(0, until - now()) * kNanosecondsPerTick;
         timeout = {nanos / 1'000'000'000, nanos % 1'000'000'000};
         limit = &timeout;
     }
@@ -141,7 +144,7 @@
 
 void Scheduler::resume_ready() {
     // Handles only the waiters that are queued now: a coroutine that signals itself must not delay the poll.
-    for (auto left = ready_.size(); left > 0; --left) {
+    for (auto remaining = ready_.size(); remaining > 0; --remaining) {
         const auto [index, generation] = ready_.front();
         ready_.pop_front();
         auto* waiter = slots_[index].waiter;
@@ -155,7 +158,7 @@
 }
 
 void Scheduler::run_deferred() {
-    for (const auto& what : std::exchange(deferred_, {})) what();
+    for (const auto& action : std::exchange(deferred_, {})) action();
 }
 
 }  // namespace pinedoor::net
--- a/src/net/scheduler.hpp
+++ b/src/net/scheduler.hpp
@@ -155,7 +155,7 @@
     // Runs rounds until `until`, which is called before each, returns true.
     void run(const std::function<bool()>& until);
     // Runs `action` at the end of the current round, outside all coroutines.
-    void defer(std::function<void()> what) { deferred_.push_back(std::move(what)); }
+    void defer(std::function<void()> action) { deferred_.push_back(std::move(action)); }
     // The longest round so far, without the wait in epoll.
     Moment longest_round() const { return longest_round_; }
 
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -31,11 +31,11 @@
 
 // The kernel picks a free local port for an outgoing connection. If the destination is a port of this host on
 // which no socket listens, it may pick that very port, and TCP then connects the socket to itself.
-bool has_reached_itself(const Fd& fd, const sockaddr_in& other_end) {
-    sockaddr_in own{};
-    socklen_t size = sizeof own;
-    return getsockname(fd.get(), reinterpret_cast<sockaddr*>(&own), &size) == 0 &&
-           own.sin_port == other_end.sin_port && own.sin_addr.s_addr == other_end.sin_addr.s_addr;
+bool is_self_connection(const Fd& fd, const sockaddr_in& destination) {
+    sockaddr_in local{};
+    socklen_t size = sizeof local;
+    return getsockname(fd.get(), reinterpret_cast<sockaddr*>(&local), &size) == 0 &&
+           local.sin_port == destination.sin_port && local.sin_addr.s_addr == destination.sin_addr.s_addr;
 }
 
 Fd open_socket() { return Fd(system_calls::open_socket(AF_INET, SOCK_STREAM)); }
@@ -90,7 +90,7 @@
         system_calls::connect_socket(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
     // A connect that a signal interrupts continues asynchronously (POSIX, connect).
     if (done != 0 && errno != EINPROGRESS && errno != EINTR) return {Fd{}, errno};
-    if (has_reached_itself(fd, address)) return {Fd{}, ECONNREFUSED};
+    if (is_self_connection(fd, address)) return {Fd{}, ECONNREFUSED};
     return {std::move(fd), 0};
 }
 
--- a/src/net/system_calls.cpp
+++ b/src/net/system_calls.cpp
@@ -15,7 +15,7 @@
     return ::getsockopt(fd, SOL_SOCKET, SO_ERROR, error, &size);
 }
 
-ssize_t receive(int fd, void* into, std::size_t size) { return ::recv(fd, into, size, 0); }
+ssize_t receive(int fd, void* buffer, std::size_t size) { return ::recv(fd, buffer, size, 0); }
 
 ssize_t transmit(int fd, const void* from, std::size_t size) { return ::send(fd, from, size, MSG_NOSIGNAL); }
 
@@ -23,8 +23,8 @@
     return ::epoll_ctl(epoll, EPOLL_CTL_ADD, fd, event);
 }
 
-int wait_on_epoll(int epoll, epoll_event* events, int most, const timespec* timeout) {
-    return ::epoll_pwait2(epoll, events, most, timeout, nullptr);
+int wait_on_epoll(int epoll, epoll_event* events, int max_events, const timespec* timeout) {
+    return ::epoll_pwait2(epoll, events, max_events, timeout, nullptr);
 }
 
 }  // namespace pinedoor::net::system_calls
--- a/src/net/worker.hpp
+++ b/src/net/worker.hpp
@@ -16,7 +16,7 @@
 class Worker {
 public:
     // At most `max_queued` jobs may be queued, not counting the one that runs.
-    Worker(Scheduler& scheduler, std::size_t most);
+    Worker(Scheduler& scheduler, std::size_t max_queued);
     // Waits for the job that runs. Queued jobs are dropped, and no more completion callbacks are called.
     ~Worker();
     Worker(const Worker&) = delete;
@@ -24,27 +24,27 @@
 
     // `job` runs on the worker thread and must not throw; `on_complete` then runs on the scheduler's thread,
     // from its loop. Returns false if the queue is full; then neither runs.
-    bool submit(std::function<void()> job, std::function<void()> ended);
+    bool submit(std::function<void()> job, std::function<void()> on_complete);
 
 private:
-    struct Work {
+    struct Job {
         std::function<void()> job;
-        std::function<void()> ended;
+        std::function<void()> on_complete;
     };
 
     void run();
-    Task heed();
+    Task run_callbacks();
 
-    const std::size_t most_;
-    const Fd told_;  // signalled when a job has completed
+    const std::size_t max_queued_;
+    const Fd event_fd_;  // signalled when a job has completed
     std::mutex mutex_;
-    std::condition_variable has_work_;
-    std::deque<Work> queued_;
-    std::deque<std::function<void()>> ended_;
+    std::condition_variable work_available_;
+    std::deque<Job> queue_;
+    std::deque<std::function<void()>> completed_;
     bool stopping_ = false;
     Waiter waiter_;
     std::thread thread_;
-    Task task_;  // destroyed first, since it waits on waiter_
+    Task completion_task_;  // destroyed first, since it waits on waiter_
 };
 
 }  // namespace pinedoor::net
--- a/src/parse/frame.cpp
+++ b/src/parse/frame.cpp
@@ -16,36 +16,36 @@
 
 }  // namespace
 
-FrameScan scan_frame(std::string_view bytes, std::size_t most) {
+FrameScan scan_frame(std::string_view bytes, std::size_t max_length) {
     if (bytes.size() < kLengthBytes) return {};
     std::size_t length = 0;
     for (std::size_t i = kLengthBytes; i-- > 0;) {
         length = (length << 8U) | static_cast<unsigned char>(bytes[i]);
     }
-    if (length == 0 || length > most) return {FrameScan::State::kBad, 0, {}, 0};
+    if (length == 0 || length > max_length) return {FrameScan::State::kBad, 0, {}, 0};
     if (bytes.size() - kLengthBytes < length) return {};
     const auto body = bytes.substr(kLengthBytes, length);
     return {FrameScan::State::kFrame, body.front(), body.substr(1), kLengthBytes + length};
 }
 
-std::optional<Result> parse_result(std::string_view rest) {
-    const auto line_end = rest.find('\n');
+std::optional<Result> parse_result(std::string_view payload) {
+    const auto line_end = payload.find('\n');
     if (line_end == std::string_view::npos) return std::nullopt;
-    auto line = rest.substr(0, line_end);
+    auto line = payload.substr(0, line_end);
     Result result;
     result.id = next_word(line);
-    const auto end = next_word(line);
+    const auto status = next_word(line);
     const auto score = next_word(line);
     result.report = line;  // parsed by the caller; a malformed report does not invalidate the result
-    result.value = rest.substr(line_end + 1);
-    if (result.id.empty() || score.empty() || !is_text(result.value)) return std::nullopt;
-    if (end == "done")
+    result.value = payload.substr(line_end + 1);
+    if (result.id.empty() || score.empty() || !is_printable_utf8(result.value)) return std::nullopt;
+    if (status == "done")
         result.end = ResultEnd::kDone;
-    else if (end == "failed")
+    else if (status == "failed")
         result.end = ResultEnd::kFailed;
-    else if (end == "full")
+    else if (status == "full")
         result.end = ResultEnd::kFull;
-    else if (end == "moved")
+    else if (status == "moved")
         result.end = ResultEnd::kMoved;
     else
         return std::nullopt;
--- a/src/parse/frame.hpp
+++ b/src/parse/frame.hpp
@@ -19,7 +19,7 @@
 };
 
 // `max_length` bounds the type letter and the payload together, in bytes.
-FrameScan scan_frame(std::string_view bytes, std::size_t most);
+FrameScan scan_frame(std::string_view bytes, std::size_t max_length);
 
 // How an index server ended a part. kMoved occurs only with a shard map (docs/placement.md); the value of
 // such a result is an epoch.
@@ -34,7 +34,7 @@
 };
 
 // Parses the payload of a result frame; std::nullopt if it is malformed or the value is not printable UTF-8.
-std::optional<Result> parse_result(std::string_view rest);
+std::optional<Result> parse_result(std::string_view payload);
 
 // Starts a frame of this type. end_frame() fills in its length after the payload has been appended.
 std::string begin_frame(char letter);
--- a/src/parse/http.cpp
+++ b/src/parse/http.cpp
@@ -6,7 +6,7 @@
 namespace pinedoor::parse {
 namespace {
 
-char lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
+char to_lower(char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; }
 
 bool is_token(std::string_view text) {
     return !text.empty() && std::all_of(text.begin(), text.end(), [](char c) {
@@ -21,21 +21,21 @@
     return text;
 }
 
-bool to_size(std::string_view text, int base, std::size_t& value) {
+bool parse_size(std::string_view text, int base, std::size_t& value) {
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
     return error == std::errc{} && end == text.data() + text.size() && !text.empty();
 }
 
-bool has_word(std::string_view list, std::string_view word) {
+bool list_contains(std::string_view list, std::string_view word) {
     while (!list.empty()) {
         const auto end = std::min(list.find(','), list.size());
-        if (same_word(trimmed(list.substr(0, end)), word)) return true;
+        if (equals_ignore_case(trimmed(list.substr(0, end)), word)) return true;
         list.remove_prefix(std::min(end + 1, list.size()));
     }
     return false;
 }
 
-const char* reason(int status) {
+const char* reason_phrase(int status) {
     switch (status) {
         case 200: return "OK";
         case 400: return "Bad Request";
@@ -55,9 +55,9 @@
 
 }  // namespace
 
-bool same_word(std::string_view a, std::string_view b) {
+bool equals_ignore_case(std::string_view a, std::string_view b) {
     return std::equal(a.begin(), a.end(), b.begin(), b.end(),
-                      [](char x, char y) { return lower(x) == lower(y); });
+                      [](char x, char y) { return to_lower(x) == to_lower(y); });
 }
 
 std::size_t HttpReader::feed(std::string_view bytes) {
@@ -65,15 +65,15 @@
     while (used < bytes.size() && step_ != Step::kDone && step_ != Step::kBad) {
         const auto rest = bytes.substr(used);
         if (step_ == Step::kLength || step_ == Step::kChunk) {
-            used += take_body_bytes(rest);
+            used += append_body(rest);
             continue;
         }
         const auto end = rest.find('\n');
         const auto piece = rest.substr(0, end == std::string_view::npos ? rest.size() : end + 1);
         used += piece.size();
         head_bytes_ += piece.size();
-        if (head_bytes_ > bounds_.head) {
-            bad(431, "the head is too large");
+        if (head_bytes_ > limits_.head) {
+            fail(431, "the head is too large");
             break;
         }
         line_ += piece;
@@ -81,25 +81,25 @@
         line_.pop_back();
         if (!line_.empty() && line_.back() == '\r') line_.pop_back();
         const auto line = std::exchange(line_, {});
-        take_line(line);
+        parse_line(line);
     }
     return used;
 }
 
-void HttpReader::take_line(std::string_view line) {
+void HttpReader::parse_line(std::string_view line) {
     if (line.find('\r') != std::string_view::npos || line.find('\0') != std::string_view::npos) {
-        return bad(400, "a stray control character");
+        return fail(400, "a stray control character");
     }
     switch (step_) {
         case Step::kStart:
             if (line.empty() && !started_) return;  // an empty line between two messages is allowed
-            return take_start(line);
-        case Step::kHeaders: return line.empty() ? end_head() : take_header(line);
-        case Step::kChunkSize: return take_chunk_size(line);
+            return parse_start_line(line);
+        case Step::kHeaders: return line.empty() ? end_head() : parse_header(line);
+        case Step::kChunkSize: return parse_chunk_size(line);
         case Step::kChunkEnd:
-            if (!line.empty()) return bad(400, "a chunk is longer than its size");
-            return go(Step::kChunkSize);
-        case Step::kTrailers: return line.empty() ? go(Step::kDone) : void();
+            if (!line.empty()) return fail(400, "a chunk is longer than its size");
+            return set_step(Step::kChunkSize);
+        case Step::kTrailers: return line.empty() ? set_step(Step::kDone) : void();
         case Step::kLength:
         case Step::kChunk:
         case Step::kDone:
@@ -107,46 +107,46 @@
     }
 }
 
-void HttpReader::take_start(std::string_view line) {
+void HttpReader::parse_start_line(std::string_view line) {
     started_ = true;
     const auto first = line.find(' ');
     const auto second = first == std::string_view::npos ? first : line.find(' ', first + 1);
     std::string_view version;
     if (kind_ == Kind::kRequest) {
         if (second == std::string_view::npos || line.find(' ', second + 1) != std::string_view::npos) {
-            return bad(400, "no request line");
+            return fail(400, "no request line");
         }
         method_ = line.substr(0, first);
         target_ = line.substr(first + 1, second - first - 1);
         version = line.substr(second + 1);
-        if (!is_token(method_) || target_.empty()) return bad(400, "no request line");
+        if (!is_token(method_) || target_.empty()) return fail(400, "no request line");
     } else {
         version = line.substr(0, std::min(first, line.size()));
         std::size_t status = 0;
         const auto code = first == std::string_view::npos ? "" : line.substr(first + 1, 3);
-        if (!to_size(code, 10, status) || status < 100) return bad(400, "no status line");
+        if (!parse_size(code, 10, status) || status < 100) return fail(400, "no status line");
         status_ = static_cast<int>(status);
     }
     if (version != "HTTP/1.1" && version != "HTTP/1.0") {
-        return bad(version.starts_with("HTTP/") ? 505 : 400, "not HTTP/1.1");
+        return fail(version.starts_with("HTTP/") ? 505 : 400, "not HTTP/1.1");
     }
     minor_version_ = version.back() - '0';
-    go(Step::kHeaders);
+    set_step(Step::kHeaders);
 }
 
-void HttpReader::take_header(std::string_view line) {
+void HttpReader::parse_header(std::string_view line) {
     const auto colon = line.find(':');
     if (colon == std::string_view::npos || !is_token(line.substr(0, colon))) {
-        return bad(400, "a malformed header");
+        return fail(400, "a malformed header");
     }
     std::string name(line.substr(0, colon));
-    std::transform(name.begin(), name.end(), name.begin(), lower);
+    std::transform(name.begin(), name.end(), name.begin(), to_lower);
     const std::string value(trimmed(line.substr(colon + 1)));
-    const auto [at, is_new] = headers_.emplace(name, value);
+    const auto [entry, is_new] = headers_.emplace(name, value);
     if (is_new) return;
     // Conflicting lengths would let two parsers see different messages (request smuggling).
-    if (name == "content-length" && at->second != value) return bad(400, "contradictory lengths");
-    if (name != "content-length") at->second += ", " + value;
+    if (name == "content-length" && entry->second != value) return fail(400, "contradictory lengths");
+    if (name != "content-length") entry->second += ", " + value;
 }
 
 void HttpReader::end_head() {
@@ -154,51 +154,51 @@
     const auto* coding = header("transfer-encoding");
     const auto* length = header("content-length");
     if (kind_ == Kind::kResponse && (status_ < 200 || status_ == 204 || status_ == 304)) {
-        return go(Step::kDone);
+        return set_step(Step::kDone);
     }
     if (coding != nullptr) {
-        if (length != nullptr || minor_version_ == 0) return bad(400, "contradictory lengths");
-        if (!same_word(*coding, "chunked")) return bad(501, "an unknown transfer coding");
-        return go(Step::kChunkSize);
+        if (length != nullptr || minor_version_ == 0) return fail(400, "contradictory lengths");
+        if (!equals_ignore_case(*coding, "chunked")) return fail(501, "an unknown transfer coding");
+        return set_step(Step::kChunkSize);
     }
     if (length == nullptr) {
-        if (kind_ == Kind::kResponse) return bad(400, "a body without a length");
-        return go(Step::kDone);
+        if (kind_ == Kind::kResponse) return fail(400, "a body without a length");
+        return set_step(Step::kDone);
     }
-    if (!to_size(*length, 10, left_)) return bad(400, "a malformed length");
-    if (left_ > bounds_.body) return bad(413, "the body is too large");
-    go(left_ == 0 ? Step::kDone : Step::kLength);
+    if (!parse_size(*length, 10, remaining_)) return fail(400, "a malformed length");
+    if (remaining_ > limits_.body) return fail(413, "the body is too large");
+    set_step(remaining_ == 0 ? Step::kDone : Step::kLength);
 }
 
-void HttpReader::take_chunk_size(std::string_view line) {
+void HttpReader::parse_chunk_size(std::string_view line) {
     const auto size = trimmed(line.substr(0, std::min(line.find(';'), line.size())));
-    if (!to_size(size, 16, left_)) return bad(400, "a malformed chunk size");
-    if (left_ > bounds_.body) return bad(413, "the body is too large");
+    if (!parse_size(size, 16, remaining_)) return fail(400, "a malformed chunk size");
+    if (remaining_ > limits_.body) return fail(413, "the body is too large");
     head_bytes_ = 0;
-    go(left_ == 0 ? Step::kTrailers : Step::kChunk);
+    set_step(remaining_ == 0 ? Step::kTrailers : Step::kChunk);
 }
 
-std::size_t HttpReader::take_body_bytes(std::string_view bytes) {
-    const auto piece = bytes.substr(0, std::min(left_, bytes.size()));
+std::size_t HttpReader::append_body(std::string_view bytes) {
+    const auto piece = bytes.substr(0, std::min(remaining_, bytes.size()));
     body_bytes_ += piece.size();
     body_ += piece;
-    left_ -= piece.size();
+    remaining_ -= piece.size();
     // A streaming response has no final size, so the limit applies only to the bytes not yet taken.
-    const auto held = kind_ == Kind::kRequest ? body_bytes_ : body_.size();
-    if (held > bounds_.body)
-        bad(413, "the body is too large");
-    else if (left_ == 0)
-        go(step_ == Step::kLength ? Step::kDone : Step::kChunkEnd);
+    const auto body_size = kind_ == Kind::kRequest ? body_bytes_ : body_.size();
+    if (body_size > limits_.body)
+        fail(413, "the body is too large");
+    else if (remaining_ == 0)
+        set_step(step_ == Step::kLength ? Step::kDone : Step::kChunkEnd);
     return piece.size();
 }
 
-void HttpReader::bad(int status, const char* why) {
-    fault_ = status;
-    why_ = why;
-    go(Step::kBad);
+void HttpReader::fail(int status, const char* text) {
+    error_status_ = status;
+    error_text_ = text;
+    set_step(Step::kBad);
 }
 
-void HttpReader::go(Step step) {
+void HttpReader::set_step(Step step) {
     step_ = step;
     if (step == Step::kDone)
         state_ = State::kDone;
@@ -215,17 +215,17 @@
 
 bool HttpReader::keeps_open() const {
     const auto* connection = header("connection");
-    if (connection != nullptr && has_word(*connection, "close")) return false;
-    return minor_version_ == 1 || (connection != nullptr && has_word(*connection, "keep-alive"));
+    if (connection != nullptr && list_contains(*connection, "close")) return false;
+    return minor_version_ == 1 || (connection != nullptr && list_contains(*connection, "keep-alive"));
 }
 
 bool HttpReader::expects_continue() const {
     const auto* expect = header("expect");
-    return expect != nullptr && same_word(*expect, "100-continue");
+    return expect != nullptr && equals_ignore_case(*expect, "100-continue");
 }
 
 std::string http_answer(int status, std::string_view headers, std::string_view body, bool close) {
-    std::string out = "HTTP/1.1 " + std::to_string(status) + ' ' + reason(status) + "\r\n";
+    std::string out = "HTTP/1.1 " + std::to_string(status) + ' ' + reason_phrase(status) + "\r\n";
     out += headers;
     if (close) out += "Connection: close\r\n";
     out += "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n";
--- a/src/parse/http.hpp
+++ b/src/parse/http.hpp
@@ -21,7 +21,7 @@
     enum class Kind { kRequest, kResponse };
     enum class State { kHead, kBody, kDone, kBad };
 
-    explicit HttpReader(Kind kind, HttpBounds bounds = {}) : kind_(kind), bounds_(bounds) {}
+    explicit HttpReader(Kind kind, HttpBounds limits = {}) : kind_(kind), limits_(limits) {}
 
     // Consumes bytes up to the end of the message or the first error; returns how many.
     std::size_t feed(std::string_view bytes);
@@ -30,9 +30,9 @@
     // Whether the start line has been received.
     bool started() const { return started_; }
     // In state kBad: the HTTP status for the sender.
-    int fault() const { return fault_; }
+    int fault() const { return error_status_; }
     // In state kBad: the reason in words.
-    const std::string& why() const { return why_; }
+    const std::string& why() const { return error_text_; }
 
     const std::string& method() const { return method_; }
     const std::string& target() const { return target_; }
@@ -48,26 +48,26 @@
 private:
     enum class Step { kStart, kHeaders, kLength, kChunkSize, kChunk, kChunkEnd, kTrailers, kDone, kBad };
 
-    void take_line(std::string_view line);
-    void take_start(std::string_view line);
-    void take_header(std::string_view line);
+    void parse_line(std::string_view line);
+    void parse_start_line(std::string_view line);
+    void parse_header(std::string_view line);
     void end_head();
-    void take_chunk_size(std::string_view line);
-    std::size_t take_body_bytes(std::string_view bytes);
-    void bad(int status, const char* why);
-    void go(Step step);
+    void parse_chunk_size(std::string_view line);
+    std::size_t append_body(std::string_view bytes);
+    void fail(int status, const char* text);
+    void set_step(Step step);
 
     const Kind kind_;
-    const HttpBounds bounds_;
+    const HttpBounds limits_;
     Step step_ = Step::kStart;
     State state_ = State::kHead;
     bool started_ = false;
-    int fault_ = 0;
-    std::string why_;
+    int error_status_ = 0;
+    std::string error_text_;
     std::string line_;
     std::size_t head_bytes_ = 0;
     std::size_t body_bytes_ = 0;
-    std::size_t left_ = 0;  // bytes of the body or the chunk
+    std::size_t remaining_ = 0;  // bytes of the body or the chunk
     std::string method_;
     std::string target_;
     int minor_version_ = 1;
@@ -77,7 +77,7 @@
 };
 
 // Compares ASCII text without regard to case.
-bool same_word(std::string_view a, std::string_view b);
+bool equals_ignore_case(std::string_view a, std::string_view b);
 // `headers` are complete lines that end with CRLF; Content-Length is added.
 std::string http_answer(int status, std::string_view headers, std::string_view body, bool close);
 std::string http_get(std::string_view target, std::string_view host);
--- a/src/parse/json.cpp
+++ b/src/parse/json.cpp
@@ -13,43 +13,43 @@
 }
 
 // Checks the number grammar of JSON, which is stricter than that of std::from_chars.
-bool is_number(std::string_view t) {
+bool is_number(std::string_view text) {
     std::size_t i = 0;
     const auto digits = [&] {
-        const auto from = i;
-        while (i < t.size() && t[i] >= '0' && t[i] <= '9') ++i;
-        return i - from;
+        const auto begin = i;
+        while (i < text.size() && text[i] >= '0' && text[i] <= '9') ++i;
+        return i - begin;
     };
-    if (i < t.size() && t[i] == '-') ++i;
+    if (i < text.size() && text[i] == '-') ++i;
     const auto first = i;
-    const auto whole = digits();
-    if (whole == 0 || (whole > 1 && t[first] == '0')) return false;
-    if (i < t.size() && t[i] == '.') {
+    const auto integer_digits = digits();
+    if (integer_digits == 0 || (integer_digits > 1 && text[first] == '0')) return false;
+    if (i < text.size() && text[i] == '.') {
         ++i;
         if (digits() == 0) return false;
     }
-    if (i < t.size() && (t[i] == 'e' || t[i] == 'E')) {
+    if (i < text.size() && (text[i] == 'e' || text[i] == 'E')) {
         ++i;
-        if (i < t.size() && (t[i] == '+' || t[i] == '-')) ++i;
+        if (i < text.size() && (text[i] == '+' || text[i] == '-')) ++i;
         if (digits() == 0) return false;
     }
-    return i == t.size();
+    return i == text.size();
 }
 
 void append_utf8(std::string& out, std::uint32_t point) {
-    const auto put = [&](std::uint32_t byte) { out.push_back(static_cast<char>(byte)); };
-    if (point < 0x80) return put(point);
+    const auto push = [&](std::uint32_t byte) { out.push_back(static_cast<char>(byte)); };
+    if (point < 0x80) return push(point);
     if (point < 0x800) {
-        put(0xc0U | (point >> 6U));
+        push(0xc0U | (point >> 6U));
     } else if (point < 0x10000) {
-        put(0xe0U | (point >> 12U));
-        put(0x80U | ((point >> 6U) & 0x3fU));
+        push(0xe0U | (point >> 12U));
+        push(0x80U | ((point >> 6U) & 0x3fU));
     } else {
-        put(0xf0U | (point >> 18U));
-        put(0x80U | ((point >> 12U) & 0x3fU));
-        put(0x80U | ((point >> 6U) & 0x3fU));
+        push(0xf0U | (point >> 18U));
+        push(0x80U | ((point >> 12U) & 0x3fU));
+        push(0x80U | ((point >> 6U) & 0x3fU));
     }
-    put(0x80U | (point & 0x3fU));
+    push(0x80U | (point & 0x3fU));
 }
 
 }  // namespace
@@ -63,47 +63,47 @@
     return it == all->end() ? nullptr : &it->second;
 }
 
-void JsonReader::reject(const char* why) const {
-    throw BadJson("JSON, byte " + std::to_string(at_) + ": " + why);
+void JsonParser::reject(const char* reason) const {
+    throw BadJson("JSON, byte " + std::to_string(offset_) + ": " + reason);
 }
 
-void JsonReader::feed(std::string_view bytes) {
+void JsonParser::feed(std::string_view bytes) {
     for (const char c : bytes) {
-        if (++at_ > bounds_.bytes) reject("too long");
-        take(c);
+        if (++offset_ > limits_.bytes) reject("too long");
+        read_char(c);
     }
 }
 
-Json JsonReader::finish() {
-    if (inside_ == Inside::kWord) end_word();
-    if (inside_ != Inside::kNothing || expect_ != Expect::kNothing) reject("cut short");
-    return std::move(whole_);
+Json JsonParser::finish() {
+    if (lexer_state_ == LexerState::kWord) end_word();
+    if (lexer_state_ != LexerState::kNothing || expect_ != Expect::kNothing) reject("cut short");
+    return std::move(root_);
 }
 
-void JsonReader::take(char c) {
-    if (inside_ == Inside::kWord) {
+void JsonParser::read_char(char c) {
+    if (lexer_state_ == LexerState::kWord) {
         if (is_word(c)) return text_.push_back(c);
         end_word();
-    } else if (inside_ != Inside::kNothing) {
-        if (take_in_string(c)) end_string();
+    } else if (lexer_state_ != LexerState::kNothing) {
+        if (read_string_char(c)) end_string();
         return;
     }
     if (is_space(c)) return;
-    const bool value_due = expect_ == Expect::kValue || expect_ == Expect::kValueOrEnd;
+    const bool expects_value = expect_ == Expect::kValue || expect_ == Expect::kValueOrEnd;
     switch (c) {
         case '{':
-            if (!value_due) reject("an object is out of place");
+            if (!expects_value) reject("an object is out of place");
             return open(Json(Json::Members{}), Expect::kNameOrEnd);
         case '[':
-            if (!value_due) reject("a list is out of place");
+            if (!expects_value) reject("a list is out of place");
             return open(Json(Json::List{}), Expect::kValueOrEnd);
         case '}':
         case ']': return close(c);
         case '"':
-            if (!value_due && expect_ != Expect::kName && expect_ != Expect::kNameOrEnd) {
+            if (!expects_value && expect_ != Expect::kName && expect_ != Expect::kNameOrEnd) {
                 reject("a string is out of place");
             }
-            inside_ = Inside::kString;
+            lexer_state_ = LexerState::kString;
             return text_.clear();
         case ':':
             if (expect_ != Expect::kColon) reject("a colon is out of place");
@@ -114,110 +114,111 @@
             expect_ = levels_.back().value.list() != nullptr ? Expect::kValue : Expect::kName;
             return;
         default:
-            if (!value_due || !is_word(c)) reject("a character is out of place");
-            inside_ = Inside::kWord;
+            if (!expects_value || !is_word(c)) reject("a character is out of place");
+            lexer_state_ = LexerState::kWord;
             text_.assign(1, c);
     }
 }
 
 // Returns true at the closing quote.
-bool JsonReader::take_in_string(char c) {
-    if (inside_ == Inside::kEscape) {
-        take_escaped(c);
+bool JsonParser::read_string_char(char c) {
+    if (lexer_state_ == LexerState::kEscape) {
+        read_escape(c);
         return false;
     }
-    if (inside_ == Inside::kHex) {
-        take_hex(c);
+    if (lexer_state_ == LexerState::kHex) {
+        read_hex_digit(c);
         return false;
     }
-    if (high_unit_ != 0 && c != '\\') reject("half a surrogate pair");
+    if (high_surrogate_ != 0 && c != '\\') reject("half a surrogate pair");
     if (static_cast<unsigned char>(c) < 0x20) reject("a control character in a string");
     if (c == '"') return true;
     if (c == '\\')
-        inside_ = Inside::kEscape;
+        lexer_state_ = LexerState::kEscape;
     else
         text_.push_back(c);
     return false;
 }
 
-void JsonReader::take_escaped(char c) {
+void JsonParser::read_escape(char c) {
     constexpr std::string_view kEscapes = "\"\\/bfnrt";
-    constexpr std::string_view kMeant = "\"\\/\b\f\n\r\t";
+    constexpr std::string_view kUnescaped = "\"\\/\b\f\n\r\t";
     if (c == 'u') {
-        inside_ = Inside::kHex;
+        lexer_state_ = LexerState::kHex;
         hex_digits_ = 0;
-        unit_ = 0;
+        code_unit_ = 0;
         return;
     }
-    const auto which = kEscapes.find(c);
-    if (which == std::string_view::npos || high_unit_ != 0) reject("an unknown escape");
-    text_.push_back(kMeant[which]);
-    inside_ = Inside::kString;
+    const auto index = kEscapes.find(c);
+    if (index == std::string_view::npos || high_surrogate_ != 0) reject("an unknown escape");
+    text_.push_back(kUnescaped[index]);
+    lexer_state_ = LexerState::kString;
 }
 
-void JsonReader::take_hex(char c) {
+void JsonParser::read_hex_digit(char c) {
     std::uint32_t digit = 0;
     const auto [end, error] = std::from_chars(&c, &c + 1, digit, 16);
     if (error != std::errc{} || end != &c + 1) reject("a malformed escape");
-    unit_ = unit_ * 16 + digit;
+    code_unit_ = code_unit_ * 16 + digit;
     if (++hex_digits_ < 4) return;
-    inside_ = Inside::kString;
-    const bool high = unit_ >= 0xd800 && unit_ < 0xdc00;
-    const bool low = unit_ >= 0xdc00 && unit_ < 0xe000;
-    if (low != (high_unit_ != 0)) reject("half a surrogate pair");
+    lexer_state_ = LexerState::kString;
+    const bool high = code_unit_ >= 0xd800 && code_unit_ < 0xdc00;
+    const bool low = code_unit_ >= 0xdc00 && code_unit_ < 0xe000;
+    if (low != (high_surrogate_ != 0)) reject("half a surrogate pair");
     if (high) {
-        high_unit_ = unit_;
+        high_surrogate_ = code_unit_;
         return;
     }
-    append_utf8(text_, low ? 0x10000 + ((high_unit_ - 0xd800) << 10U) + (unit_ - 0xdc00) : unit_);
-    high_unit_ = 0;
+    append_utf8(text_,
+                low ? 0x10000 + ((high_surrogate_ - 0xd800) << 10U) + (code_unit_ - 0xdc00) : code_unit_);
+    high_surrogate_ = 0;
 }
 
-void JsonReader::end_string() {
-    inside_ = Inside::kNothing;
+void JsonParser::end_string() {
+    lexer_state_ = LexerState::kNothing;
     auto text = std::exchange(text_, {});
     if (expect_ == Expect::kName || expect_ == Expect::kNameOrEnd) {
         levels_.back().name = std::move(text);
         expect_ = Expect::kColon;
         return;
     }
-    put(Json(std::move(text)));
+    add_value(Json(std::move(text)));
 }
 
-void JsonReader::end_word() {
-    inside_ = Inside::kNothing;
+void JsonParser::end_word() {
+    lexer_state_ = LexerState::kNothing;
     auto text = std::exchange(text_, {});
-    if (text == "true") return put(Json(true));
-    if (text == "false") return put(Json(false));
-    if (text == "null") return put(Json());
+    if (text == "true") return add_value(Json(true));
+    if (text == "false") return add_value(Json(false));
+    if (text == "null") return add_value(Json());
     if (!is_number(text)) reject("an unknown word");
     double value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc{}) reject("a number out of range");
-    put(Json(Json::Number{value, std::move(text)}));
+    add_value(Json(Json::Number{value, std::move(text)}));
 }
 
-void JsonReader::open(Json value, Expect next) {
-    if (levels_.size() >= bounds_.depth) reject("nested too deep");
+void JsonParser::open(Json value, Expect next) {
+    if (levels_.size() >= limits_.depth) reject("nested too deep");
     levels_.push_back({std::move(value), {}});
     expect_ = next;
 }
 
-void JsonReader::close(char c) {
-    const bool end_due =
+void JsonParser::close(char c) {
+    const bool may_close =
         expect_ == Expect::kCommaOrEnd || expect_ == (c == ']' ? Expect::kValueOrEnd : Expect::kNameOrEnd);
-    if (levels_.empty() || !end_due || (c == ']') != (levels_.back().value.list() != nullptr)) {
+    if (levels_.empty() || !may_close || (c == ']') != (levels_.back().value.list() != nullptr)) {
         reject("a closing bracket is out of place");
     }
     auto value = std::move(levels_.back().value);
     levels_.pop_back();
-    put(std::move(value));
+    add_value(std::move(value));
 }
 
-void JsonReader::put(Json value) {
+void JsonParser::add_value(Json value) {
     expect_ = levels_.empty() ? Expect::kNothing : Expect::kCommaOrEnd;
     if (levels_.empty()) {
-        whole_ = std::move(value);
+        root_ = std::move(value);
     } else if (auto* list = levels_.back().value.list()) {
         list->push_back(std::move(value));
     } else if (!levels_.back().value.members()->emplace(levels_.back().name, std::move(value)).second) {
@@ -225,7 +226,7 @@
     }
 }
 
-bool is_text(std::string_view bytes) {
+bool is_printable_utf8(std::string_view bytes) {
     return is_utf8(bytes) && std::none_of(bytes.begin(), bytes.end(), [](char c) {
                return static_cast<unsigned char>(c) < 0x20 || c == 0x7f;
            });
@@ -251,8 +252,8 @@
     return true;
 }
 
-Json parse_json(std::string_view text, JsonBounds bounds) {
-    JsonReader reader(bounds);
+Json parse_json(std::string_view text, JsonLimits limits) {
+    JsonParser reader(limits);
     reader.feed(text);
     return reader.finish();
 }
--- a/src/parse/json.hpp
+++ b/src/parse/json.hpp
@@ -50,15 +50,15 @@
     std::variant<std::monostate, bool, Number, std::string, List, Members> value_;
 };
 
-struct JsonBounds {
+struct JsonLimits {
     std::size_t bytes = 64 * 1024;
     std::size_t depth = 16;  // nested lists and objects
 };
 
 // Parses one JSON value from text that arrives in pieces of any size.
-class JsonReader {
+class JsonParser {
 public:
-    explicit JsonReader(JsonBounds bounds = {}) : bounds_(bounds) {}
+    explicit JsonParser(JsonLimits limits = {}) : limits_(limits) {}
     void feed(std::string_view bytes);  // throws BadJson
     Json finish();                      // throws BadJson if the value is incomplete
 
@@ -69,34 +69,34 @@
         std::string name;  // of the member being parsed
     };
 
-    void take(char c);
-    bool take_in_string(char c);
-    void take_escaped(char c);
-    void take_hex(char c);
+    void read_char(char c);
+    bool read_string_char(char c);
+    void read_escape(char c);
+    void read_hex_digit(char c);
     void end_string();
     void end_word();
     void open(Json value, Expect next);
     void close(char c);
-    void put(Json value);
-    [[noreturn]] void reject(const char* why) const;
+    void add_value(Json value);
+    [[noreturn]] void reject(const char* reason) const;
 
-    const JsonBounds bounds_;
-    std::size_t at_ = 0;  // bytes read
+    const JsonLimits limits_;
+    std::size_t offset_ = 0;  // bytes read
     Expect expect_ = Expect::kValue;
     std::vector<Level> levels_;
-    Json whole_;
-    enum class Inside { kNothing, kString, kEscape, kHex, kWord } inside_ = Inside::kNothing;
+    Json root_;
+    enum class LexerState { kNothing, kString, kEscape, kHex, kWord } lexer_state_ = LexerState::kNothing;
     std::string text_;
     int hex_digits_ = 0;
-    std::uint32_t unit_ = 0;
-    std::uint32_t high_unit_ = 0;  // first half of a surrogate pair
+    std::uint32_t code_unit_ = 0;
+    std::uint32_t high_surrogate_ = 0;  // first half of a surrogate pair
 };
 
 bool is_utf8(std::string_view bytes);
 // Whether the bytes are UTF-8 without control characters: only quotes and backslashes need an escape in JSON.
-bool is_text(std::string_view bytes);
+bool is_printable_utf8(std::string_view bytes);
 // Parses a complete text; throws BadJson.
-Json parse_json(std::string_view text, JsonBounds bounds = {});
+Json parse_json(std::string_view text, JsonLimits limits = {});
 // Appends the text as a JSON string, quoted and escaped.
 void append_json_string(std::string& out, std::string_view text);
 
--- a/src/parse/json_objects.cpp
+++ b/src/parse/json_objects.cpp
@@ -3,35 +3,35 @@
 namespace pinedoor::parse {
 namespace {
 
-bool is_blank(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
+bool is_space(char c) { return c == ' ' || c == '\t' || c == '\r' || c == '\n'; }
 
 }  // namespace
 
 std::optional<std::string> JsonObjects::next() {
-    while (!bad_ && scanned_ < held_.size()) {
+    while (!failed_ && scanned_ < buffer_.size()) {
         const bool inside = depth_ > 0;
-        scan();
+        scan_char();
         if (inside && depth_ == 0) {
-            auto object = held_.substr(0, scanned_);
-            held_.erase(0, scanned_);
+            auto object = buffer_.substr(0, scanned_);
+            buffer_.erase(0, scanned_);
             scanned_ = 0;
             return object;
         }
-        if (scanned_ > longest_) bad_ = true;
+        if (scanned_ > max_bytes_) failed_ = true;
     }
     return std::nullopt;
 }
 
 // Scans one character.
-void JsonObjects::scan() {
-    const char c = held_[scanned_];
+void JsonObjects::scan_char() {
+    const char c = buffer_[scanned_];
     if (depth_ == 0) {
-        if (is_blank(c)) {
-            held_.erase(0, 1);
+        if (is_space(c)) {
+            buffer_.erase(0, 1);
             return;
         }
         if (c != '{') {
-            bad_ = true;
+            failed_ = true;
             return;
         }
     }
--- a/src/parse/json_objects.hpp
+++ b/src/parse/json_objects.hpp
@@ -15,28 +15,28 @@
 public:
     // `max_bytes` bounds the size of one object.
 
-    explicit JsonObjects(std::size_t longest) : longest_(longest) {}
+    explicit JsonObjects(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
-    void feed(std::string_view bytes) { held_ += bytes; }
+    void feed(std::string_view bytes) { buffer_ += bytes; }
     // Removes and returns the next complete object, without the white space before it. Nothing is returned if
     // more text is needed or the text is bad().
     std::optional<std::string> next();
     // Whether the text received so far ends between two objects.
-    bool is_between() const { return depth_ == 0 && held_.empty(); }
+    bool is_between() const { return depth_ == 0 && buffer_.empty(); }
     // Whether there is something other than white space between two objects, or an object exceeds the size
     // limit. All further text is then ignored.
-    bool bad() const { return bad_; }
+    bool bad() const { return failed_; }
 
 private:
-    void scan();
+    void scan_char();
 
-    const std::size_t longest_;
-    std::string held_;
+    const std::size_t max_bytes_;
+    std::string buffer_;
     std::size_t scanned_ = 0;  // bytes of buffer_ that belong to the current object
     std::size_t depth_ = 0;    // open braces and brackets of the current object
     bool in_string_ = false;
     bool escaped_ = false;  // the last character was an unescaped backslash in a string
-    bool bad_ = false;
+    bool failed_ = false;
 };
 
 }  // namespace pinedoor::parse
--- a/src/stated/fleet_file.cpp
+++ b/src/stated/fleet_file.cpp
@@ -10,14 +10,15 @@
 namespace {
 
 using namespace placement;
-constexpr std::int64_t kMany = 1'000'000;
-constexpr double kMuch = 1e15;
+constexpr std::int64_t kMaxCount = 1'000'000;
+constexpr double kMaxValue = 1e15;
 
 void read_limits(TomlTable table, PlanTerms& terms) {
     terms.fill = table.number("fill", terms.fill, 0.01, 1);
     terms.near_enough = table.number("near_enough", terms.near_enough, 0, 10);
-    const auto count = [&table](const char* key, std::size_t otherwise, std::int64_t least) {
-        return static_cast<std::size_t>(table.whole(key, static_cast<std::int64_t>(otherwise), least, kMany));
+    const auto count = [&table](const char* key, std::size_t default_value, std::int64_t min_value) {
+        return static_cast<std::size_t>(
+            table.whole(key, static_cast<std::int64_t>(default_value), min_value, kMaxCount));
     };
     terms.most_copies = count("most_copies", terms.most_copies, 0);
     terms.at_once = count("at_once", terms.at_once, 1);
@@ -33,11 +34,11 @@
     if (file.names.find(name)) table.reject("name", "is used by two boxes");
     box.id = *file.names.number(name);
     const auto zone = table.text("zone", "");
-    const auto at = std::find(file.zones.begin(), file.zones.end(), zone);
-    box.zone = static_cast<int>(at - file.zones.begin());
-    if (at == file.zones.end()) file.zones.push_back(zone);
-    box.capacity = table.number("capacity", 1, 1e-9, kMuch);
-    box.space = table.number("space", 1, 0, kMuch);
+    const auto known_zone = std::find(file.zones.begin(), file.zones.end(), zone);
+    box.zone = static_cast<int>(known_zone - file.zones.begin());
+    if (known_zone == file.zones.end()) file.zones.push_back(zone);
+    box.capacity = table.number("capacity", 1, 1e-9, kMaxValue);
+    box.space = table.number("space", 1, 0, kMaxValue);
     box.draining = table.flag("draining", false);
     table.finish();
     return box;
@@ -57,9 +58,9 @@
     };
     for (const auto box : boxes("replicas"))
         need.now.push_back({box, need.now.empty() ? Role::kOwner : Role::kReader});
-    need.reads = table.number("reads", 0, 0, kMuch);
-    need.writes = table.number("writes", 0, 0, kMuch);
-    need.size = table.number("size", 0, 0, kMuch);
+    need.reads = table.number("reads", 0, 0, kMaxValue);
+    need.writes = table.number("writes", 0, 0, kMaxValue);
+    need.size = table.number("size", 0, 0, kMaxValue);
     need.replicas = static_cast<std::size_t>(
         table.whole("wanted", std::max<std::int64_t>(1, static_cast<std::int64_t>(need.now.size())), 1, 100));
     need.pinned = boxes("pinned");
@@ -70,16 +71,16 @@
 
 }  // namespace
 
-FleetFile fleet_from_text(std::string_view text, const std::string& path) {
+FleetFile parse_fleet(std::string_view text, const std::string& path) {
     const auto parsed = parse_toml(text, path);
     TomlTable table(parsed, "", path);
     FleetFile file;
     read_limits(table.table("limits"), file.fleet.terms);
-    for (auto& each : table.tables("boxes")) file.fleet.boxes.push_back(read_box(std::move(each), file));
-    for (auto& each : table.tables("shards"))
-        file.fleet.shards.push_back(read_need(std::move(each), file.names));
+    for (auto& entry : table.tables("boxes")) file.fleet.boxes.push_back(read_box(std::move(entry), file));
+    for (auto& entry : table.tables("shards"))
+        file.fleet.shards.push_back(read_need(std::move(entry), file.names));
     table.finish();
-    if (const auto fault = fault_of(file.fleet); !fault.empty()) throw BadStated(path + ": " + fault);
+    if (const auto error = fault_of(file.fleet); !error.empty()) throw BadStated(path + ": " + error);
     return file;
 }
 
@@ -87,7 +88,7 @@
     std::ifstream file(path, std::ios::binary);
     std::ostringstream text;
     if (!file || !(text << file.rdbuf())) throw BadStated(path + ": cannot be read; name a file that exists");
-    return fleet_from_text(text.str(), path);
+    return parse_fleet(text.str(), path);
 }
 
 }  // namespace pinedoor::stated
--- a/src/stated/fleet_file.hpp
+++ b/src/stated/fleet_file.hpp
@@ -24,6 +24,6 @@
 
 // Both throw BadStated; the message names the file, the line, the key and how to correct it.
 FleetFile read_fleet_file(const std::string& path);
-FleetFile fleet_from_text(std::string_view text, const std::string& path);
+FleetFile parse_fleet(std::string_view text, const std::string& path);
 
 }  // namespace pinedoor::stated
--- a/src/stated/installation.cpp
+++ b/src/stated/installation.cpp
@@ -13,37 +13,37 @@
 constexpr std::size_t kKb = std::size_t{1} << 10U;
 
 // Reads a time in milliseconds; store::Time is in units of 0.1 ms.
-store::Time time(TomlTable& table, const std::string& key, store::Time otherwise, double least_ms,
-                 double most_ms) {
+store::Time read_time(TomlTable& table, const std::string& key, store::Time default_value, double min_ms,
+                      double max_ms) {
     return static_cast<store::Time>(
-        table.number(key, static_cast<double>(otherwise) / 10, least_ms, most_ms) * 10);
+        table.number(key, static_cast<double>(default_value) / 10, min_ms, max_ms) * 10);
 }
 
 // Reads a size that the file gives in multiples of `unit` bytes or items; the bounds are in that unit too.
-std::size_t size(TomlTable& table, const std::string& key, std::size_t otherwise, std::size_t unit,
-                 std::int64_t least, std::int64_t most) {
+std::size_t read_size(TomlTable& table, const std::string& key, std::size_t default_value, std::size_t unit,
+                      std::int64_t min_value, std::int64_t max_value) {
     return static_cast<std::size_t>(
-               table.whole(key, static_cast<std::int64_t>(otherwise / unit), least, most)) *
+               table.whole(key, static_cast<std::int64_t>(default_value / unit), min_value, max_value)) *
            unit;
 }
 
 void read_write(TomlTable table, store::WriteTerms& terms) {
-    terms.most_batch = size(table, "most_batch", terms.most_batch, 1, 1, 10'000);
-    terms.most_waiting = size(table, "most_waiting", terms.most_waiting, 1, 1, 1'000'000);
-    terms.gather = time(table, "gather_ms", terms.gather, 0, 1'000);
-    terms.slow_after = time(table, "slow_after_ms", terms.slow_after, 1, 60'000);
+    terms.most_batch = read_size(table, "most_batch", terms.most_batch, 1, 1, 10'000);
+    terms.most_waiting = read_size(table, "most_waiting", terms.most_waiting, 1, 1, 1'000'000);
+    terms.gather = read_time(table, "gather_ms", terms.gather, 0, 1'000);
+    terms.slow_after = read_time(table, "slow_after_ms", terms.slow_after, 1, 60'000);
     terms.intent_share = table.number("intent_share", terms.intent_share, 0, 1);
     terms.answer_share = table.number("answer_share", terms.answer_share, 0, 1);
-    terms.reopen_from = time(table, "reopen_from_ms", terms.reopen_from, 1, 60'000);
-    terms.reopen_to = time(table, "reopen_to_ms", terms.reopen_to, 1, 600'000);
+    terms.reopen_from = read_time(table, "reopen_from_ms", terms.reopen_from, 1, 60'000);
+    terms.reopen_to = read_time(table, "reopen_to_ms", terms.reopen_to, 1, 600'000);
     if (terms.reopen_to < terms.reopen_from) table.reject("reopen_to_ms", "is under reopen_from_ms");
     table.finish();
 }
 
 void read_spill(TomlTable table, store::StoreTerms& terms) {
-    terms.write.spill_bytes = size(table, "most_mb", terms.write.spill_bytes, kMb, 1, 1'000'000);
-    terms.spill_file_bytes = size(table, "file_mb", terms.spill_file_bytes, kMb, 1, 1'000);
-    terms.write.outcome_room = size(table, "outcome_room", terms.write.outcome_room, 1, 256, 65'536);
+    terms.write.spill_bytes = read_size(table, "most_mb", terms.write.spill_bytes, kMb, 1, 1'000'000);
+    terms.spill_file_bytes = read_size(table, "file_mb", terms.spill_file_bytes, kMb, 1, 1'000);
+    terms.write.outcome_room = read_size(table, "outcome_room", terms.write.outcome_room, 1, 256, 65'536);
     table.finish();
 }
 
@@ -52,16 +52,16 @@
     if (terms.kind == store::Kind::kPostgres && terms.postgres.conninfo.empty())
         table.reject("conninfo", "is missing; write where the database is, as libpq takes it");
     terms.postgres.connect_timeout =
-        time(table, "connect_timeout_ms", terms.postgres.connect_timeout, 1, 600'000);
+        read_time(table, "connect_timeout_ms", terms.postgres.connect_timeout, 1, 600'000);
     terms.postgres.statement_timeout =
-        time(table, "statement_timeout_ms", terms.postgres.statement_timeout, 1, 600'000);
+        read_time(table, "statement_timeout_ms", terms.postgres.statement_timeout, 1, 600'000);
     table.finish();
 }
 
 void read_keep(TomlTable table, store::KeepTerms& terms) {
     terms.days = static_cast<int>(table.whole("days", terms.days, 0, 36'500));
-    terms.step = size(table, "step", terms.step, 1, 1, 10'000);
-    terms.every = time(table, "every_ms", terms.every, 10, 86'400'000);
+    terms.step = read_size(table, "step", terms.step, 1, 1, 10'000);
+    terms.every = read_time(table, "every_ms", terms.every, 10, 86'400'000);
     table.finish();
 }
 
@@ -75,8 +75,8 @@
         table.reject("folder", "is missing; write a folder of this node alone, on a disk that lasts");
     terms.sqlite_file = table.text("sqlite_file", "");
     terms.op_types = table.texts("op_types");
-    terms.largest_answer = size(table, "largest_answer_kb", terms.largest_answer, kKb, 0, 1'024);
-    terms.lease = time(table, "lease_ms", terms.lease, 100, 3'600'000);
+    terms.largest_answer = read_size(table, "largest_answer_kb", terms.largest_answer, kKb, 0, 1'024);
+    terms.lease = read_time(table, "lease_ms", terms.lease, 100, 3'600'000);
     read_write(table.table("write"), terms.write);
     read_spill(table.table("spill"), terms);
     read_postgres(table.table("postgres"), terms);
@@ -90,7 +90,7 @@
     if (terms.path.empty() || terms.path.front() != '/') table.reject("path", "must begin with /");
     terms.further_share = table.number("further_share", terms.further_share, 0, 1);
     terms.most_legs = static_cast<int>(table.whole("most_legs", terms.most_legs, 1, 100));
-    terms.ask_again = time(table, "ask_again_ms", terms.ask_again, 1, 60'000);
+    terms.ask_again = read_time(table, "ask_again_ms", terms.ask_again, 1, 60'000);
     auto merge = table.table("merge");
     for (const auto& name : merge.keys()) {
         const auto rule = merge.word(name, {"whole", "sum", "ranked", "concatenated"});
@@ -102,17 +102,17 @@
     terms.heat.merge_below = heat.number("merge_below", terms.heat.merge_below, 0, 1e9);
     if (terms.heat.merge_below > 0.6 * terms.heat.split_above)
         heat.reject("merge_below", "is more than 0.6 of split_above: split shards would be merged again");
-    terms.heat.look = time(heat, "look_ms", terms.heat.look, 10, 3'600'000);
+    terms.heat.look = read_time(heat, "look_ms", terms.heat.look, 10, 3'600'000);
     terms.heat.looks = static_cast<int>(heat.whole("looks", terms.heat.looks, 1, 1'000));
-    terms.heat.rest = time(heat, "rest_ms", terms.heat.rest, 0, 86'400'000);
+    terms.heat.rest = read_time(heat, "rest_ms", terms.heat.rest, 0, 86'400'000);
     heat.finish();
     table.finish();
 }
 
-net::Endpoint endpoint(TomlTable& table, const std::string& key, const std::string& text) {
-    const auto at = net::parse_endpoint(text);
-    if (!at) table.reject(key, "is not an address and port; write for example 10.0.0.7:7946");
-    return *at;
+net::Endpoint read_endpoint(TomlTable& table, const std::string& key, const std::string& text) {
+    const auto parsed = net::parse_endpoint(text);
+    if (!parsed) table.reject(key, "is not an address and port; write for example 10.0.0.7:7946");
+    return *parsed;
 }
 
 void read_peers(TomlTable table, peers::PeerTerms& terms) {
@@ -123,25 +123,26 @@
     const auto listen = table.text("listen", ""), advertise = table.text("advertise", "");
     if (terms.on && listen.empty())
         table.reject("listen", "is missing; write an address and a port of this node");
-    if (!listen.empty()) terms.listen = terms.advertise = endpoint(table, "listen", listen);
-    if (!advertise.empty()) terms.advertise = endpoint(table, "advertise", advertise);
+    if (!listen.empty()) terms.listen = terms.advertise = read_endpoint(table, "listen", listen);
+    if (!advertise.empty()) terms.advertise = read_endpoint(table, "advertise", advertise);
     if (terms.on && terms.advertise.address == 0)
         table.reject("advertise",
                      "is missing; listen is a wildcard address, which other nodes cannot connect to");
-    for (const auto& each : table.texts("seeds")) terms.seeds.push_back(endpoint(table, "seeds", each));
+    for (const auto& seed : table.texts("seeds")) terms.seeds.push_back(read_endpoint(table, "seeds", seed));
     terms.seeds_file = table.text("seeds_file", "");
     terms.secret = table.text("secret", "");
     if (!terms.secret.empty() && terms.secret.size() < 16)
         table.reject("secret", "is shorter than 16 characters");
     terms.control = table.text("control", "");
-    auto& decided = terms.membership;
-    decided.period = time(table, "period_ms", decided.period, 100, 60'000);
-    decided.timeout = time(table, "timeout_ms", decided.timeout, 10, 30'000);
-    if (decided.timeout * 2 > decided.period) table.reject("timeout_ms", "is more than half of period_ms");
-    decided.suspicion = table.number("suspicion", decided.suspicion, 1, 100);
-    decided.exchange = time(table, "exchange_ms", decided.exchange, 1'000, 3'600'000);
-    decided.forget = time(table, "forget_ms", decided.forget, 1'000, 86'400'000);
-    decided.most_members = size(table, "most_members", decided.most_members, 1, 2, 10'000);
+    auto& membership = terms.membership;
+    membership.period = read_time(table, "period_ms", membership.period, 100, 60'000);
+    membership.timeout = read_time(table, "timeout_ms", membership.timeout, 10, 30'000);
+    if (membership.timeout * 2 > membership.period)
+        table.reject("timeout_ms", "is more than half of period_ms");
+    membership.suspicion = table.number("suspicion", membership.suspicion, 1, 100);
+    membership.exchange = read_time(table, "exchange_ms", membership.exchange, 1'000, 3'600'000);
+    membership.forget = read_time(table, "forget_ms", membership.forget, 1'000, 86'400'000);
+    membership.most_members = read_size(table, "most_members", membership.most_members, 1, 2, 10'000);
     table.finish();
 }
 
@@ -149,57 +150,58 @@
     terms.on = table.flag("on", false);
     terms.voters = table.texts("voters");
     terms.floors = table.number("floors", terms.floors, 0, 1);
-    terms.vote = time(table, "vote_ms", terms.vote, 100, 600'000);
-    terms.lease = time(table, "lease_ms", terms.lease, 50, 600'000);
-    terms.renew = time(table, "renew_ms", terms.renew, 10, 60'000);
+    terms.vote = read_time(table, "vote_ms", terms.vote, 100, 600'000);
+    terms.lease = read_time(table, "lease_ms", terms.lease, 50, 600'000);
+    terms.renew = read_time(table, "renew_ms", terms.renew, 10, 60'000);
     terms.drift = table.number("drift", terms.drift, 0, 0.2);
     terms.verdicts = table.flag("verdicts", terms.verdicts);
     auto& verdict = terms.words.verdict;
     verdict.reporters = static_cast<int>(table.number("reporters", verdict.reporters, 1, 1'000));
     verdict.share = table.number("reporters_share", verdict.share, 0, 0.5);
-    verdict.lives = time(table, "verdict_ms", verdict.lives, 1'000, 600'000);
+    verdict.lives = read_time(table, "verdict_ms", verdict.lives, 1'000, 600'000);
     if (terms.renew * 3 > terms.lease)
         table.reject("renew_ms",
                      "is more than a third of lease_ms: one lost message would let the share expire");
-    terms.late = time(table, "late_ms", terms.late, 100, 600'000);
+    terms.late = read_time(table, "late_ms", terms.late, 100, 600'000);
     if (terms.lease > terms.vote)
         table.reject("lease_ms", "is more than vote_ms: shares must end before the votes do");
-    for (auto& each : table.tables("limits")) {
+    for (auto& entry : table.tables("limits")) {
         fleet::LimitTerms limit;
-        limit.name = each.text("name", "");
+        limit.name = entry.text("name", "");
         if (limit.name.empty() || limit.name.size() > 32 ||
             limit.name.find_first_of(" \"\n") != std::string::npos)
-            each.reject("name", "must be 1 to 32 characters without blanks");
-        limit.tenant = each.text("tenant", "");
-        limit.op_type = each.text("op_type", "");
+            entry.reject("name", "must be 1 to 32 characters without blanks");
+        limit.tenant = entry.text("tenant", "");
+        limit.op_type = entry.text("op_type", "");
         using Of = fleet::LimitTerms::Of;
-        const auto of = each.word("of", {"multigets", "further-sends", "connections", "parts-out"});
-        for (const auto what : {Of::kFurtherSends, Of::kConnections, Of::kPartsOut}) {
-            if (of == fleet::name_of(what)) limit.of = what;
+        const auto resource_name =
+            entry.word("of", {"multigets", "further-sends", "connections", "parts-out"});
+        for (const auto resource : {Of::kFurtherSends, Of::kConnections, Of::kPartsOut}) {
+            if (resource_name == fleet::name_of(resource)) limit.of = resource;
         }
         if (limit.of != Of::kMultigets && !(limit.tenant + limit.op_type).empty())
-            each.reject(limit.tenant.empty() ? "op_type" : "tenant",
-                        "is allowed only for limits of multigets");
+            entry.reject(limit.tenant.empty() ? "op_type" : "tenant",
+                         "is allowed only for limits of multigets");
         const bool at_once = limit.of == Of::kPartsOut;
-        limit.per_second = each.number(at_once ? "at_once" : "per_second", 0, 0, 1e9);
+        limit.per_second = entry.number(at_once ? "at_once" : "per_second", 0, 0, 1e9);
         if (limit.per_second <= 0)
-            each.reject(at_once ? "at_once" : "per_second",
-                        "is missing; write the limit of all front nodes together");
-        if (!at_once) limit.burst = each.number("burst", limit.per_second / 10, 0, 1e9);
+            entry.reject(at_once ? "at_once" : "per_second",
+                         "is missing; write the limit of all front nodes together");
+        if (!at_once) limit.burst = entry.number("burst", limit.per_second / 10, 0, 1e9);
         using Kind = fleet::LimitTerms::Kind;
-        const auto kind = each.word("kind", {"never-over", "about", "alone"});
+        const auto kind = entry.word("kind", {"never-over", "about", "alone"});
         limit.kind = kind == "about" ? Kind::kAbout : kind == "alone" ? Kind::kAlone : Kind::kNeverOver;
         if (at_once && limit.kind == Kind::kNeverOver)
-            each.reject("kind",
-                        "must be \"about\" or \"alone\" here: an outstanding part can outlive the share "
-                        "under which it was sent");
-        each.finish();
+            entry.reject("kind",
+                         "must be \"about\" or \"alone\" here: an outstanding part can outlive the share "
+                         "under which it was sent");
+        entry.finish();
         terms.limits.push_back(std::move(limit));
     }
     const auto count = [&terms](fleet::LimitTerms::Kind kind) {
         return static_cast<std::size_t>(
             std::count_if(terms.limits.begin(), terms.limits.end(),
-                          [kind](const auto& each) { return each.kind == kind; }));
+                          [kind](const auto& entry) { return entry.kind == kind; }));
     };
     if (count(fleet::LimitTerms::Kind::kAbout) > fleet::kMostAbout)
         table.reject("limits", "has more than twenty entries of kind \"about\"");
--- a/src/stated/launch.cpp
+++ b/src/stated/launch.cpp
@@ -7,9 +7,9 @@
 namespace pinedoor::stated {
 namespace {
 
-constexpr std::size_t kLargestFile = std::size_t{8} << 20U;
-constexpr double kLeastSockets = 20;  // the reserve, and two each for client and server connections
-constexpr double kLeastMemoryMb = 4;
+constexpr std::size_t kMaxFileBytes = std::size_t{8} << 20U;
+constexpr double kMinSockets = 20;  // the reserve, and two each for client and server connections
+constexpr double kMinMemoryMb = 4;
 
 const parse::Json& member(const parse::Json& in, const std::string& path, const std::string& name) {
     const auto* found = in.member(name);
@@ -31,11 +31,11 @@
     return *endpoint;
 }
 
-double limit_of(const parse::Json& limits, const std::string& name, double least) {
+double limit_of(const parse::Json& limits, const std::string& name, double min_value) {
     const auto path = "limits." + name;
     const auto* number = member(limits, path, name).number();
     if (number == nullptr) throw BadStated("configuration: " + path + " is not a number");
-    if (number->value < least || number->value > 1e9) {
+    if (number->value < min_value || number->value > 1e9) {
         throw BadStated("configuration: " + path + " is out of range: " + number->text);
     }
     return number->value;
@@ -70,7 +70,7 @@
         throw BadStated("ROUTER_CONFIG: cannot read '" + path + "'");
     }
     try {
-        Launch launch(parse::parse_json(text.str(), {kLargestFile, 32}), variable);
+        Launch launch(parse::parse_json(text.str(), {kMaxFileBytes, 32}), variable);
         launch.path_ = path;
         return launch;
     } catch (const parse::BadJson& error) {
@@ -85,16 +85,16 @@
       known_(member(file, "known", "known")),
       settings_(Stated::from_json(member(file, "settings", "settings"))) {
     const auto& limits = member(file, "limits", "limits");
-    sockets_ = static_cast<std::size_t>(limit_of(limits, "sockets", kLeastSockets));
-    memory_ = static_cast<std::size_t>(limit_of(limits, "memory_mb", kLeastMemoryMb) * (1 << 20));
+    sockets_ = static_cast<std::size_t>(limit_of(limits, "sockets", kMinSockets));
+    memory_ = static_cast<std::size_t>(limit_of(limits, "memory_mb", kMinMemoryMb) * (1 << 20));
     // The seed differs at each start, and the known list is used only at start, so neither is compared.
-    for (const char* key : {"name", "listen", "limits", "settings"}) lasting_[key] = *file.member(key);
+    for (const char* key : {"name", "listen", "limits", "settings"}) fixed_values_[key] = *file.member(key);
 }
 
 std::vector<std::string> Launch::needing_restart(const Launch& newer) const {
     std::vector<std::string> keys;
-    for (const auto& [key, value] : lasting_) {
-        if (newer.lasting_.at(key) != value) keys.push_back(key);
+    for (const auto& [key, value] : fixed_values_) {
+        if (newer.fixed_values_.at(key) != value) keys.push_back(key);
     }
     return keys;
 }
--- a/src/stated/launch.hpp
+++ b/src/stated/launch.hpp
@@ -42,7 +42,7 @@
     static Launch read_file(const std::string& path, const Variable& variable);
 
     std::string path_;
-    std::map<std::string, parse::Json> lasting_;  // those that cannot change while the process runs
+    std::map<std::string, parse::Json> fixed_values_;  // those that cannot change while the process runs
     std::string name_;
     net::Endpoint listen_;
     net::Endpoint discovery_;
--- a/src/stated/stated.cpp
+++ b/src/stated/stated.cpp
@@ -7,43 +7,44 @@
 namespace pinedoor::stated {
 namespace {
 
-constexpr double kMostMs = 1e9;
-constexpr int kMost = 1'000'000;
+constexpr double kMaxMs = 1e9;
+constexpr int kMaxCount = 1'000'000;
 
-double to_number(const std::string& path, const std::string& text, double least, double most) {
+double to_number(const std::string& path, const std::string& text, double min_value, double max_value) {
     double value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc{} || end != text.data() + text.size() || !std::isfinite(value)) {
         throw BadStated("settings: " + path + " is not a number: '" + text + "'");
     }
-    if (value < least || value > most) throw BadStated("settings: " + path + " is out of range: " + text);
+    if (value < min_value || value > max_value)
+        throw BadStated("settings: " + path + " is out of range: " + text);
     return value;
 }
 
 }  // namespace
 
 Stated Stated::from_text(std::string_view text) {
-    Stated stated;
+    Stated result;
     while (!text.empty()) {
         const auto end = std::min(text.find('\n'), text.size());
         const auto line = text.substr(0, end);
         text.remove_prefix(std::min(end + 1, text.size()));
         if (line.empty()) continue;
-        const auto split = line.find('=');
-        if (split == std::string_view::npos) {
+        const auto separator = line.find('=');
+        if (separator == std::string_view::npos) {
             throw BadStated("settings: line without '=': '" + std::string(line.substr(0, 80)) + "'");
         }
-        stated.values_.insert_or_assign(std::string(line.substr(0, split)),
-                                        std::string(line.substr(split + 1)));
+        result.values_.insert_or_assign(std::string(line.substr(0, separator)),
+                                        std::string(line.substr(separator + 1)));
     }
-    return stated;
+    return result;
 }
 
 Stated Stated::from_json(const parse::Json& settings) {
     if (settings.members() == nullptr) throw BadStated("settings: no object");
-    Stated stated;
-    stated.flatten("", settings);
-    return stated;
+    Stated result;
+    result.flatten("", settings);
+    return result;
 }
 
 // Converts nested JSON to the form of the simulator's text: names are joined to paths, lists of plain values
@@ -55,10 +56,10 @@
         std::string joined;
         for (std::size_t i = 0; i < list->size(); ++i) {
             const auto& item = (*list)[i];
-            const auto at = path + '.' + std::to_string(i);
-            flatten(at, item);
+            const auto item_path = path + '.' + std::to_string(i);
+            flatten(item_path, item);
             if (item.members() != nullptr || item.list() != nullptr) continue;
-            auto text = values_[at];
+            auto text = values_[item_path];
             std::replace(text.begin(), text.end(), ',', '_');
             joined += (i > 0 ? "," : "") + text;
         }
@@ -84,22 +85,23 @@
     return *value;
 }
 
-double Stated::number(const std::string& path, double least, double most) const {
-    return to_number(path, text(path), least, most);
+double Stated::number(const std::string& path, double min_value, double max_value) const {
+    return to_number(path, text(path), min_value, max_value);
 }
 
-double Stated::number_or(const std::string& path, double least, double most, double otherwise) const {
-    return find(path) == nullptr ? otherwise : number(path, least, most);
+double Stated::number_or(const std::string& path, double min_value, double max_value,
+                         double default_value) const {
+    return find(path) == nullptr ? default_value : number(path, min_value, max_value);
 }
 
-int Stated::whole(const std::string& path, int least, int most) const {
-    const double value = number(path, least, most);
+int Stated::whole(const std::string& path, int min_value, int max_value) const {
+    const double value = number(path, min_value, max_value);
     if (value != std::floor(value)) throw BadStated("settings: " + path + " is not a whole number");
     return static_cast<int>(value);
 }
 
 Time Stated::time(const std::string& path) const {
-    return static_cast<Time>(std::llround(number(path, 0, kMostMs) * 10));
+    return static_cast<Time>(std::llround(number(path, 0, kMaxMs) * 10));
 }
 
 bool Stated::flag(const std::string& path) const {
@@ -120,17 +122,17 @@
     return items;
 }
 
-double Stated::list_number(const std::string& path, std::size_t i, double least, double most) const {
+double Stated::list_number(const std::string& path, std::size_t i, double min_value, double max_value) const {
     const auto items = list(path);
     if (i >= items.size()) throw BadStated("settings: " + path + " has too few values");
-    return to_number(path, items[i], least, most);
+    return to_number(path, items[i], min_value, max_value);
 }
 
 NodePlace Stated::node_place() const {
     NodePlace place;
-    place.me = whole("me", 0, kMost);
-    place.front_nodes = whole("siblings", 1, kMost);
-    place.zone = whole("zone", 0, kMost);
+    place.me = whole("me", 0, kMaxCount);
+    place.front_nodes = whole("siblings", 1, kMaxCount);
+    place.zone = whole("zone", 0, kMaxCount);
     place.turn = time("tick_ms");
     return place;
 }
@@ -138,45 +140,45 @@
 std::vector<OpType> Stated::op_types() const {
     std::vector<OpType> types(static_cast<std::size_t>(whole("classes.count", 0, 10'000)));
     for (std::size_t i = 0; i < types.size(); ++i) {
-        const std::string at = "classes." + std::to_string(i) + ".";
+        const std::string prefix = "classes." + std::to_string(i) + ".";
         auto& type = types[i];
-        type.latency_budget = time(at + "aim_ms");
-        type.route_timeout = time(at + "deadline_ms");
-        const auto& effect = text(at + "effect");
+        type.latency_budget = time(prefix + "aim_ms");
+        type.route_timeout = time(prefix + "deadline_ms");
+        const auto& effect = text(prefix + "effect");
         if (effect == "free") {
             type.repeat = Repeat::kRetriable;
         } else if (effect == "guarded") {
             type.repeat = Repeat::kDeduped;
-            type.dedup_window = time(at + "memory_span_ms");
+            type.dedup_window = time(prefix + "memory_span_ms");
             // A further send may go to any replica of the shard, so all replicas have to detect the repeat.
-            if (const auto* scope = find(at + "dedup_scope"); scope != nullptr && *scope != "all") {
-                throw BadStated("settings: " + at + "dedup_scope is not served: '" + *scope + "'");
+            if (const auto* scope = find(prefix + "dedup_scope"); scope != nullptr && *scope != "all") {
+                throw BadStated("settings: " + prefix + "dedup_scope is not served: '" + *scope + "'");
             }
         } else if (effect != "single_shot") {
-            throw BadStated("settings: " + at + "effect is unknown: '" + effect + "'");
+            throw BadStated("settings: " + prefix + "effect is unknown: '" + effect + "'");
         }
-        type.importance = number(at + "worth", 0, 1e9);
-        type.late_importance = number(at + "late_worth", 0, 1);
+        type.importance = number(prefix + "worth", 0, 1e9);
+        type.late_importance = number(prefix + "late_worth", 0, 1);
         type.least_share = list_number("family_info.min_share", i, 0, 1);
         type.whole_share = list_number("family_info.need_by_class", i, 0, 1);
         type.short_importance = list_number("family_info.short_worth", i, 0, 1);
-        type.second_step_parts = static_cast<int>(list_number("family_info.follow_up", i, 0, kMost));
+        type.second_step_parts = static_cast<int>(list_number("family_info.follow_up", i, 0, kMaxCount));
     }
     return types;
 }
 
 ShardRing Stated::shard_ring() const {
     ShardRing ring;
-    ring.places = whole("family_info.places", 1, kMost);
+    ring.places = whole("family_info.places", 1, kMaxCount);
     ring.width = whole("family_info.width", 1, ring.places);
-    ring.parts_per_call = whole("family_info.per_call", 1, kMost);
+    ring.parts_per_call = whole("family_info.per_call", 1, kMaxCount);
     ring.call_cost = time("family_info.overhead_ms");
     return ring;
 }
 
 SendTerms Stated::send_terms() const {
     SendTerms terms;
-    terms.most_sends = whole("limits.max_attempts", 1, kMost);
+    terms.most_sends = whole("limits.max_attempts", 1, kMaxCount);
     terms.second_copies = flag("limits.second_copies");
     terms.cancel = flag("limits.cancel");
     terms.connect_timeout = time("limits.connect_timeout_ms");
@@ -264,9 +266,9 @@
     return find("load_info.fields") == nullptr ? std::vector<std::string>{} : list("load_info.fields");
 }
 
-int Stated::shards() const { return whole("family_info.shards", 1, kMost); }
-int Stated::most_open() const { return whole("limits.max_open", 1, kMost); }
-int Stated::streams_per_connection() const { return whole("limits.streams_per_conn", 1, kMost); }
+int Stated::shards() const { return whole("family_info.shards", 1, kMaxCount); }
+int Stated::most_open() const { return whole("limits.max_open", 1, kMaxCount); }
+int Stated::streams_per_connection() const { return whole("limits.streams_per_conn", 1, kMaxCount); }
 Time Stated::connection_idle() const { return time("limits.conn_idle_ms"); }
 
 }  // namespace pinedoor::stated
--- a/src/stated/stated.hpp
+++ b/src/stated/stated.hpp
@@ -51,13 +51,13 @@
     void flatten(const std::string& path, const parse::Json& value);
     const std::string* find(const std::string& path) const;
     const std::string& text(const std::string& path) const;
-    double number(const std::string& path, double least, double most) const;
-    double number_or(const std::string& path, double least, double most, double otherwise) const;
-    int whole(const std::string& path, int least, int most) const;
+    double number(const std::string& path, double min_value, double max_value) const;
+    double number_or(const std::string& path, double min_value, double max_value, double default_value) const;
+    int whole(const std::string& path, int min_value, int max_value) const;
     Time time(const std::string& path) const;
     bool flag(const std::string& path) const;
     std::vector<std::string> list(const std::string& path) const;
-    double list_number(const std::string& path, std::size_t i, double least, double most) const;
+    double list_number(const std::string& path, std::size_t i, double min_value, double max_value) const;
 
     std::map<std::string, std::string, std::less<>> values_;
 };
--- a/src/stated/toml_table.hpp
+++ b/src/stated/toml_table.hpp
@@ -24,26 +24,27 @@
 
     // These return the value, or `default_value` if the key is missing. They throw BadStated if the value has
     // another type or is out of range.
-    std::string text(const std::string& key, const std::string& otherwise);
+    std::string text(const std::string& key, const std::string& default_value);
     std::string word(const std::string& key, const std::vector<std::string>& allowed);  // default: the first
-    double number(const std::string& key, double otherwise, double least, double most);
-    std::int64_t whole(const std::string& key, std::int64_t otherwise, std::int64_t least, std::int64_t most);
+    double number(const std::string& key, double default_value, double min_value, double max_value);
+    std::int64_t whole(const std::string& key, std::int64_t default_value, std::int64_t min_value,
+                       std::int64_t max_value);
     std::vector<std::string> texts(const std::string& key);
-    bool flag(const std::string& key, bool otherwise);
+    bool flag(const std::string& key, bool default_value);
     std::vector<double> numbers(const std::string& key);    // empty if the key is missing or no list
     TomlTable table(const std::string& key);                // empty if the key is missing
     std::vector<TomlTable> tables(const std::string& key);  // the tables of [[key]]
     bool holds_table(const std::string& key) const {
         return table_.get(key) != nullptr && table_.get(key)->is_table();
     }
-    void forget(const std::string& key) { known_.insert(key); }  // accepts the key without reading it
+    void forget(const std::string& key) { known_keys_.insert(key); }  // accepts the key without reading it
 
     std::vector<std::string> keys() const;  // as spelled in the file
     bool has(const std::string& key) const { return table_.contains(key); }
     // Throws BadStated if the table has a key that was not requested.
     void finish() const;
     // Throws BadStated with the file, the line and the key's path before the reason.
-    [[noreturn]] void reject(const std::string& key, const std::string& why) const;
+    [[noreturn]] void reject(const std::string& key, const std::string& reason) const;
 
 private:
     const toml::node* find(const std::string& key);
@@ -51,7 +52,7 @@
     const toml::table& table_;
     const std::string path_;  // prefix of the keys in messages: "store.write.", or empty
     const std::string file_;
-    std::set<std::string> known_;
+    std::set<std::string> known_keys_;
 };
 
 }  // namespace pinedoor::stated
