--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -1,5 +1,5 @@
-// The test program. A listener names each test case as it begins, and ends the program when one takes too
-// long: so a test that hangs fails soon, and the last line says which it was.
+// Entry point of the test program. A doctest listener prints the name of each test case at its start and ends
+// the program if one runs too long, so a test that hangs fails, and the last line of the output names it.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 #include <unistd.h>
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr unsigned kLongestCaseSeconds = 900;  // fleets of processes under the sanitizers take the longest
+constexpr unsigned kLongestCaseSeconds = 900;  // allows for multi-process tests under sanitizers
 
 class Watchdog : public doctest::IReporter {
 public:
@@ -29,7 +29,7 @@
     void test_case_skipped(const doctest::TestCaseData&) override {}
 
 private:
-    // Unbuffered, so that the name is there when the alarm ends the program.
+    // Writes to stderr, which is unbuffered, so that the name is printed before the alarm ends the program.
     static void begin(const doctest::TestCaseData& test) {
         std::fprintf(stderr, "begins: %s\n", test.m_name);
         alarm(kLongestCaseSeconds);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -22,12 +22,13 @@
     }
 };
 
-// Writes a letter at each step of a wait, and one when its frame goes.
+// Writes a character when the coroutine's frame is destroyed.
 struct Trace {
     std::string& out;
     ~Trace() { out += '~'; }
 };
 
+// Writes 'a' before and 'b' after one wait.
 Task wait_once(Waiter& waiter, unsigned interest, Moment until, std::string& out) {
     const Trace trace{out};
     out += 'a';
@@ -40,7 +41,7 @@
     throw std::runtime_error("thrown");
 }
 
-// Runs as many rounds as asked for; each is woken at once.
+// Runs `count` rounds of the scheduler; the deferred function keeps each from blocking.
 void rounds(Scheduler& scheduler, int count) {
     scheduler.run([&] {
         scheduler.defer([] {});
@@ -64,7 +65,7 @@
     CHECK(out == "ab~a");
 }
 
-TEST_CASE("a wait ends by its time") {
+TEST_CASE("a wait ends at its timeout") {
     Scheduler scheduler;
     Waiter waiter(scheduler);
     std::string out;
@@ -74,7 +75,7 @@
     CHECK(out == "ab~");
 }
 
-TEST_CASE("bytes that come, room to write and a close are told as asked") {
+TEST_CASE("a waiter reports received bytes, space to write and a close according to its interest") {
     Scheduler scheduler;
     Pair pair;
     Stream stream(scheduler, std::move(pair.near));
@@ -98,19 +99,19 @@
     CHECK(stream.read() == Stream::Got::kEnd);
 }
 
-TEST_CASE("a coroutine whose task goes is never resumed, wherever it waits") {
+TEST_CASE("a coroutine whose task is destroyed is never resumed, wherever it waits") {
     Scheduler scheduler;
     Pair pair;
     Stream stream(scheduler, std::move(pair.near));
     std::string out;
-    SUBCASE("on its descriptor") {
+    SUBCASE("for its descriptor") {
         {
             auto task = wait_once(stream.waiter(), kRead, kNever, out);
             task.start({});
         }
         REQUIRE(write(pair.far.get(), "x", 1) == 1);
     }
-    SUBCASE("on its time") {
+    SUBCASE("for its timeout") {
         auto task = wait_once(stream.waiter(), 0, scheduler.now() + 1, out);
         task.start({});
         task = Task{};
@@ -126,7 +127,7 @@
     CHECK((out == "a~" || out.empty()));
 }
 
-TEST_CASE("a coroutine whose waiter goes first stays suspended until its task goes") {
+TEST_CASE("a coroutine whose waiter is destroyed first stays suspended until its task is destroyed") {
     Scheduler scheduler;
     std::string out;
     {
@@ -142,7 +143,7 @@
     CHECK(out == "a~");
 }
 
-TEST_CASE("a wake-up meant for one that went does not reach who has its place") {
+TEST_CASE("a wake-up for a destroyed waiter does not reach the waiter that reuses its slot") {
     Scheduler scheduler;
     std::string out;
     auto old = std::make_unique<Waiter>(scheduler);
@@ -157,7 +158,7 @@
     CHECK(out == "aa");
 }
 
-TEST_CASE("a throw ends its task, is told, and leaves the others alone") {
+TEST_CASE("an exception ends its task, is reported, and does not affect other tasks") {
     Scheduler scheduler;
     Waiter waiter(scheduler);
     Waiter other(scheduler);
@@ -176,7 +177,7 @@
     CHECK(out == "ab~");
 }
 
-TEST_CASE("a buffer keeps what was not used, however it grows and is compacted") {
+TEST_CASE("a buffer keeps unconsumed bytes while it grows and is compacted") {
     Buffer buffer;
     std::string sent, got;
     for (int i = 0; i < 400; ++i) {
@@ -193,7 +194,7 @@
     CHECK(got == sent);
 }
 
-TEST_CASE("addresses are read and written") {
+TEST_CASE("endpoints are parsed and formatted") {
     CHECK(parse_endpoint("127.9.1.2:7070") == Endpoint{0x7f090102, 7070});
     CHECK(to_text({0x7f090102, 7070}) == "127.9.1.2:7070");
     for (const char* text : {"", "127.0.0.1", "127.0.0.1:", "127.0.0.1:0", "127.0.0.1:70707", "127.0.0:1",
--- a/tests/parse/json_objects_test.cpp
+++ b/tests/parse/json_objects_test.cpp
@@ -1,4 +1,4 @@
-// Objects out of a stream of text, in whatever pieces and over however many lines.
+// Splitting a stream of text into JSON objects, in pieces of any size and over any number of lines.
 #include "parse/json_objects.hpp"
 
 #include <doctest/doctest.h>
@@ -18,7 +18,7 @@
     return found;
 }
 
-TEST_CASE("objects come out one by one, whatever stands in them and however they are laid out") {
+TEST_CASE("objects are returned one by one, with any content and layout") {
     const std::vector<std::string> written{"{}", "{\"a\":[1,2,{\"b\":\"}\"}]}",
                                            "{\n  \"a\" : \"\\\"{[\\\\\"\n}",
                                            "{\"revision\":3,\r\n\"members\":[]}"};
@@ -30,7 +30,7 @@
     CHECK(!objects.bad());
 }
 
-TEST_CASE("any cut of the text into pieces gives the same objects") {
+TEST_CASE("any division of the text into pieces gives the same objects") {
     const std::string text = "{\"a\":\"\\\\\"}\n\n{ \"b\": [ { }, \"]\" ] }{\"c\":1}\n";
     JsonObjects whole(100);
     whole.feed(text);
@@ -49,7 +49,7 @@
     }));
 }
 
-TEST_CASE("what is no object, and what is longer than the bound, is bad") {
+TEST_CASE("text that is no object, and an object above the size limit, are errors") {
     JsonObjects words(100);
     words.feed("{}\nfine");
     CHECK(all_of(words).size() == 1);
--- a/tests/parse_test.cpp
+++ b/tests/parse_test.cpp
@@ -12,7 +12,7 @@
 using namespace pinedoor::parse;
 using Reader = HttpReader;
 
-// Feeds a message whole, then in pieces of each size up to 7; all must be read alike.
+// Feeds a message whole, then in pieces of each size up to 7; checks that all give the same result.
 std::string read_request(const std::string& text, HttpBounds bounds = {}) {
     std::string first;
     for (std::size_t piece = 0; piece < 8; ++piece) {
@@ -42,7 +42,7 @@
     return first;
 }
 
-TEST_CASE("requests are read alike in whatever pieces they come") {
+TEST_CASE("requests are parsed alike in pieces of any size") {
     CHECK(read_request("POST /a HTTP/1.1\r\nhOsT:  x \r\nContent-Length: 3\r\n\r\nabcNEXT") ==
           "POST /a host=x body=abc left=NEXT");
     CHECK(read_request("\r\nGET /up HTTP/1.1\r\n\r\n") == "GET /up host=- body= left=");
@@ -55,7 +55,7 @@
     CHECK(read_request("POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nab") == "more");
 }
 
-TEST_CASE("malformed, contradictory and oversized requests are told apart") {
+TEST_CASE("malformed, contradictory and oversized requests are rejected with distinct errors") {
     CHECK(read_request("GET /\r\n\r\n") == "400 no request line");
     CHECK(read_request("G(T / HTTP/1.1\r\n\r\n") == "400 no request line");
     CHECK(read_request("GET / HTTP/2.0\r\n\r\n") == "505 not HTTP/1.1");
@@ -90,7 +90,7 @@
     CHECK(read_request(chunked + "0\r\n" + std::string(200, 'a'), {100, 10}) == "431 the head is too large");
 }
 
-TEST_CASE("an answer that streams gives up its body as it comes, and has no end of its own") {
+TEST_CASE("a streamed response returns its body as it arrives, without a limit on its total size") {
     Reader reader(Reader::Kind::kResponse, {1000, 8});
     std::string got;
     const std::string text =
@@ -107,7 +107,7 @@
     CHECK(failed.status() == 503);
 }
 
-// Prints what was read, or what is wrong, the same for whole texts and for single bytes.
+// Prints a value in a compact form.
 std::string print(const Json& json) {
     if (const auto* members = json.members()) {
         std::string out = "{";
@@ -125,6 +125,7 @@
     return "null";
 }
 
+// Parses the text byte by byte and whole, checks that both agree, and prints the value or the error.
 std::string read_json(const std::string& text, JsonBounds bounds = {}) {
     try {
         JsonReader in_bytes(bounds);
@@ -138,14 +139,14 @@
     }
 }
 
-TEST_CASE("JSON of every kind is read") {
+TEST_CASE("JSON values of every type are parsed") {
     CHECK(read_json(R"( {"a":[1,-2.5e1,true,false,null,"x"],"b":{},"c":[]} )") ==
           "{a:[1.000000 -25.000000 yes no null 'x' ] b:{} c:[] }");
     CHECK(read_json(R"("\"\\\/\n\u0041\u00e4\u20ac\ud83d\ude00")") == "'\"\\/\nA\u00e4\u20ac\U0001f600'");
     CHECK(read_json("12") == "12.000000");
 }
 
-TEST_CASE("JSON that is malformed, deep or long is refused where it goes wrong") {
+TEST_CASE("JSON that is malformed, too deep or too long is rejected at the offending byte") {
     for (const std::string text : {"",
                                    "{",
                                    "[1,]",
@@ -184,7 +185,7 @@
     CHECK(read_json("[1,2,3]", {5, 4}) == "JSON, byte 6: too long");
 }
 
-TEST_CASE("strings are written so that they are read back unchanged") {
+TEST_CASE("a written string is parsed back unchanged") {
     std::string all;
     for (int c = 1; c < 256; ++c) all.push_back(static_cast<char>(c));
     std::string out;
@@ -192,7 +193,7 @@
     CHECK(*parse_json(out).string() == all);
 }
 
-TEST_CASE("frames are read from any pieces, and impossible lengths are refused") {
+TEST_CASE("incomplete frames need more bytes, and invalid lengths are rejected") {
     const std::string bytes = std::string("\x07\0\0\0Rid d -", 11) + "next";
     for (std::size_t size = 0; size < 11; ++size) {
         CHECK(scan_frame(std::string_view(bytes).substr(0, size), 100).state == FrameScan::State::kMore);
@@ -207,7 +208,7 @@
     CHECK(scan_frame("\xff\xff\xff\xff", 100).state == FrameScan::State::kBad);
 }
 
-TEST_CASE("results are read as the index servers write them") {
+TEST_CASE("results are parsed as the index servers write them") {
     const auto result = parse_result("9b1f.3 done 1840277719 inflight=7,util=0.61\nv\u00e4lue");
     REQUIRE(result);
     CHECK(result->id == "9b1f.3");
@@ -237,7 +238,7 @@
     }
 }
 
-TEST_CASE("a call is written as the protocol shows it") {
+TEST_CASE("a call is written in the protocol's format") {
     auto frame = begin_frame('S');
     append_part(frame, "9b1f03aa5c7e2d41.3", 3, 240, "c41e77d0");
     append_part(frame, "x.9", 9, 1, "");
--- a/tests/stand_ins.hpp
+++ b/tests/stand_ins.hpp
@@ -1,5 +1,5 @@
-// Starts the program, and plays clients, index servers and discovery to it on loopback, one step after the
-// other. Each step waits for what it needs, so nothing depends on how quick the machine is.
+// Test fixtures that start the front node as a process and act as its clients, index servers and discovery on
+// loopback. Each step waits for the condition that it needs, so tests do not depend on the machine's speed.
 #pragma once
 
 #include <arpa/inet.h>
@@ -31,7 +31,7 @@
 
 namespace pinedoor::test {
 
-// "503 retry-after=SECONDS", spread between half of the longest and the longest.
+// Whether this is "503 retry-after=SECONDS" with SECONDS in the given range.
 inline bool is_pushback(const std::string& answer, double least, double most) {
     const std::string begins = "503 retry-after=";
     if (!answer.starts_with(begins)) return false;
@@ -39,8 +39,8 @@
     return seconds >= least - 0.001 && seconds <= most + 0.001;
 }
 
-inline constexpr int kPatienceSeconds = 8;     // for what never comes
-inline constexpr int kLongestRunSeconds = 60;  // of a program that was told to end
+inline constexpr int kPatienceSeconds = 8;     // limit of any wait for an event that may never occur
+inline constexpr int kLongestRunSeconds = 60;  // a process that has not exited by then is killed
 
 inline sockaddr_in to_sockaddr(net::Endpoint at) {
     sockaddr_in address{};
@@ -58,7 +58,7 @@
     setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &yes, sizeof yes);
 }
 
-// One end of a connection.
+// One end of a TCP connection, with blocking reads and writes.
 class Peer {
 public:
     Peer() = default;
@@ -71,6 +71,7 @@
     bool connected() const { return connected_; }
     int fd() const { return fd_.get(); }
     bool holds_more() const { return !held_.empty(); }
+    // Sends all bytes; stops silently if the connection breaks.
     void say(std::string_view bytes) {
         while (!bytes.empty()) {
             const auto count = send(fd_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL);
@@ -78,7 +79,8 @@
             bytes.remove_prefix(static_cast<std::size_t>(count));
         }
     }
-    // What has come up to and with the mark; all that came if the connection ended before it.
+    // Returns the received bytes up to and including the delimiter; all of them if the connection ends before
+    // it.
     std::string read_to(std::string_view mark) {
         for (std::size_t at = 0; (at = held_.find(mark)) == std::string::npos;) {
             if (!read_more()) return std::exchange(held_, {});
@@ -91,19 +93,22 @@
         }
         return take(count);
     }
-    bool ended() {  // nothing more comes
+    // Waits until data arrives or the connection ends; true if it ended.
+    bool ended() {
         while (held_.empty() && read_more()) {
         }
         return held_.empty();
     }
     void end_writing() { shutdown(fd_.get(), SHUT_WR); }
-    void reset() {  // closes so that the other end sees a reset
+    // Closes with SO_LINGER 0, so that the other end receives a reset.
+    void reset() {
         const linger now{1, 0};
         setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
         fd_ = net::Fd{};
     }
 
-    // A client's: "200 body", and what headers matter.
+    // Reads an HTTP response as a client: status, the retry-after and connection headers if present, and the
+    // body.
     std::string answer() {
         parse::HttpReader reader(parse::HttpReader::Kind::kResponse);
         while (reader.state() != parse::HttpReader::State::kDone) {
@@ -119,14 +124,14 @@
         return body.empty() ? seen : seen + ' ' + body;
     }
 
-    // An index server's: the letter and the rest of the next frame.
+    // Reads a frame as an index server: the type letter and the payload.
     std::string frame_with_time() {
         const auto head = read_bytes(4);
         if (head.size() < 4) return "nothing";
         const auto size = static_cast<unsigned char>(head[0]) + 256U * static_cast<unsigned char>(head[1]);
         return read_bytes(size);
     }
-    // Without how long the front node will wait.
+    // The same without the d= fields (how long the front node will wait).
     std::string frame() {
         auto text = frame_with_time();
         for (auto at = text.find(" d="); at != std::string::npos; at = text.find(" d=")) {
@@ -134,9 +139,11 @@
         }
         return text;
     }
+    // Sends the result of one part.
     void reply(const std::string& id, const std::string& end, const std::string& value = "") {
         say_frame("R" + id + ' ' + end + " 7 util=0.5\n" + value);
     }
+    // Sends a frame; `text` is the type letter and the payload.
     void say_frame(const std::string& text) {
         auto frame = parse::begin_frame(text.at(0));
         frame += text.substr(1);
@@ -162,7 +169,7 @@
     bool connected_ = false;
 };
 
-// Somebody who is connected to.
+// A listening socket on loopback; port 0 lets the kernel choose one.
 class Listener {
 public:
     explicit Listener(int backlog = 64, net::Endpoint at = {INADDR_LOOPBACK, 0})
@@ -187,8 +194,9 @@
     net::Endpoint at_;
 };
 
-// Index servers that answer, and, unless they are good, fail, turn away, keep silent, lie, break off and
-// reset by chance from a seed, until they go.
+// Index servers that answer every part (kGood), or that at random, from a fixed seed, also fail it, report
+// full, do not answer, answer a wrong part, send a partial or malformed frame, or reset the connection
+// (kBad).
 class Mischief {
 public:
     enum class Manners { kBad, kGood };
@@ -234,7 +242,7 @@
                 case 2: peer.say(std::string("\x30\0\0\0R", 5) + id); return false;
                 case 3: peer.reset(); return false;
                 case 4: peer.reply(id + "0", "done"); break;
-                case 5: break;  // silence
+                case 5: break;  // no answer
                 case 6: peer.say_frame("Fwhat"); break;
                 default: peer.reply(id, "done", "of " + id);
             }
@@ -243,14 +251,14 @@
     }
 
     std::vector<Listener> listeners_;
-    const std::uint32_t kinds_;  // of what a server may do, the usual answer most of them; 0: that alone
+    const std::uint32_t kinds_;  // equally likely behaviours, of which 0 to 6 are faults; 0: no faults
     std::vector<Peer> peers_;
     std::mt19937 chance_{7};
     std::atomic<bool> stop_ = false;
     std::thread thread_;
 };
 
-// Listed servers: name, address, and the phase; all hold all shards.
+// An entry of discovery's server list.
 struct Listed {
     std::string name;
     net::Endpoint at;
@@ -282,9 +290,9 @@
 
 inline const std::string kStream = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-// The front node, with a deployment small enough for tests: one place, so every server holds all shards;
-// parts are sent once, so each outcome shows in the ending. Any text of the configuration may be replaced
-// before start().
+// A front node process with a small deployment: one ring position, so every server holds all shards, and at
+// most one send per part, so each outcome is visible in the response. with() replaces any text of the
+// configuration before start().
 class Program {
 public:
     explicit Program(const std::vector<Listed>& known, net::Endpoint discovery) {
@@ -317,17 +325,20 @@
     Program(const Program&) = delete;
     Program& operator=(const Program&) = delete;
 
+    // Replaces the first occurrence of `old_text` in the configuration file.
     Program& with(const std::string& old_text, const std::string& new_text) {
         const auto at = config_.find(old_text);
         if (at == std::string::npos) std::abort();
         config_.replace(at, old_text.size(), new_text);
         return *this;
     }
+    // Sets ROUTER_DISCOVERY.
     Program& with_variable(net::Endpoint discovery) {
         discovery_ = net::to_text(discovery);
         return *this;
     }
-    // Our TOML; each @ in it stands for the folder, which lasts as long as this object.
+    // Sets pinedoor's TOML settings. Each @ in the text is replaced by folder(), which lasts as long as this
+    // object.
     Program& with_settings(const std::string& toml) {
         settings_ = toml;
         return *this;
@@ -342,7 +353,7 @@
     }
     const std::string& folder() const { return folder_; }
     net::Endpoint at() const { return port_.at(); }
-    // What `pinedoor store ...` prints on both its outputs, and its exit code behind that.
+    // Runs `pinedoor store ...`; returns its stdout and stderr, followed by its exit code if that is not 0.
     std::string store(const std::string& words) const {
         const auto command =
             std::string(PINEDOOR_PROGRAM) + " store -s " + folder_ + "/pinedoor.toml " + words + " 2>&1";
@@ -353,6 +364,7 @@
         const int code = WEXITSTATUS(pclose(pipe));
         return code == 0 ? text : text + "exit " + std::to_string(code) + '\n';
     }
+    // Writes the configuration file again, for a reload.
     void rewrite() const { std::ofstream(folder_ + "/config.json") << config_; }
     Program& start() {
         auto folder = scratch() + "/pinedoor-test-XXXXXX";
@@ -378,7 +390,7 @@
         }
         return *this;
     }
-    // A connection to it, once it listens.
+    // Connects to the process, waiting until it listens.
     Peer client() {
         for (int tries = 0; tries < kPatienceSeconds * 100; ++tries) {
             Peer peer(at());
@@ -393,7 +405,8 @@
         ::kill(pid_, signal);
         if (signal == SIGKILL) wait();
     }
-    // Its exit code, or minus the signal that ended it. One that does not end is killed in the end.
+    // Waits for the process to exit; returns its exit code, or the negative number of the signal that ended
+    // it. Kills the process after kMaxShutdownSeconds.
     int wait() {
         constexpr int kNotRun = -1000;
         int status = 0;
@@ -415,19 +428,20 @@
         text << std::ifstream(folder_ + "/log").rdbuf();
         return text.str();
     }
+    // Reads a counter from /counters; 999'999 if there is none of this name.
     std::uint64_t counter(const std::string& name) {
         auto peer = client();
         peer.say("GET /counters HTTP/1.1\r\nConnection: close\r\n\r\n");
         const auto answer = peer.answer();
         std::istringstream lines(
-            answer.substr(std::min<std::size_t>(answer.size(), 21)));  // behind "200 connection=close "
+            answer.substr(std::min<std::size_t>(answer.size(), 21)));  // skips "200 connection=close "
         std::uint64_t value = 0;
         for (std::string word; lines >> word >> value;) {
             if (word == name) return value;
         }
         return 999'999;
     }
-    // Waits until a counter has come to a value; what it was at last.
+    // Waits until the counter has this value; returns the last value that was read.
     std::uint64_t counter_at(const std::string& name, std::uint64_t value) {
         std::uint64_t seen = 0;
         for (int tries = 0; tries < kPatienceSeconds * 100 && (seen = counter(name)) != value; ++tries)
@@ -436,7 +450,8 @@
     }
 
 private:
-    // Held, so that a client that comes before the program listens is not connected to itself.
+    // Reserves the port, so that a client that connects before the process listens is not connected to
+    // itself.
     const lab::HeldPort port_;
     const char* path_ = PINEDOOR_PROGRAM;
     std::string config_;
@@ -447,6 +462,7 @@
     pid_t pid_ = 0;
 };
 
+// A multiget request in HTTP.
 inline std::string post(const std::string& op_type, const std::string& name, const std::string& body,
                         int remaining_ms = 4'000, const std::string& more_headers = "") {
     return "POST /" + op_type + " HTTP/1.1\r\nHost: x\r\nx-txn: " + name + "\r\nX-Lane: " + op_type +
@@ -454,7 +470,7 @@
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// A body that asks for these shards, with even shares.
+// The body of a multiget for these shards, with equal shares.
 inline std::string asks(const std::vector<int>& shards, const std::string& text = "q") {
     std::string body = "{\"targets\":[";
     for (const int shard : shards) {
--- a/tests/stand_ins/counting.hpp
+++ b/tests/stand_ins/counting.hpp
@@ -1,4 +1,4 @@
-// An index server that answers by itself and counts what it ran.
+// An index server stand-in that counts the executions of each query.
 #pragma once
 
 #include <map>
@@ -12,8 +12,9 @@
 
 namespace pinedoor::test {
 
-// An index server that counts how often each query's text was run. By the text's last letter it answers 'a'
-// at once, fails 'f' after running it, and is full for 'u'; 's' is run and never answered.
+// Counts how often each query's text was run. The last letter of the text selects the behaviour: 'f'
+// runs the query and reports a failure, 'u' reports full without running it, 's' runs it and never answers,
+// and any other letter (usually 'a') runs it and answers.
 class Counting {
 public:
     Counting() {
--- a/tests/stand_ins/discovery.hpp
+++ b/tests/stand_ins/discovery.hpp
@@ -1,5 +1,5 @@
-// A discovery that tells a list to all who watch it, anew when it is changed, and an empty line every half
-// second.
+// A discovery stand-in that sends the server list to all watchers when they connect and after each change,
+// and an empty line as a heartbeat every 0.5 s.
 #pragma once
 
 #include <poll.h>
@@ -24,7 +24,8 @@
         thread_.join();
     }
     net::Endpoint at() const { return listener_.at(); }
-    void tell(std::vector<Listed> members) {  // to all who watch, as a whole list
+    // Replaces the list; all watchers receive it as a complete list.
+    void tell(std::vector<Listed> members) {
         const std::lock_guard lock(mutex_);
         members_ = std::move(members);
         ++revision_;
--- a/tests/stand_ins/faulty_calls.cpp
+++ b/tests/stand_ins/faulty_calls.cpp
@@ -1,15 +1,15 @@
-// System calls on sockets that fail when a test says so. Linked into `pinedoor_faulty`, which is the front
-// node with these in place of src/net/system_calls.cpp.
+// Socket system calls with fault injection. Linked into `pinedoor_faulty`, which is the front node with
+// these functions in place of src/net/system_calls.cpp.
 //
-// PINEDOOR_FAULT is "CALL N ERROR [COUNT]": from the N-th CALL on, COUNT of them (one, if it is left out)
-// fail with ERROR, a number; ERROR "short" lets a read or write take a single byte; "stall" lets the N-th
-// write take a few bytes and then nothing more on that descriptor; "self" gives the N-th connect the other
-// end's port for its own. CALL is socket, connect, accept, pending,
-// receive, transmit, add or wait.
+// PINEDOOR_FAULT is "CALL N ERROR [COUNT]": COUNT calls (default 1) from the N-th CALL on fail with errno
+// ERROR. CALL is socket, connect, accept, pending, receive, transmit, add or wait. ERROR may also be a word:
+// "short" makes a read or write transfer a single byte; "stall" makes a write transfer a few bytes and all
+// later writes on that descriptor return EAGAIN; "self" binds the socket of a connect to the destination, so
+// that it connects to itself.
 //
-// PINEDOOR_PAUSE names a folder. While a file `pause` is there, the next wait that has returned events writes
-// `paused` and goes on once a file `go` is there: whatever a test does meanwhile has happened after the wait
-// and before anything that the program does about its events.
+// PINEDOOR_PAUSE names a folder. If it holds a file `pause`, the next wait that returns events creates
+// `paused` there and continues once a file `go` exists: what a test does in between happens after the wait
+// returned and before the program handles its events.
 #include <fcntl.h>
 #include <unistd.h>
 
@@ -44,7 +44,7 @@
     return kFault;
 }
 
-// Whether this call is one that fails; each kind of call counts for itself.
+// Counts the calls of the kind that PINEDOOR_FAULT names; returns whether this call is to fail.
 bool is_hit(const std::string& call) {
     if (fault().call != call) return false;
     static long calls = 0;
@@ -52,7 +52,7 @@
     return calls >= fault().first && calls < fault().first + fault().count;
 }
 
-// Sets errno if the call is to fail with a number.
+// Like is_faulty_call(), and sets errno to the fault's number.
 bool fails(const std::string& call) {
     if (!is_hit(call)) return false;
     errno = std::atoi(fault().error.c_str());
@@ -65,13 +65,14 @@
 
 bool is_there(const std::string& file) { return access(file.c_str(), F_OK) == 0; }
 
-// Descriptors that take nothing more.
+// Descriptors on which all writes return EAGAIN.
 std::set<int>& stalled() {
     static std::set<int> fds;
     return fds;
 }
 
-int made_anew(int fd) {  // the number may have been another one's
+// Clears the stalled mark of a new descriptor, whose number may have belonged to a stalled one.
+int made_anew(int fd) {
     stalled().erase(fd);
     return fd;
 }
@@ -102,7 +103,7 @@
         return ::connect(fd, address, size);
     }
     const int error = std::atoi(fault().error.c_str());
-    if (error == EINTR) ::connect(fd, address, size);  // interrupted it goes on all the same
+    if (error == EINTR) ::connect(fd, address, size);  // an interrupted connect continues
     errno = error;
     return -1;
 }
--- a/tests/stand_ins/faulty_discovery.hpp
+++ b/tests/stand_ins/faulty_discovery.hpp
@@ -1,7 +1,7 @@
-// A discovery that refuses, hangs, breaks off or takes its time by chance from a seed, and whose watches can
-// be made silent or ended. Beats come every 2 s, as the protocol has them. Each front node calls it at an
-// address of its own and meets a sequence of its own, so that a seed gives the same verdict however calls are
-// mixed.
+// A discovery stand-in that at random, from a seed, refuses calls, does not answer, breaks off or answers
+// late, and whose watches can be silenced or ended. It sends heartbeats every 2 s, as the protocol requires.
+// Each front node has an address and a random sequence of its own, so a seed gives the same faults however
+// calls interleave.
 #pragma once
 
 #include <poll.h>
@@ -22,13 +22,13 @@
 
 class FaultyDiscovery {
 public:
-    // What calls meet: shares of them, and how long one takes that is answered or refused.
+    // The shares of calls with each fault, from 0 to 1, and the delay of calls that are answered or refused.
     struct Manners {
-        double refused = 0;  // 503
-        double unanswered = 0;
-        double broken_off = 0;  // in the middle of the list
+        double refused = 0;     // answered with 503
+        double unanswered = 0;  // accepted and never answered
+        double broken_off = 0;  // ended in the middle of the list
         std::chrono::milliseconds least_delay{0}, most_delay{0};
-        int most_bad_on_end = 1'000'000;  // for one front node
+        int most_bad_on_end = 1'000'000;  // bad calls in a row of one front node
     };
 
     FaultyDiscovery(std::string list, int callers, std::uint32_t seed)
@@ -46,7 +46,7 @@
         const std::lock_guard lock(mutex_);
         manners_ = manners;
     }
-    // What is told to those who call from now on; open watches that are not silent are told too.
+    // Replaces the list for later calls, and sends it to open watches that are not silenced.
     void change(const std::string& list) {
         const std::lock_guard lock(mutex_);
         list_ = list;
@@ -64,8 +64,10 @@
         const std::lock_guard lock(mutex_);
         std::erase_if(calls_, [](const auto& call) { return call.stage == Stage::kWatching; });
     }
+    // All calls so far, and those with a fault.
     int calls() const { return made_; }
     int bad_calls() const { return bad_; }
+    // The number of open watches that are not silenced.
     int watching() {
         const std::lock_guard lock(mutex_);
         return static_cast<int>(std::count_if(calls_.begin(), calls_.end(),
@@ -85,7 +87,7 @@
         Caller* caller = nullptr;
         Stage stage = Stage::kAsking;
         Fate fate = Fate::kServed;
-        Clock::time_point due;  // of its answer, or of the next beat
+        Clock::time_point due;  // time of its answer, or of the next heartbeat
     };
 
     Fate draw_fate(Caller& caller) const {
--- a/tests/stand_ins/fleets.hpp
+++ b/tests/stand_ins/fleets.hpp
@@ -1,5 +1,5 @@
-// Fleets for the planner by chance from a seed: uneven load, sizes and capacities, replicas anywhere that has
-// room.
+// Random fleets for the planner, from a seed, with uneven loads, sizes and capacities. Replicas are placed on
+// any box that has space.
 #pragma once
 
 #include <algorithm>
@@ -10,11 +10,12 @@
 
 namespace pinedoor::test {
 
+// Parameters of a random fleet.
 struct FleetShape {
     std::size_t boxes = 6, shards = 20, replicas = 2;
     int zones = 3;
-    double space = 1;      // 1: a half more than what an even spread needs
-    double crowding = 1;   // above 1 the first boxes hold more
+    double space = 1;      // factor of the boxes' space; 1 is 1.5 times what an even spread needs
+    double crowding = 1;   // above 1 the first boxes hold more replicas than the rest
     bool empties = false;  // one box in twenty is draining
 };
 
@@ -27,7 +28,7 @@
     for (std::size_t s = 0; s < shape.shards; ++s) {
         Need need;
         need.shard = s + 1;
-        need.reads = 10 / (0.05 + one());  // a few are hot
+        need.reads = 10 / (0.05 + one());  // a few shards are hot
         need.writes = one() < 0.3 ? 20 * one() : 0;
         need.size = 1 + std::floor(4 * one());
         need.replicas = shape.replicas;
--- a/tests/stand_ins/scratch.hpp
+++ b/tests/stand_ins/scratch.hpp
@@ -1,5 +1,5 @@
-// Where tests keep files that are synced: in memory where there is such a place, so that none waits for a
-// disk that other work keeps busy.
+// The folder for files that tests sync: in memory where the machine has /dev/shm, so that no test waits for a
+// busy disk.
 #pragma once
 
 #include <filesystem>
--- a/tests/stated_test.cpp
+++ b/tests/stated_test.cpp
@@ -42,15 +42,14 @@
     return out;
 }
 
-TEST_CASE("the simulator's text and JSON give the same figures") {
+TEST_CASE("the simulator's text and JSON give the same settings") {
     const auto text = print(Stated::from_text(kSameAsText));
     CHECK(print(Stated::from_json(parse::parse_json(kSettings))) == text);
     CHECK(text.starts_with("25000.000000 75000.000000 1.000000 50000.000000 3.000000 0.250000 0.600000 "));
     CHECK(text.ends_with("one two north_ far south 1 0 1 1 0 "));
 }
 
-TEST_CASE(
-    "settings of the moved deployments are checked by their keys, and what is left out changes nothing") {
+TEST_CASE("invalid settings are reported with their keys, and optional settings may be left out") {
     const std::string good = R"({"classes":[{"aim_ms":1200.0,"deadline_ms":2500.0,"effect":"guarded",
 "dedup_scope":"all","memory_span_ms":2500.0,"worth":1.0,"late_worth":0.3,"name":"n"}],
 "family_info":{"follow_up":[2],"min_share":[0.4],"need_by_class":[1],"short_worth":[0.95]},
@@ -103,6 +102,7 @@
           "settings: clients.marks_retry is neither true nor false: '1'");
 }
 
+// Returns the listen address and the seed, or the error message.
 std::string complaint(const std::string& json, const std::string& listen = "") {
     try {
         const Launch launch(parse::parse_json(json), [&](const char* name) {
@@ -114,7 +114,7 @@
     }
 }
 
-TEST_CASE("the configuration's faults are told by their keys, and variables go before the file") {
+TEST_CASE("configuration errors name their keys, and environment variables override the file") {
     const std::string good =
         R"({"name":"n3","listen":"127.0.0.4:7070","discovery":"127.2.0.1:8500","seed":"1f",
         "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{},"settings":{},"more":1})";
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -1,5 +1,5 @@
-// A wall clock that is stepped while the front node runs: deadlines, pauses and starts of servers are spans
-// of real time.
+// Steps of the wall clock while the front node runs. Deadlines, pauses and server start times must be
+// measured in elapsed time, so a step must not affect them.
 #include <doctest/doctest.h>
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 
 constexpr std::int64_t kHourMs = 3'600'000;
 
-// A front node whose wall clock a test steps, and one server.
+// A front node whose wall clock the test can step, with one index server.
 struct SteppedNode {
     Listener server;
     Listener discovery;
@@ -37,7 +37,7 @@
     }
     ~SteppedNode() { std::filesystem::remove_all(folder); }
     std::string file() const { return folder + "/clock"; }
-    // In place: the program has the file mapped.
+    // Overwrites the offset in place, since the process has the file mapped.
     void step_by(std::int64_t ms) const {
         std::fstream out(file(), std::ios::in | std::ios::out | std::ios::binary);
         if (!out.is_open()) out.open(file(), std::ios::out | std::ios::binary);
@@ -52,7 +52,7 @@
     }
 };
 
-TEST_CASE("a step of the wall clock ends no request, and servers are told the time that is left") {
+TEST_CASE("a step of the wall clock ends no request, and servers still receive the remaining time") {
     std::int64_t by = 0;
     SUBCASE("an hour on") { by = kHourMs; }
     SUBCASE("an hour back") { by = -kHourMs; }
@@ -69,30 +69,30 @@
     const auto frame = link.frame_with_time();
     REQUIRE(frame.starts_with("St2.2 2 d="));
     const int told = std::stoi(frame.substr(10));
-    CHECK(told <= 2'000);  // the aim: later it is worth nothing
+    CHECK(told <= 2'000);  // the latency budget; a later result has no importance
     CHECK(told > 1'500);
     link.reply("t2.2", "done", "two");
     CHECK(other.answer() == R"(200 {"whole":true,"results":[{"partition":2,"value":"two"}]})");
     link.reply("t1.1", "done", "one");
     CHECK(node.client.answer() == R"(200 {"whole":true,"results":[{"partition":1,"value":"one"}]})");
     CHECK(node.program.counter("invariants_broken") == 0);
-    CHECK(node.program.counter("list_failures") == 0);  // the watch has not fallen silent
+    CHECK(node.program.counter("list_failures") == 0);  // the watch has not timed out
     node.program.kill(SIGTERM);
     node.client = Peer{};
     other = Peer{};
     CHECK(node.program.wait() == 0);
 }
 
-// Guards leases: what a process wrote after its clock had been stepped on counted as alive for an hour after
-// it had been killed, and one whose clock had been stepped back as gone while it lived.
-TEST_CASE("a process whose wall clock is stepped counts as alive while it lives, and as gone soon after") {
+// Guards against leases dated by the wall clock: after a step forward, a killed process would count as alive
+// for an hour; after a step back, a running process would count as gone.
+TEST_CASE("a process whose wall clock is stepped counts as alive while it runs, and as gone soon after") {
     std::int64_t by = 0;
     SUBCASE("an hour on") { by = kHourMs; }
     SUBCASE("an hour back") { by = -kHourMs; }
     SteppedNode node;
     node.program.with_settings("[store]\nkind = \"sqlite\"\nfolder = \"@/store\"\nlease_ms = 900\n");
     node.start();
-    // As another process tells it, whose clock is right.
+    // The state is read by another process, whose clock is not stepped.
     std::string line;
     const auto look = [&](const auto& wanted) {
         for (int tries = 0; tries < kPatienceSeconds * 50; ++tries) {
@@ -114,8 +114,8 @@
     CHECK(look([&] { return is(" gone, "); }));
 }
 
-// Guards leases over a start of the machine, after which its boot clock begins at nothing.
-TEST_CASE("a store's clock goes on by the wall clock after the machine has started again") {
+// Guards leases across a reboot, after which the boot clock starts at zero.
+TEST_CASE("after a reboot a store's clock continues from the wall clock") {
     auto folder = scratch() + "/pinedoor-boot-XXXXXX";
     const std::string path = std::string(mkdtemp(folder.data())) + "/db";
     const auto now = [](pinedoor::store::SqliteDb& db) {
@@ -125,7 +125,7 @@
     pinedoor::store::SqliteDb first(path);
     first.agree_on_clock();
     first.run("UPDATE pinedoor_clock SET booted_at = booted_at + $1", {60 * kSecond});
-    pinedoor::store::SqliteDb second(path);  // the same start of the machine: what was agreed holds
+    pinedoor::store::SqliteDb second(path);  // the same boot: the recorded offset stays valid
     CHECK(now(second) - now(first) > 59 * kSecond);
     first.run("UPDATE pinedoor_clock SET boot = 'another'");
     pinedoor::store::SqliteDb third(path);
