--- a/tests/main.cpp
+++ b/tests/main.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-constexpr unsigned kLongestCaseSeconds = 900;  // allows for multi-process tests under sanitizers
+constexpr unsigned kMaxTestCaseSeconds = 900;  // allows for multi-process tests under sanitizers
 
 class Watchdog : public doctest::IReporter {
 public:
     explicit Watchdog(const doctest::ContextOptions&) {}
 
-    void test_case_start(const doctest::TestCaseData& test) override { begin(test); }
+    void test_case_start(const doctest::TestCaseData& test) override { print_name_and_set_alarm(test); }
     void test_case_reenter(const doctest::TestCaseData&) override {}
     void test_case_end(const doctest::CurrentTestCaseStats&) override { alarm(0); }
 
@@ -30,9 +30,9 @@
 
 private:
     // Writes to stderr, which is unbuffered, so that the name is printed before the alarm ends the program.
-    static void begin(const doctest::TestCaseData& test) {
+    static void print_name_and_set_alarm(const doctest::TestCaseData& test) {
         std::fprintf(stderr, "begins: %s\n", test.m_name);
-        alarm(kLongestCaseSeconds);
+        alarm(kMaxTestCaseSeconds);
     }
 };
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -12,9 +12,9 @@
 
 using namespace pinedoor::net;
 
-struct Pair {
+struct SocketPair {
     Fd near, far;
-    Pair() {
+    SocketPair() {
         int fds[2];
         REQUIRE(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, fds) == 0);
         near = Fd(fds[0]);
@@ -23,14 +23,14 @@
 };
 
 // Writes a character when the coroutine's frame is destroyed.
-struct Trace {
+struct DestructionMark {
     std::string& out;
-    ~Trace() { out += '~'; }
+    ~DestructionMark() { out += '~'; }
 };
 
 // Writes 'a' before and 'b' after one wait.
 Task wait_once(Waiter& waiter, unsigned interest, Moment until, std::string& out) {
-    const Trace trace{out};
+    const DestructionMark mark{out};
     out += 'a';
     co_await waiter.wait(interest, until);
     out += 'b';
@@ -42,7 +42,7 @@
 }
 
 // Runs `count` rounds of the scheduler; the deferred function keeps each from blocking.
-void rounds(Scheduler& scheduler, int count) {
+void run_rounds(Scheduler& scheduler, int count) {
     scheduler.run([&] {
         scheduler.defer([] {});
         return count-- == 0;
@@ -57,11 +57,11 @@
     waiter.signal();
     auto first = wait_once(waiter, 0, kNever, out);
     first.start({});
-    rounds(scheduler, 2);
+    run_rounds(scheduler, 2);
     CHECK(out == "ab~");
     auto second = wait_once(waiter, 0, kNever, out);
     second.start({});
-    rounds(scheduler, 3);
+    run_rounds(scheduler, 3);
     CHECK(out == "ab~a");
 }
 
@@ -77,15 +77,15 @@
 
 TEST_CASE("a waiter reports received bytes, space to write and a close according to its interest") {
     Scheduler scheduler;
-    Pair pair;
+    SocketPair pair;
     Stream stream(scheduler, std::move(pair.near));
     std::string out;
     auto reading = wait_once(stream.waiter(), kRead, kNever, out);
     reading.start({});
-    rounds(scheduler, 3);
+    run_rounds(scheduler, 3);
     CHECK(out == "a");
     REQUIRE(write(pair.far.get(), "x", 1) == 1);
-    rounds(scheduler, 3);
+    run_rounds(scheduler, 3);
     CHECK(out == "ab~");
     CHECK(stream.read() == Stream::Got::kBytes);
     CHECK(stream.read() == Stream::Got::kNothing);
@@ -94,14 +94,14 @@
     auto closing = wait_once(stream.waiter(), kClosed, kNever, out);
     closing.start({});
     pair.far = Fd{};
-    rounds(scheduler, 3);
+    run_rounds(scheduler, 3);
     CHECK(out == "ab~ab~");
     CHECK(stream.read() == Stream::Got::kEnd);
 }
 
 TEST_CASE("a coroutine whose task is destroyed is never resumed, wherever it waits") {
     Scheduler scheduler;
-    Pair pair;
+    SocketPair pair;
     Stream stream(scheduler, std::move(pair.near));
     std::string out;
     SUBCASE("for its descriptor") {
@@ -123,7 +123,7 @@
         task = Task{};
     }
     SUBCASE("before its start") { wait_once(stream.waiter(), 0, kNever, out); }
-    rounds(scheduler, 3);
+    run_rounds(scheduler, 3);
     CHECK((out == "a~" || out.empty()));
 }
 
@@ -137,7 +137,7 @@
         SUBCASE("while it waits") {}
         SUBCASE("while it is queued") { waiter->signal(); }
         waiter.reset();
-        rounds(scheduler, 3);
+        run_rounds(scheduler, 3);
         CHECK(out == "a");
     }
     CHECK(out == "a~");
@@ -154,7 +154,7 @@
     Waiter successor(scheduler);
     auto task = wait_once(successor, 0, kNever, out);
     task.start({});
-    rounds(scheduler, 3);
+    run_rounds(scheduler, 3);
     CHECK(out == "aa");
 }
 
@@ -163,17 +163,17 @@
     Waiter waiter(scheduler);
     Waiter other(scheduler);
     std::string out;
-    std::exception_ptr told;
+    std::exception_ptr reported;
     auto task = throw_after(waiter);
-    task.start([&](std::exception_ptr failure) { told = failure; });
+    task.start([&](std::exception_ptr failure) { reported = failure; });
     auto bystander = wait_once(other, 0, kNever, out);
     bystander.start({});
     waiter.signal();
-    rounds(scheduler, 2);
+    run_rounds(scheduler, 2);
     CHECK(task.done());
-    CHECK_THROWS_WITH(std::rethrow_exception(told), "thrown");
+    CHECK_THROWS_WITH(std::rethrow_exception(reported), "thrown");
     other.signal();
-    rounds(scheduler, 2);
+    run_rounds(scheduler, 2);
     CHECK(out == "ab~");
 }
 
@@ -186,9 +186,9 @@
         std::copy(piece.begin(), piece.end(), room.begin());
         buffer.filled(piece.size());
         sent += piece;
-        const auto take = i % 3 == 0 ? std::min<std::size_t>(50, buffer.held().size()) : 0;
-        got += buffer.held().substr(0, take);
-        buffer.drop(take);
+        const auto consumed = i % 3 == 0 ? std::min<std::size_t>(50, buffer.held().size()) : 0;
+        got += buffer.held().substr(0, consumed);
+        buffer.drop(consumed);
     }
     got += buffer.held();
     CHECK(got == sent);
--- a/tests/parse/json_objects_test.cpp
+++ b/tests/parse/json_objects_test.cpp
@@ -39,29 +39,29 @@
     CHECK(rc::check([&] {
         JsonObjects objects(100);
         std::vector<std::string> found;
-        for (std::size_t at = 0; at < text.size();) {
+        for (std::size_t position = 0; position < text.size();) {
             const auto size = *rc::gen::inRange<std::size_t>(1, 9);
-            objects.feed(std::string_view(text).substr(at, size));
+            objects.feed(std::string_view(text).substr(position, size));
             for (auto& object : all_of(objects)) found.push_back(std::move(object));
-            at += size;
+            position += size;
         }
         RC_ASSERT(found == expected);
     }));
 }
 
 TEST_CASE("text that is no object, and an object above the size limit, are errors") {
-    JsonObjects words(100);
-    words.feed("{}\nfine");
-    CHECK(all_of(words).size() == 1);
-    CHECK(words.bad());
-    JsonObjects list(100);
-    list.feed("[{}]");
-    CHECK(all_of(list).empty());
-    CHECK(list.bad());
-    JsonObjects endless(20);
-    endless.feed("{\"a\":\"" + std::string(30, 'x'));
-    CHECK(all_of(endless).empty());
-    CHECK(endless.bad());
+    JsonObjects trailing_text(100);
+    trailing_text.feed("{}\nfine");
+    CHECK(all_of(trailing_text).size() == 1);
+    CHECK(trailing_text.bad());
+    JsonObjects array(100);
+    array.feed("[{}]");
+    CHECK(all_of(array).empty());
+    CHECK(array.bad());
+    JsonObjects unterminated(20);
+    unterminated.feed("{\"a\":\"" + std::string(30, 'x'));
+    CHECK(all_of(unterminated).empty());
+    CHECK(unterminated.bad());
 }
 
 }  // namespace
--- a/tests/parse_test.cpp
+++ b/tests/parse_test.cpp
@@ -22,22 +22,22 @@
         for (std::size_t at = 0; at < text.size() && used == at; at += size) {
             used += reader.feed(std::string_view(text).substr(at, size));
         }
-        std::string seen;
+        std::string outcome;
         switch (reader.state()) {
-            case Reader::State::kBad: seen = std::to_string(reader.fault()) + ' ' + reader.why(); break;
+            case Reader::State::kBad: outcome = std::to_string(reader.fault()) + ' ' + reader.why(); break;
             case Reader::State::kDone: {
                 const auto* host = reader.header("host");
-                seen = reader.method() + ' ' + reader.target() + " host=" + (host ? *host : "-") +
-                       " body=" + reader.take_body() + " left=" + text.substr(used) +
-                       (reader.keeps_open() ? "" : " close");
+                outcome = reader.method() + ' ' + reader.target() + " host=" + (host ? *host : "-") +
+                          " body=" + reader.take_body() + " left=" + text.substr(used) +
+                          (reader.keeps_open() ? "" : " close");
                 break;
             }
-            default: seen = "more";
+            default: outcome = "more";
         }
         if (piece == 0)
-            first = seen;
+            first = outcome;
         else
-            CHECK(seen == first);
+            CHECK(outcome == first);
     }
     return first;
 }
@@ -121,18 +121,18 @@
     }
     if (const auto* text = json.string()) return '\'' + *text + '\'';
     if (const auto* number = json.number()) return std::to_string(number->value);
-    if (const auto* truth = json.boolean()) return *truth ? "yes" : "no";
+    if (const auto* boolean = json.boolean()) return *boolean ? "yes" : "no";
     return "null";
 }
 
 // Parses the text byte by byte and whole, checks that both agree, and prints the value or the error.
-std::string read_json(const std::string& text, JsonBounds bounds = {}) {
+std::string read_json(const std::string& text, JsonLimits bounds = {}) {
     try {
-        JsonReader in_bytes(bounds);
+        JsonParser in_bytes(bounds);
         for (const char c : text) in_bytes.feed({&c, 1});
-        const auto seen = print(in_bytes.finish());
-        CHECK(print(parse_json(text, bounds)) == seen);
-        return seen;
+        const auto outcome = print(in_bytes.finish());
+        CHECK(print(parse_json(text, bounds)) == outcome);
+        return outcome;
     } catch (const BadJson& error) {
         CHECK_THROWS_WITH(parse_json(text, bounds), error.what());
         return error.what();
@@ -229,12 +229,12 @@
 TEST_CASE("text is UTF-8 without control characters") {
     for (const char* text : {"", "plain \"\\", "\u00e4\u20ac", "\U0001f600", "\xef\xbf\xbd"}) {
         CAPTURE(text);
-        CHECK(is_text(text));
+        CHECK(is_printable_utf8(text));
     }
     for (const char* text : {"\n", "\x7f", "\x80", "\xc3", "\xc0\xaf", "\xe0\x80\xaf", "\xed\xa0\x80",
                              "\xf4\x90\x80\x80", "\xff", "a\xe2\x82"}) {
         CAPTURE(text);
-        CHECK_FALSE(is_text(text));
+        CHECK_FALSE(is_printable_utf8(text));
     }
 }
 
--- a/tests/stand_ins.hpp
+++ b/tests/stand_ins.hpp
@@ -39,30 +39,30 @@
     return seconds >= least - 0.001 && seconds <= most + 0.001;
 }
 
-inline constexpr int kPatienceSeconds = 8;     // limit of any wait for an event that may never occur
-inline constexpr int kLongestRunSeconds = 60;  // a process that has not exited by then is killed
+inline constexpr int kPatienceSeconds = 8;      // limit of any wait for an event that may never occur
+inline constexpr int kMaxShutdownSeconds = 60;  // a process that has not exited by then is killed
 
-inline sockaddr_in to_sockaddr(net::Endpoint at) {
+inline sockaddr_in to_sockaddr(net::Endpoint endpoint) {
     sockaddr_in address{};
     address.sin_family = AF_INET;
-    address.sin_port = htons(at.port);
-    address.sin_addr.s_addr = htonl(at.address);
+    address.sin_port = htons(endpoint.port);
+    address.sin_addr.s_addr = htonl(endpoint.address);
     return address;
 }
 
-inline void limit_waits(const net::Fd& fd) {
+inline void set_socket_timeouts(const net::Fd& fd) {
     const timeval limit{kPatienceSeconds, 0};
     setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
     setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof limit);
-    const int yes = 1;
-    setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &yes, sizeof yes);
+    const int on = 1;
+    setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
 // One end of a TCP connection, with blocking reads and writes.
 class Peer {
 public:
     Peer() = default;
-    explicit Peer(net::Fd fd) : fd_(std::move(fd)) { limit_waits(fd_); }
+    explicit Peer(net::Fd fd) : fd_(std::move(fd)) { set_socket_timeouts(fd_); }
     explicit Peer(net::Endpoint to) : Peer(net::Fd(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0))) {
         const auto address = to_sockaddr(to);
         connected_ = connect(fd_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
@@ -70,7 +70,7 @@
 
     bool connected() const { return connected_; }
     int fd() const { return fd_.get(); }
-    bool holds_more() const { return !held_.empty(); }
+    bool holds_more() const { return !received_.empty(); }
     // Sends all bytes; stops silently if the connection breaks.
     void say(std::string_view bytes) {
         while (!bytes.empty()) {
@@ -81,23 +81,23 @@
     }
     // Returns the received bytes up to and including the delimiter; all of them if the connection ends before
     // it.
-    std::string read_to(std::string_view mark) {
-        for (std::size_t at = 0; (at = held_.find(mark)) == std::string::npos;) {
-            if (!read_more()) return std::exchange(held_, {});
+    std::string read_to(std::string_view delimiter) {
+        for (std::size_t position = 0; (position = received_.find(delimiter)) == std::string::npos;) {
+            if (!read_more()) return std::exchange(received_, {});
         }
-        return take(held_.find(mark) + mark.size());
+        return take(received_.find(delimiter) + delimiter.size());
     }
     std::string read_bytes(std::size_t count) {
-        while (held_.size() < count) {
-            if (!read_more()) return std::exchange(held_, {});
+        while (received_.size() < count) {
+            if (!read_more()) return std::exchange(received_, {});
         }
         return take(count);
     }
     // Waits until data arrives or the connection ends; true if it ended.
     bool ended() {
-        while (held_.empty() && read_more()) {
+        while (received_.empty() && read_more()) {
         }
-        return held_.empty();
+        return received_.empty();
     }
     void end_writing() { shutdown(fd_.get(), SHUT_WR); }
     // Closes with SO_LINGER 0, so that the other end receives a reset.
@@ -113,15 +113,15 @@
         parse::HttpReader reader(parse::HttpReader::Kind::kResponse);
         while (reader.state() != parse::HttpReader::State::kDone) {
             if (reader.state() == parse::HttpReader::State::kBad) return "malformed";
-            if (held_.empty() && !read_more()) return "nothing";
-            take(reader.feed(held_));
+            if (received_.empty() && !read_more()) return "nothing";
+            take(reader.feed(received_));
         }
-        std::string seen = std::to_string(reader.status());
+        std::string text = std::to_string(reader.status());
         for (const char* name : {"retry-after", "connection"}) {
-            if (const auto* value = reader.header(name)) seen += ' ' + std::string(name) + '=' + *value;
+            if (const auto* value = reader.header(name)) text += ' ' + std::string(name) + '=' + *value;
         }
         const auto body = reader.take_body();
-        return body.empty() ? seen : seen + ' ' + body;
+        return body.empty() ? text : text + ' ' + body;
     }
 
     // Reads a frame as an index server: the type letter and the payload.
@@ -134,14 +134,14 @@
     // The same without the d= fields (how long the front node will wait).
     std::string frame() {
         auto text = frame_with_time();
-        for (auto at = text.find(" d="); at != std::string::npos; at = text.find(" d=")) {
-            text.erase(at, text.find(' ', at + 1) - at);
+        for (auto position = text.find(" d="); position != std::string::npos; position = text.find(" d=")) {
+            text.erase(position, text.find(' ', position + 1) - position);
         }
         return text;
     }
     // Sends the result of one part.
-    void reply(const std::string& id, const std::string& end, const std::string& value = "") {
-        say_frame("R" + id + ' ' + end + " 7 util=0.5\n" + value);
+    void reply(const std::string& id, const std::string& status, const std::string& value = "") {
+        say_frame("R" + id + ' ' + status + " 7 util=0.5\n" + value);
     }
     // Sends a frame; `text` is the type letter and the payload.
     void say_frame(const std::string& text) {
@@ -155,43 +155,43 @@
     bool read_more() {
         char bytes[4096];
         const auto count = recv(fd_.get(), bytes, sizeof bytes, 0);
-        if (count > 0) held_.append(bytes, static_cast<std::size_t>(count));
+        if (count > 0) received_.append(bytes, static_cast<std::size_t>(count));
         return count > 0;
     }
     std::string take(std::size_t count) {
-        auto taken = held_.substr(0, count);
-        held_.erase(0, count);
+        auto taken = received_.substr(0, count);
+        received_.erase(0, count);
         return taken;
     }
 
     net::Fd fd_;
-    std::string held_;
+    std::string received_;
     bool connected_ = false;
 };
 
 // A listening socket on loopback; port 0 lets the kernel choose one.
 class Listener {
 public:
-    explicit Listener(int backlog = 64, net::Endpoint at = {INADDR_LOOPBACK, 0})
+    explicit Listener(int backlog = 64, net::Endpoint endpoint = {INADDR_LOOPBACK, 0})
         : fd_(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-        limit_waits(fd_);
-        const int yes = 1;
-        if (at.port != 0) setsockopt(fd_.get(), SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
-        auto address = to_sockaddr(at);
+        set_socket_timeouts(fd_);
+        const int on = 1;
+        if (endpoint.port != 0) setsockopt(fd_.get(), SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+        auto address = to_sockaddr(endpoint);
         socklen_t size = sizeof address;
         if (bind(fd_.get(), reinterpret_cast<const sockaddr*>(&address), size) != 0) std::abort();
         getsockname(fd_.get(), reinterpret_cast<sockaddr*>(&address), &size);
-        at_ = {INADDR_LOOPBACK, ntohs(address.sin_port)};
+        endpoint_ = {INADDR_LOOPBACK, ntohs(address.sin_port)};
         listen(fd_.get(), backlog);
     }
-    net::Endpoint at() const { return at_; }
+    net::Endpoint at() const { return endpoint_; }
     int fd() const { return fd_.get(); }
     Peer accept() { return Peer(net::Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC))); }
     void close() { fd_ = net::Fd{}; }
 
 private:
     net::Fd fd_;
-    net::Endpoint at_;
+    net::Endpoint endpoint_;
 };
 
 // Index servers that answer every part (kGood), or that at random, from a fixed seed, also fail it, report
@@ -200,8 +200,8 @@
 class Mischief {
 public:
     enum class Manners { kBad, kGood };
-    explicit Mischief(int servers, Manners manners = Manners::kBad)
-        : listeners_(static_cast<std::size_t>(servers)), kinds_(manners == Manners::kBad ? 40 : 0) {
+    explicit Mischief(int servers, Manners behaviour = Manners::kBad)
+        : listeners_(static_cast<std::size_t>(servers)), behaviours_(behaviour == Manners::kBad ? 40 : 0) {
         thread_ = std::thread([this] { run(); });
     }
     ~Mischief() {
@@ -236,7 +236,7 @@
         std::string id, shard;
         for (std::size_t size = 0; parts >> id >> shard >> size;) {
             parts.ignore(static_cast<std::streamsize>(size) + 1);
-            switch (kinds_ == 0 ? 40 : chance_() % kinds_) {
+            switch (behaviours_ == 0 ? 40 : random_() % behaviours_) {
                 case 0: peer.reply(id, "failed"); break;
                 case 1: peer.reply(id, "full"); break;
                 case 2: peer.say(std::string("\x30\0\0\0R", 5) + id); return false;
@@ -251,9 +251,9 @@
     }
 
     std::vector<Listener> listeners_;
-    const std::uint32_t kinds_;  // equally likely behaviours, of which 0 to 6 are faults; 0: no faults
+    const std::uint32_t behaviours_;  // equally likely behaviours, of which 0 to 6 are faults; 0: no faults
     std::vector<Peer> peers_;
-    std::mt19937 chance_{7};
+    std::mt19937 random_{7};
     std::atomic<bool> stop_ = false;
     std::thread thread_;
 };
@@ -327,9 +327,9 @@
 
     // Replaces the first occurrence of `old_text` in the configuration file.
     Program& with(const std::string& old_text, const std::string& new_text) {
-        const auto at = config_.find(old_text);
-        if (at == std::string::npos) std::abort();
-        config_.replace(at, old_text.size(), new_text);
+        const auto position = config_.find(old_text);
+        if (position == std::string::npos) std::abort();
+        config_.replace(position, old_text.size(), new_text);
         return *this;
     }
     // Sets ROUTER_DISCOVERY.
@@ -354,9 +354,9 @@
     const std::string& folder() const { return folder_; }
     net::Endpoint at() const { return port_.at(); }
     // Runs `pinedoor store ...`; returns its stdout and stderr, followed by its exit code if that is not 0.
-    std::string store(const std::string& words) const {
+    std::string store(const std::string& arguments) const {
         const auto command =
-            std::string(PINEDOOR_PROGRAM) + " store -s " + folder_ + "/pinedoor.toml " + words + " 2>&1";
+            std::string(PINEDOOR_PROGRAM) + " store -s " + folder_ + "/pinedoor.toml " + arguments + " 2>&1";
         std::string text;
         auto* const pipe = popen(command.c_str(), "r");
         for (char bytes[4096]; const auto count = fread(bytes, 1, sizeof bytes, pipe);)
@@ -372,8 +372,9 @@
         rewrite();
         if (!settings_.empty()) {
             auto text = settings_;
-            for (auto at = text.find('@'); at != std::string::npos; at = text.find('@', at))
-                text.replace(at, 1, folder_);
+            for (auto position = text.find('@'); position != std::string::npos;
+                 position = text.find('@', position))
+                text.replace(position, 1, folder_);
             std::ofstream(folder_ + "/pinedoor.toml") << text;
         }
         pid_ = fork();
@@ -411,7 +412,7 @@
         constexpr int kNotRun = -1000;
         int status = 0;
         pid_t ended = pid_ > 0 ? 0 : -1;
-        for (int tries = 0; ended == 0 && tries < kLongestRunSeconds * 1'000; ++tries) {
+        for (int tries = 0; ended == 0 && tries < kMaxShutdownSeconds * 1'000; ++tries) {
             ended = waitpid(pid_, &status, WNOHANG);
             if (ended == 0) usleep(1'000);
         }
@@ -436,17 +437,17 @@
         std::istringstream lines(
             answer.substr(std::min<std::size_t>(answer.size(), 21)));  // skips "200 connection=close "
         std::uint64_t value = 0;
-        for (std::string word; lines >> word >> value;) {
-            if (word == name) return value;
+        for (std::string key; lines >> key >> value;) {
+            if (key == name) return value;
         }
         return 999'999;
     }
     // Waits until the counter has this value; returns the last value that was read.
     std::uint64_t counter_at(const std::string& name, std::uint64_t value) {
-        std::uint64_t seen = 0;
-        for (int tries = 0; tries < kPatienceSeconds * 100 && (seen = counter(name)) != value; ++tries)
+        std::uint64_t last = 0;
+        for (int tries = 0; tries < kPatienceSeconds * 100 && (last = counter(name)) != value; ++tries)
             usleep(10'000);
-        return seen;
+        return last;
     }
 
 private:
--- a/tests/stand_ins/counting.hpp
+++ b/tests/stand_ins/counting.hpp
@@ -56,14 +56,14 @@
             parts.ignore(1);
             std::string text(size, '\0');
             parts.read(text.data(), static_cast<std::streamsize>(size));
-            const char how = text.empty() ? 'a' : text.back();
-            if (how == 'u') {
+            const char behaviour = text.empty() ? 'a' : text.back();
+            if (behaviour == 'u') {
                 peer.reply(id, "full");
                 continue;
             }
             const std::lock_guard lock(mutex_);
             ++runs_[text];
-            if (how != 's') peer.reply(id, how == 'f' ? "failed" : "done", "of " + text);
+            if (behaviour != 's') peer.reply(id, behaviour == 'f' ? "failed" : "done", "of " + text);
         }
         return true;
     }
--- a/tests/stand_ins/discovery.hpp
+++ b/tests/stand_ins/discovery.hpp
@@ -32,27 +32,27 @@
     }
 
 private:
-    std::pair<int, std::string> now() {
+    std::pair<int, std::string> current_list() {
         const std::lock_guard lock(mutex_);
         return {revision_, list_object(revision_, true, members_) + '\n'};
     }
     void run() {
-        std::vector<Peer> watching;
-        int told = 1;
-        for (int turn = 0; !stop_; ++turn) {
-            const auto [revision, list] = now();
-            if (std::exchange(told, revision) != revision)
-                for (auto& peer : watching) peer.say(chunk(list));
+        std::vector<Peer> watchers;
+        int sent_revision = 1;
+        for (int round = 0; !stop_; ++round) {
+            const auto [revision, list] = current_list();
+            if (std::exchange(sent_revision, revision) != revision)
+                for (auto& peer : watchers) peer.say(chunk(list));
             pollfd ready{listener_.fd(), POLLIN, 0};
             if (poll(&ready, 1, 10) == 1) {
                 auto peer = listener_.accept();
                 if (peer.read_to("\r\n\r\n").find("stream=1") != std::string::npos) {
                     peer.say(kStream + chunk(list));
-                    watching.push_back(std::move(peer));
+                    watchers.push_back(std::move(peer));
                 }
             }
-            if (turn % 50 != 0) continue;
-            for (auto& peer : watching) peer.say(chunk("\n"));
+            if (round % 50 != 0) continue;
+            for (auto& peer : watchers) peer.say(chunk("\n"));
         }
     }
 
--- a/tests/stand_ins/faulty_calls.cpp
+++ b/tests/stand_ins/faulty_calls.cpp
@@ -35,9 +35,9 @@
     static const Fault kFault = [] {
         Fault read;
         if (const char* text = std::getenv("PINEDOOR_FAULT")) {
-            std::istringstream words(text);
-            words >> read.call >> read.first >> read.error;
-            if (long count = 0; words >> count) read.count = count;
+            std::istringstream fields(text);
+            fields >> read.call >> read.first >> read.error;
+            if (long count = 0; fields >> count) read.count = count;
         }
         return read;
     }();
@@ -45,7 +45,7 @@
 }
 
 // Counts the calls of the kind that PINEDOOR_FAULT names; returns whether this call is to fail.
-bool is_hit(const std::string& call) {
+bool is_faulty_call(const std::string& call) {
     if (fault().call != call) return false;
     static long calls = 0;
     ++calls;
@@ -53,17 +53,17 @@
 }
 
 // Like is_faulty_call(), and sets errno to the fault's number.
-bool fails(const std::string& call) {
-    if (!is_hit(call)) return false;
+bool inject_errno(const std::string& call) {
+    if (!is_faulty_call(call)) return false;
     errno = std::atoi(fault().error.c_str());
     return true;
 }
 
 bool is_short() { return fault().error == "short"; }
-bool is_self() { return fault().error == "self"; }
+bool is_self_connect() { return fault().error == "self"; }
 bool is_stall() { return fault().error == "stall"; }
 
-bool is_there(const std::string& file) { return access(file.c_str(), F_OK) == 0; }
+bool exists(const std::string& file) { return access(file.c_str(), F_OK) == 0; }
 
 // Descriptors on which all writes return EAGAIN.
 std::set<int>& stalled() {
@@ -72,33 +72,33 @@
 }
 
 // Clears the stalled mark of a new descriptor, whose number may have belonged to a stalled one.
-int made_anew(int fd) {
+int unmark_stalled(int fd) {
     stalled().erase(fd);
     return fd;
 }
 
-void pause_if_asked() {
+void pause_if_requested() {
     static const char* const kFolder = std::getenv("PINEDOOR_PAUSE");
     if (kFolder == nullptr) return;
     const std::string folder = kFolder;
-    if (!is_there(folder + "/pause")) return;
+    if (!exists(folder + "/pause")) return;
     close(open((folder + "/paused").c_str(), O_WRONLY | O_CREAT | O_CLOEXEC, 0600));
-    while (!is_there(folder + "/go")) usleep(1'000);
+    while (!exists(folder + "/go")) usleep(1'000);
     unlink((folder + "/pause").c_str());
 }
 
 }  // namespace
 
 int open_socket(int domain, int type) {
-    if (fails("socket")) return -1;
-    return made_anew(::socket(domain, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
+    if (inject_errno("socket")) return -1;
+    return unmark_stalled(::socket(domain, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0));
 }
 
 int connect_socket(int fd, const sockaddr* address, socklen_t size) {
-    if (!is_hit("connect")) return ::connect(fd, address, size);
-    if (is_self()) {
-        const int yes = 1;
-        setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
+    if (!is_faulty_call("connect")) return ::connect(fd, address, size);
+    if (is_self_connect()) {
+        const int on = 1;
+        setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
         bind(fd, address, size);
         return ::connect(fd, address, size);
     }
@@ -109,12 +109,12 @@
 }
 
 int accept_socket(int listener) {
-    if (fails("accept")) return -1;
-    return made_anew(::accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
+    if (inject_errno("accept")) return -1;
+    return unmark_stalled(::accept4(listener, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC));
 }
 
 int pending_error(int fd, int* error) {
-    if (is_hit("pending")) {
+    if (is_faulty_call("pending")) {
         *error = std::atoi(fault().error.c_str());
         return 0;
     }
@@ -122,15 +122,15 @@
     return ::getsockopt(fd, SOL_SOCKET, SO_ERROR, error, &size);
 }
 
-ssize_t receive(int fd, void* into, std::size_t size) {
-    if (is_hit("receive")) {
+ssize_t receive(int fd, void* buffer, std::size_t size) {
+    if (is_faulty_call("receive")) {
         if (!is_short()) {
             errno = std::atoi(fault().error.c_str());
             return -1;
         }
         size = 1;
     }
-    return ::recv(fd, into, size, 0);
+    return ::recv(fd, buffer, size, 0);
 }
 
 ssize_t transmit(int fd, const void* from, std::size_t size) {
@@ -138,7 +138,7 @@
         errno = EAGAIN;
         return -1;
     }
-    if (is_hit("transmit")) {
+    if (is_faulty_call("transmit")) {
         if (is_stall()) {
             stalled().insert(fd);
             size = 5;
@@ -153,14 +153,14 @@
 }
 
 int add_to_epoll(int epoll, int fd, epoll_event* event) {
-    if (fails("add")) return -1;
+    if (inject_errno("add")) return -1;
     return ::epoll_ctl(epoll, EPOLL_CTL_ADD, fd, event);
 }
 
-int wait_on_epoll(int epoll, epoll_event* events, int most, const timespec* timeout) {
-    if (fails("wait")) return -1;
-    const int count = ::epoll_pwait2(epoll, events, most, timeout, nullptr);
-    if (count > 0) pause_if_asked();
+int wait_on_epoll(int epoll, epoll_event* events, int max_events, const timespec* timeout) {
+    if (inject_errno("wait")) return -1;
+    const int count = ::epoll_pwait2(epoll, events, max_events, timeout, nullptr);
+    if (count > 0) pause_if_requested();
     return count;
 }
 
--- a/tests/stand_ins/faulty_discovery.hpp
+++ b/tests/stand_ins/faulty_discovery.hpp
@@ -33,7 +33,7 @@
 
     FaultyDiscovery(std::string list, int callers, std::uint32_t seed)
         : callers_(static_cast<std::size_t>(callers)), list_(std::move(list)) {
-        for (auto& caller : callers_) caller.chance.seed(seed++ * 7919U);
+        for (auto& caller : callers_) caller.generator.seed(seed++ * 7919U);
         thread_ = std::thread([this] { run(); });
     }
     ~FaultyDiscovery() {
@@ -42,9 +42,9 @@
     }
     net::Endpoint at(int caller) const { return callers_[static_cast<std::size_t>(caller)].listener.at(); }
 
-    void behave(const Manners& manners) {
+    void behave(const Manners& faults) {
         const std::lock_guard lock(mutex_);
-        manners_ = manners;
+        faults_ = faults;
     }
     // Replaces the list for later calls, and sends it to open watches that are not silenced.
     void change(const std::string& list) {
@@ -65,8 +65,8 @@
         std::erase_if(calls_, [](const auto& call) { return call.stage == Stage::kWatching; });
     }
     // All calls so far, and those with a fault.
-    int calls() const { return made_; }
-    int bad_calls() const { return bad_; }
+    int calls() const { return call_count_; }
+    int bad_calls() const { return bad_call_count_; }
     // The number of open watches that are not silenced.
     int watching() {
         const std::lock_guard lock(mutex_);
@@ -75,58 +75,58 @@
     }
 
 private:
-    enum class Stage { kAsking, kDelayed, kWatching, kSilent, kOver };
-    enum class Fate { kServed, kRefused, kUnanswered, kBrokenOff };
+    enum class Stage { kReadingRequest, kDelayed, kWatching, kSilent, kDone };
+    enum class Outcome { kServed, kRefused, kUnanswered, kBrokenOff };
     struct Caller {
         Listener listener{64};
-        std::mt19937 chance;
-        int bad_on_end = 0;
+        std::mt19937 generator;
+        int consecutive_bad = 0;
     };
     struct Call {
         Peer peer;
         Caller* caller = nullptr;
-        Stage stage = Stage::kAsking;
-        Fate fate = Fate::kServed;
+        Stage stage = Stage::kReadingRequest;
+        Outcome outcome = Outcome::kServed;
         Clock::time_point due;  // time of its answer, or of the next heartbeat
     };
 
-    Fate draw_fate(Caller& caller) const {
-        const double drawn = std::uniform_real_distribution<>(0, 1)(caller.chance);
-        if (caller.bad_on_end >= manners_.most_bad_on_end) return Fate::kServed;
-        if (drawn < manners_.refused) return Fate::kRefused;
-        if (drawn < manners_.refused + manners_.unanswered) return Fate::kUnanswered;
-        if (drawn < manners_.refused + manners_.unanswered + manners_.broken_off) return Fate::kBrokenOff;
-        return Fate::kServed;
+    Outcome draw_outcome(Caller& caller) const {
+        const double value = std::uniform_real_distribution<>(0, 1)(caller.generator);
+        if (caller.consecutive_bad >= faults_.most_bad_on_end) return Outcome::kServed;
+        if (value < faults_.refused) return Outcome::kRefused;
+        if (value < faults_.refused + faults_.unanswered) return Outcome::kUnanswered;
+        if (value < faults_.refused + faults_.unanswered + faults_.broken_off) return Outcome::kBrokenOff;
+        return Outcome::kServed;
     }
     void begin(Call& call) {
-        ++made_;
+        ++call_count_;
         auto& caller = *call.caller;
-        call.fate = draw_fate(caller);
-        if (call.fate != Fate::kServed) ++bad_;
-        caller.bad_on_end = call.fate == Fate::kServed ? 0 : caller.bad_on_end + 1;
-        const auto spread = (manners_.most_delay - manners_.least_delay).count();
-        call.due =
-            Clock::now() + manners_.least_delay +
-            std::chrono::milliseconds(spread > 0 ? caller.chance() % static_cast<std::uint32_t>(spread) : 0);
-        call.stage = call.fate == Fate::kUnanswered ? Stage::kSilent : Stage::kDelayed;
+        call.outcome = draw_outcome(caller);
+        if (call.outcome != Outcome::kServed) ++bad_call_count_;
+        caller.consecutive_bad = call.outcome == Outcome::kServed ? 0 : caller.consecutive_bad + 1;
+        const auto spread = (faults_.most_delay - faults_.least_delay).count();
+        call.due = Clock::now() + faults_.least_delay +
+                   std::chrono::milliseconds(
+                       spread > 0 ? caller.generator() % static_cast<std::uint32_t>(spread) : 0);
+        call.stage = call.outcome == Outcome::kUnanswered ? Stage::kSilent : Stage::kDelayed;
     }
     void answer(Call& call) {
-        call.stage = Stage::kOver;
-        if (call.fate == Fate::kRefused)
+        call.stage = Stage::kDone;
+        if (call.outcome == Outcome::kRefused)
             return call.peer.say("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-        if (call.fate == Fate::kBrokenOff)
+        if (call.outcome == Outcome::kBrokenOff)
             return call.peer.say(kStream + chunk(list_.substr(0, list_.size() / 2)));
         call.peer.say(kStream + chunk(list_));
         call.stage = Stage::kWatching;
         call.due = Clock::now() + std::chrono::seconds(2);
     }
-    void heed(Call& call, short events) {
+    void advance(Call& call, short events) {
         const auto now = Clock::now();
-        if (call.stage == Stage::kAsking && events != 0) {
+        if (call.stage == Stage::kReadingRequest && events != 0) {
             const bool whole = call.peer.read_to("\r\n\r\n").ends_with("\r\n\r\n");
-            return whole ? begin(call) : void(call.stage = Stage::kOver);
+            return whole ? begin(call) : void(call.stage = Stage::kDone);
         }
-        if (events != 0 && call.peer.ended()) call.stage = Stage::kOver;
+        if (events != 0 && call.peer.ended()) call.stage = Stage::kDone;
         if (call.stage == Stage::kDelayed && now >= call.due) answer(call);
         if (call.stage == Stage::kWatching && now >= call.due) {
             call.peer.say(chunk("\n"));
@@ -146,23 +146,24 @@
             for (auto& call : calls_) {
                 const auto found = std::find_if(polled.begin(), polled.end(),
                                                 [&](const auto& p) { return p.fd == call.peer.fd(); });
-                heed(call, found == polled.end() ? short{0} : found->revents);
+                advance(call, found == polled.end() ? short{0} : found->revents);
             }
-            std::erase_if(calls_, [](const auto& call) { return call.stage == Stage::kOver; });
+            std::erase_if(calls_, [](const auto& call) { return call.stage == Stage::kDone; });
             for (std::size_t i = 0; i < callers_.size(); ++i) {
                 if (polled[i].revents == 0) continue;
-                calls_.push_back({callers_[i].listener.accept(), &callers_[i], Stage::kAsking, {}, {}});
+                calls_.push_back(
+                    {callers_[i].listener.accept(), &callers_[i], Stage::kReadingRequest, {}, {}});
             }
         }
     }
 
     std::vector<Caller> callers_;
     std::atomic<bool> stop_ = false;
-    std::atomic<int> made_ = 0;
-    std::atomic<int> bad_ = 0;
+    std::atomic<int> call_count_ = 0;
+    std::atomic<int> bad_call_count_ = 0;
     std::mutex mutex_;
     std::string list_;
-    Manners manners_;
+    Manners faults_;
     std::list<Call> calls_;
     std::thread thread_;
 };
--- a/tests/stand_ins/fleets.hpp
+++ b/tests/stand_ins/fleets.hpp
@@ -21,16 +21,16 @@
 
 inline placement::Fleet random_fleet(std::uint64_t seed, FleetShape shape) {
     using namespace placement;
-    std::mt19937_64 chance(seed);
-    const auto one = [&chance] { return std::uniform_real_distribution<double>(0, 1)(chance); };
+    std::mt19937_64 generator(seed);
+    const auto uniform = [&generator] { return std::uniform_real_distribution<double>(0, 1)(generator); };
     Fleet fleet;
     double size = 0, load = 0;
     for (std::size_t s = 0; s < shape.shards; ++s) {
         Need need;
         need.shard = s + 1;
-        need.reads = 10 / (0.05 + one());  // a few shards are hot
-        need.writes = one() < 0.3 ? 20 * one() : 0;
-        need.size = 1 + std::floor(4 * one());
+        need.reads = 10 / (0.05 + uniform());  // a few shards are hot
+        need.writes = uniform() < 0.3 ? 20 * uniform() : 0;
+        need.size = 1 + std::floor(4 * uniform());
         need.replicas = shape.replicas;
         size += need.size * static_cast<double>(shape.replicas);
         load += need.reads + need.writes;
@@ -41,7 +41,7 @@
         Box box;
         box.id = static_cast<BoxId>(b + 1);
         box.zone = static_cast<int>(b) % shape.zones;
-        box.capacity = (1 + std::floor(2 * one())) * 1.4 * load / count;
+        box.capacity = (1 + std::floor(2 * uniform())) * 1.4 * load / count;
         box.space = shape.space * 1.5 * size / count / fleet.terms.fill + 5;
         box.draining = shape.empties && b % 20 == 0;
         fleet.boxes.push_back(box);
@@ -49,7 +49,7 @@
     std::vector<double> used(shape.boxes);
     for (auto& need : fleet.shards) {
         for (int tries = 0; need.now.size() < shape.replicas && tries < 1'000; ++tries) {
-            const auto b = static_cast<std::size_t>(std::pow(one(), shape.crowding) * count);
+            const auto b = static_cast<std::size_t>(std::pow(uniform(), shape.crowding) * count);
             const auto id = static_cast<BoxId>(b + 1);
             if (is_on(need.now, id) || used[b] + need.size > fleet.boxes[b].space * fleet.terms.fill)
                 continue;
--- a/tests/stated_test.cpp
+++ b/tests/stated_test.cpp
@@ -13,7 +13,7 @@
 "family_info":{"follow_up":[0],"min_share":[0.6],"need_by_class":[1],"short_worth":[0.95],"warm_keys":true},
 "failure_domains":["north, far","south"],"limits":{"probes":true,"peers":false},
 "load_info":{"fields":["util","latency_ms"]}})";
-const std::string kSameAsText =
+const std::string kSettingsAsText =
     "classes.count=1\nclasses.0.aim_ms=2500.0\nclasses.0.deadline_ms=7500.0\nclasses.0.effect=guarded\n"
     "classes.0.memory_span_ms=5000.0\nclasses.0.worth=3.0\nclasses.0.late_worth=0.25\nclasses.0.name=one "
     "two\n"
@@ -43,14 +43,14 @@
 }
 
 TEST_CASE("the simulator's text and JSON give the same settings") {
-    const auto text = print(Stated::from_text(kSameAsText));
+    const auto text = print(Stated::from_text(kSettingsAsText));
     CHECK(print(Stated::from_json(parse::parse_json(kSettings))) == text);
     CHECK(text.starts_with("25000.000000 75000.000000 1.000000 50000.000000 3.000000 0.250000 0.600000 "));
     CHECK(text.ends_with("one two north_ far south 1 0 1 1 0 "));
 }
 
 TEST_CASE("invalid settings are reported with their keys, and optional settings may be left out") {
-    const std::string good = R"({"classes":[{"aim_ms":1200.0,"deadline_ms":2500.0,"effect":"guarded",
+    const std::string valid = R"({"classes":[{"aim_ms":1200.0,"deadline_ms":2500.0,"effect":"guarded",
 "dedup_scope":"all","memory_span_ms":2500.0,"worth":1.0,"late_worth":0.3,"name":"n"}],
 "family_info":{"follow_up":[2],"min_share":[0.4],"need_by_class":[1],"short_worth":[0.95]},
 "clients":{"marks_retry":true},"discovery":"on_request",
@@ -61,7 +61,7 @@
 "extra_floor":5,"repeat_ratio":0.1,"must_ask_in_ms":1600,"stop_sending_within_ms":1000,
 "grace_to_answer_ms":20.0}})";
     const auto with = [&](const std::string& old_text, const std::string& new_text) -> std::string {
-        auto json = good;
+        auto json = valid;
         json.replace(json.find(old_text), old_text.size(), new_text);
         try {
             const auto stated = Stated::from_json(parse::parse_json(json));
@@ -103,7 +103,7 @@
 }
 
 // Returns the listen address and the seed, or the error message.
-std::string complaint(const std::string& json, const std::string& listen = "") {
+std::string launch_outcome(const std::string& json, const std::string& listen = "") {
     try {
         const Launch launch(parse::parse_json(json), [&](const char* name) {
             return std::string(name) == "ROUTER_LISTEN" ? listen.c_str() : nullptr;
@@ -115,16 +115,16 @@
 }
 
 TEST_CASE("configuration errors name their keys, and environment variables override the file") {
-    const std::string good =
+    const std::string valid =
         R"({"name":"n3","listen":"127.0.0.4:7070","discovery":"127.2.0.1:8500","seed":"1f",
         "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":{},"settings":{},"more":1})";
     const auto with = [&](const std::string& old_text, const std::string& new_text) {
-        auto json = good;
-        return complaint(json.replace(json.find(old_text), old_text.size(), new_text));
+        auto json = valid;
+        return launch_outcome(json.replace(json.find(old_text), old_text.size(), new_text));
     };
-    CHECK(complaint(good) == "127.0.0.4:7070 31");
-    CHECK(complaint(good, "127.0.0.9:80") == "127.0.0.9:80 31");
-    CHECK(complaint(good, "nowhere") == "configuration: listen is no address and port: 'nowhere'");
+    CHECK(launch_outcome(valid) == "127.0.0.4:7070 31");
+    CHECK(launch_outcome(valid, "127.0.0.9:80") == "127.0.0.9:80 31");
+    CHECK(launch_outcome(valid, "nowhere") == "configuration: listen is no address and port: 'nowhere'");
     CHECK(with("\"name\"", "\"nome\"") == "configuration: name is missing");
     CHECK(with("\"n3\"", "3") == "configuration: name is no text");
     CHECK(with("127.2.0.1:8500", "127.2.0.1") ==
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -53,24 +53,24 @@
 };
 
 TEST_CASE("a step of the wall clock ends no request, and servers still receive the remaining time") {
-    std::int64_t by = 0;
-    SUBCASE("an hour on") { by = kHourMs; }
-    SUBCASE("an hour back") { by = -kHourMs; }
-    SUBCASE("seconds on") { by = 5'000; }
-    SUBCASE("seconds back") { by = -5'000; }
+    std::int64_t step_ms = 0;
+    SUBCASE("an hour on") { step_ms = kHourMs; }
+    SUBCASE("an hour back") { step_ms = -kHourMs; }
+    SUBCASE("seconds on") { step_ms = 5'000; }
+    SUBCASE("seconds back") { step_ms = -5'000; }
     SteppedNode node;
     node.start();
     node.client.say(post("once", "t1", asks({1}), 3'000));
     auto link = node.server.accept();
     REQUIRE(link.frame() == "St1.1 1 1\nq");
-    node.step_by(by);
+    node.step_by(step_ms);
     auto other = node.program.client();
     other.say(post("once", "t2", asks({2}), 3'000));
     const auto frame = link.frame_with_time();
     REQUIRE(frame.starts_with("St2.2 2 d="));
-    const int told = std::stoi(frame.substr(10));
-    CHECK(told <= 2'000);  // the latency budget; a later result has no importance
-    CHECK(told > 1'500);
+    const int wait_ms = std::stoi(frame.substr(10));
+    CHECK(wait_ms <= 2'000);  // the latency budget; a later result has no importance
+    CHECK(wait_ms > 1'500);
     link.reply("t2.2", "done", "two");
     CHECK(other.answer() == R"(200 {"whole":true,"results":[{"partition":2,"value":"two"}]})");
     link.reply("t1.1", "done", "one");
@@ -86,32 +86,32 @@
 // Guards against leases dated by the wall clock: after a step forward, a killed process would count as alive
 // for an hour; after a step back, a running process would count as gone.
 TEST_CASE("a process whose wall clock is stepped counts as alive while it runs, and as gone soon after") {
-    std::int64_t by = 0;
-    SUBCASE("an hour on") { by = kHourMs; }
-    SUBCASE("an hour back") { by = -kHourMs; }
+    std::int64_t step_ms = 0;
+    SUBCASE("an hour on") { step_ms = kHourMs; }
+    SUBCASE("an hour back") { step_ms = -kHourMs; }
     SteppedNode node;
     node.program.with_settings("[store]\nkind = \"sqlite\"\nfolder = \"@/store\"\nlease_ms = 900\n");
     node.start();
     // The state is read by another process, whose clock is not stepped.
     std::string line;
-    const auto look = [&](const auto& wanted) {
+    const auto wait_for = [&](const auto& condition) {
         for (int tries = 0; tries < kPatienceSeconds * 50; ++tries) {
             line = node.program.store("show");
-            if (wanted()) return true;
+            if (condition()) return true;
             usleep(20'000);
         }
         return false;
     };
-    const auto is = [&](const char* what) { return line.find(what) != std::string::npos; };
-    REQUIRE(look([&] { return is(" alive, "); }));
-    node.step_by(by);
-    for (int signs_of_life = 0; signs_of_life < 3; ++signs_of_life) {
-        const auto before = line;
-        REQUIRE(look([&] { return line != before; }));
-        CHECK(is(" alive, "));
+    const auto contains = [&](const char* text) { return line.find(text) != std::string::npos; };
+    REQUIRE(wait_for([&] { return contains(" alive, "); }));
+    node.step_by(step_ms);
+    for (int renewals = 0; renewals < 3; ++renewals) {
+        const auto previous = line;
+        REQUIRE(wait_for([&] { return line != previous; }));
+        CHECK(contains(" alive, "));
     }
     node.program.kill(SIGKILL);
-    CHECK(look([&] { return is(" gone, "); }));
+    CHECK(wait_for([&] { return contains(" gone, "); }));
 }
 
 // Guards leases across a reboot, after which the boot clock starts at zero.
