--- a/src/stated/stated.hpp
+++ b/src/stated/stated.hpp
@@ -1,5 +1,5 @@
-// Reads what is stated, as the simulator's text (path=value lines) or as JSON, and hands out each group of
-// figures.
+// Reads the deployment's settings, from the simulator's text (path=value lines) or from JSON, and returns
+// them in typed groups.
 #pragma once
 
 #include <cstddef>
@@ -14,11 +14,13 @@
 
 namespace pinedoor::stated {
 
+// Thrown for any invalid configuration; the message names the key.
 struct BadStated : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// Every path that is asked for must hold a value of its kind; paths that nobody asks for are ignored.
+// The settings as paths and values. Each accessor throws BadStated if a path that it needs is missing or
+// invalid; other paths are ignored.
 class Stated {
 public:
     static Stated from_text(std::string_view text);
@@ -35,7 +37,7 @@
     std::vector<TenantShare> tenants() const;
     HintTerms hint_terms() const;
 
-    // What only the sockets need.
+    // Used only by the network code.
     std::vector<std::string> op_type_names() const;
     std::vector<std::string> tenant_names() const;
     std::vector<std::string> zone_names() const;
@@ -49,13 +51,13 @@
     void flatten(const std::string& path, const parse::Json& value);
     const std::string* find(const std::string& path) const;
     const std::string& text(const std::string& path) const;
-    double number(const std::string& path, double least, double most) const;
-    double number_or(const std::string& path, double least, double most, double otherwise) const;
-    int whole(const std::string& path, int least, int most) const;
+    double number(const std::string& path, double min_value, double max_value) const;
+    double number_or(const std::string& path, double min_value, double max_value, double default_value) const;
+    int whole(const std::string& path, int min_value, int max_value) const;
     Time time(const std::string& path) const;
     bool flag(const std::string& path) const;
     std::vector<std::string> list(const std::string& path) const;
-    double list_number(const std::string& path, std::size_t i, double least, double most) const;
+    double list_number(const std::string& path, std::size_t i, double min_value, double max_value) const;
 
     std::map<std::string, std::string, std::less<>> values_;
 };
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -12,9 +12,9 @@
 
 using namespace pinedoor::net;
 
-struct Pair {
+struct SocketPair {
     Fd near, far;
-    Pair() {
+    SocketPair() {
         int fds[2];
         REQUIRE(socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, fds) == 0);
         near = Fd(fds[0]);
@@ -22,14 +22,15 @@
     }
 };
 
-// Writes a letter at each step of a wait, and one when its frame goes.
-struct Trace {
+// Writes a character when the coroutine's frame is destroyed.
+struct DestructionMark {
     std::string& out;
-    ~Trace() { out += '~'; }
+    ~DestructionMark() { out += '~'; }
 };
 
+// Writes 'a' before and 'b' after one wait.
 Task wait_once(Waiter& waiter, unsigned interest, Moment until, std::string& out) {
-    const Trace trace{out};
+    const DestructionMark mark{out};
     out += 'a';
     co_await waiter.wait(interest, until);
     out += 'b';
@@ -40,8 +41,8 @@
     throw std::runtime_error("thrown");
 }
 
-// Runs as many rounds as asked for; each is woken at once.
-void rounds(Scheduler& scheduler, int count) {
+// Runs `count` rounds of the scheduler; the deferred function keeps each from blocking.
+void run_rounds(Scheduler& scheduler, int count) {
     scheduler.run([&] {
         scheduler.defer([] {});
         return count-- == 0;
@@ -56,15 +57,15 @@
     waiter.signal();
     auto first = wait_once(waiter, 0, kNever, out);
     first.start({});
-    rounds(scheduler, 2);
+    run_rounds(scheduler, 2);
     CHECK(out == "ab~");
     auto second = wait_once(waiter, 0, kNever, out);
     second.start({});
-    rounds(scheduler, 3);
+    run_rounds(scheduler, 3);
     CHECK(out == "ab~a");
 }
 
-TEST_CASE("a wait ends by its time") {
+TEST_CASE("a wait ends at its timeout") {
     Scheduler scheduler;
     Waiter waiter(scheduler);
     std::string out;
@@ -74,17 +75,17 @@
     CHECK(out == "ab~");
 }
 
-TEST_CASE("bytes that come, room to write and a close are told as asked") {
+TEST_CASE("a waiter reports received bytes, space to write and a close according to its interest") {
     Scheduler scheduler;
-    Pair pair;
+    SocketPair pair;
     Stream stream(scheduler, std::move(pair.near));
     std::string out;
     auto reading = wait_once(stream.waiter(), kRead, kNever, out);
     reading.start({});
-    rounds(scheduler, 3);
+    run_rounds(scheduler, 3);
     CHECK(out == "a");
     REQUIRE(write(pair.far.get(), "x", 1) == 1);
-    rounds(scheduler, 3);
+    run_rounds(scheduler, 3);
     CHECK(out == "ab~");
     CHECK(stream.read() == Stream::Got::kBytes);
     CHECK(stream.read() == Stream::Got::kNothing);
@@ -93,24 +94,24 @@
     auto closing = wait_once(stream.waiter(), kClosed, kNever, out);
     closing.start({});
     pair.far = Fd{};
-    rounds(scheduler, 3);
+    run_rounds(scheduler, 3);
     CHECK(out == "ab~ab~");
     CHECK(stream.read() == Stream::Got::kEnd);
 }
 
-TEST_CASE("a coroutine whose task goes is never resumed, wherever it waits") {
+TEST_CASE("a coroutine whose task is destroyed is never resumed, wherever it waits") {
     Scheduler scheduler;
-    Pair pair;
+    SocketPair pair;
     Stream stream(scheduler, std::move(pair.near));
     std::string out;
-    SUBCASE("on its descriptor") {
+    SUBCASE("for its descriptor") {
         {
             auto task = wait_once(stream.waiter(), kRead, kNever, out);
             task.start({});
         }
         REQUIRE(write(pair.far.get(), "x", 1) == 1);
     }
-    SUBCASE("on its time") {
+    SUBCASE("for its timeout") {
         auto task = wait_once(stream.waiter(), 0, scheduler.now() + 1, out);
         task.start({});
         task = Task{};
@@ -122,11 +123,11 @@
         task = Task{};
     }
     SUBCASE("before its start") { wait_once(stream.waiter(), 0, kNever, out); }
-    rounds(scheduler, 3);
+    run_rounds(scheduler, 3);
     CHECK((out == "a~" || out.empty()));
 }
 
-TEST_CASE("a coroutine whose waiter goes first stays suspended until its task goes") {
+TEST_CASE("a coroutine whose waiter is destroyed first stays suspended until its task is destroyed") {
     Scheduler scheduler;
     std::string out;
     {
@@ -136,13 +137,13 @@
         SUBCASE("while it waits") {}
         SUBCASE("while it is queued") { waiter->signal(); }
         waiter.reset();
-        rounds(scheduler, 3);
+        run_rounds(scheduler, 3);
         CHECK(out == "a");
     }
     CHECK(out == "a~");
 }
 
-TEST_CASE("a wake-up meant for one that went does not reach who has its place") {
+TEST_CASE("a wake-up for a destroyed waiter does not reach the waiter that reuses its slot") {
     Scheduler scheduler;
     std::string out;
     auto old = std::make_unique<Waiter>(scheduler);
@@ -153,30 +154,30 @@
     Waiter successor(scheduler);
     auto task = wait_once(successor, 0, kNever, out);
     task.start({});
-    rounds(scheduler, 3);
+    run_rounds(scheduler, 3);
     CHECK(out == "aa");
 }
 
-TEST_CASE("a throw ends its task, is told, and leaves the others alone") {
+TEST_CASE("an exception ends its task, is reported, and does not affect other tasks") {
     Scheduler scheduler;
     Waiter waiter(scheduler);
     Waiter other(scheduler);
     std::string out;
-    std::exception_ptr told;
+    std::exception_ptr reported;
     auto task = throw_after(waiter);
-    task.start([&](std::exception_ptr failure) { told = failure; });
+    task.start([&](std::exception_ptr failure) { reported = failure; });
     auto bystander = wait_once(other, 0, kNever, out);
     bystander.start({});
     waiter.signal();
-    rounds(scheduler, 2);
+    run_rounds(scheduler, 2);
     CHECK(task.done());
-    CHECK_THROWS_WITH(std::rethrow_exception(told), "thrown");
+    CHECK_THROWS_WITH(std::rethrow_exception(reported), "thrown");
     other.signal();
-    rounds(scheduler, 2);
+    run_rounds(scheduler, 2);
     CHECK(out == "ab~");
 }
 
-TEST_CASE("a buffer keeps what was not used, however it grows and is compacted") {
+TEST_CASE("a buffer keeps unconsumed bytes while it grows and is compacted") {
     Buffer buffer;
     std::string sent, got;
     for (int i = 0; i < 400; ++i) {
@@ -185,15 +186,15 @@
         std::copy(piece.begin(), piece.end(), room.begin());
         buffer.filled(piece.size());
         sent += piece;
-        const auto take = i % 3 == 0 ? std::min<std::size_t>(50, buffer.held().size()) : 0;
-        got += buffer.held().substr(0, take);
-        buffer.drop(take);
+        const auto consumed = i % 3 == 0 ? std::min<std::size_t>(50, buffer.held().size()) : 0;
+        got += buffer.held().substr(0, consumed);
+        buffer.drop(consumed);
     }
     got += buffer.held();
     CHECK(got == sent);
 }
 
-TEST_CASE("addresses are read and written") {
+TEST_CASE("endpoints are parsed and formatted") {
     CHECK(parse_endpoint("127.9.1.2:7070") == Endpoint{0x7f090102, 7070});
     CHECK(to_text({0x7f090102, 7070}) == "127.9.1.2:7070");
     for (const char* text : {"", "127.0.0.1", "127.0.0.1:", "127.0.0.1:0", "127.0.0.1:70707", "127.0.0:1",
--- a/tests/parse/json_objects_test.cpp
+++ b/tests/parse/json_objects_test.cpp
@@ -1,4 +1,4 @@
-// Objects out of a stream of text, in whatever pieces and over however many lines.
+// Splitting a stream of text into JSON objects, in pieces of any size and over any number of lines.
 #include "parse/json_objects.hpp"
 
 #include <doctest/doctest.h>
@@ -18,7 +18,7 @@
     return found;
 }
 
-TEST_CASE("objects come out one by one, whatever stands in them and however they are laid out") {
+TEST_CASE("objects are returned one by one, with any content and layout") {
     const std::vector<std::string> written{"{}", "{\"a\":[1,2,{\"b\":\"}\"}]}",
                                            "{\n  \"a\" : \"\\\"{[\\\\\"\n}",
                                            "{\"revision\":3,\r\n\"members\":[]}"};
@@ -30,7 +30,7 @@
     CHECK(!objects.bad());
 }
 
-TEST_CASE("any cut of the text into pieces gives the same objects") {
+TEST_CASE("any division of the text into pieces gives the same objects") {
     const std::string text = "{\"a\":\"\\\\\"}\n\n{ \"b\": [ { }, \"]\" ] }{\"c\":1}\n";
     JsonObjects whole(100);
     whole.feed(text);
@@ -39,29 +39,29 @@
     CHECK(rc::check([&] {
         JsonObjects objects(100);
         std::vector<std::string> found;
-        for (std::size_t at = 0; at < text.size();) {
+        for (std::size_t position = 0; position < text.size();) {
             const auto size = *rc::gen::inRange<std::size_t>(1, 9);
-            objects.feed(std::string_view(text).substr(at, size));
+            objects.feed(std::string_view(text).substr(position, size));
             for (auto& object : all_of(objects)) found.push_back(std::move(object));
-            at += size;
+            position += size;
         }
         RC_ASSERT(found == expected);
     }));
 }
 
-TEST_CASE("what is no object, and what is longer than the bound, is bad") {
-    JsonObjects words(100);
-    words.feed("{}\nfine");
-    CHECK(all_of(words).size() == 1);
-    CHECK(words.bad());
-    JsonObjects list(100);
-    list.feed("[{}]");
-    CHECK(all_of(list).empty());
-    CHECK(list.bad());
-    JsonObjects endless(20);
-    endless.feed("{\"a\":\"" + std::string(30, 'x'));
-    CHECK(all_of(endless).empty());
-    CHECK(endless.bad());
+TEST_CASE("text that is no object, and an object above the size limit, are errors") {
+    JsonObjects trailing_text(100);
+    trailing_text.feed("{}\nfine");
+    CHECK(all_of(trailing_text).size() == 1);
+    CHECK(trailing_text.bad());
+    JsonObjects array(100);
+    array.feed("[{}]");
+    CHECK(all_of(array).empty());
+    CHECK(array.bad());
+    JsonObjects unterminated(20);
+    unterminated.feed("{\"a\":\"" + std::string(30, 'x'));
+    CHECK(all_of(unterminated).empty());
+    CHECK(unterminated.bad());
 }
 
 }  // namespace
--- a/tests/stand_ins/counting.hpp
+++ b/tests/stand_ins/counting.hpp
@@ -1,4 +1,4 @@
-// An index server that answers by itself and counts what it ran.
+// An index server stand-in that counts the executions of each query.
 #pragma once
 
 #include <map>
@@ -12,8 +12,9 @@
 
 namespace pinedoor::test {
 
-// An index server that counts how often each query's text was run. By the text's last letter it answers 'a'
-// at once, fails 'f' after running it, and is full for 'u'; 's' is run and never answered.
+// Counts how often each query's text was run. The last letter of the text selects the behaviour: 'f'
+// runs the query and reports a failure, 'u' reports full without running it, 's' runs it and never answers,
+// and any other letter (usually 'a') runs it and answers.
 class Counting {
 public:
     Counting() {
@@ -55,14 +56,14 @@
             parts.ignore(1);
             std::string text(size, '\0');
             parts.read(text.data(), static_cast<std::streamsize>(size));
-            const char how = text.empty() ? 'a' : text.back();
-            if (how == 'u') {
+            const char behaviour = text.empty() ? 'a' : text.back();
+            if (behaviour == 'u') {
                 peer.reply(id, "full");
                 continue;
             }
             const std::lock_guard lock(mutex_);
             ++runs_[text];
-            if (how != 's') peer.reply(id, how == 'f' ? "failed" : "done", "of " + text);
+            if (behaviour != 's') peer.reply(id, behaviour == 'f' ? "failed" : "done", "of " + text);
         }
         return true;
     }
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -1,5 +1,5 @@
-// A wall clock that is stepped while the front node runs: deadlines, pauses and starts of servers are spans
-// of real time.
+// Steps of the wall clock while the front node runs. Deadlines, pauses and server start times must be
+// measured in elapsed time, so a step must not affect them.
 #include <doctest/doctest.h>
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 
 constexpr std::int64_t kHourMs = 3'600'000;
 
-// A front node whose wall clock a test steps, and one server.
+// A front node whose wall clock the test can step, with one index server.
 struct SteppedNode {
     Listener server;
     Listener discovery;
@@ -37,7 +37,7 @@
     }
     ~SteppedNode() { std::filesystem::remove_all(folder); }
     std::string file() const { return folder + "/clock"; }
-    // In place: the program has the file mapped.
+    // Overwrites the offset in place, since the process has the file mapped.
     void step_by(std::int64_t ms) const {
         std::fstream out(file(), std::ios::in | std::ios::out | std::ios::binary);
         if (!out.is_open()) out.open(file(), std::ios::out | std::ios::binary);
@@ -52,70 +52,70 @@
     }
 };
 
-TEST_CASE("a step of the wall clock ends no request, and servers are told the time that is left") {
-    std::int64_t by = 0;
-    SUBCASE("an hour on") { by = kHourMs; }
-    SUBCASE("an hour back") { by = -kHourMs; }
-    SUBCASE("seconds on") { by = 5'000; }
-    SUBCASE("seconds back") { by = -5'000; }
+TEST_CASE("a step of the wall clock ends no request, and servers still receive the remaining time") {
+    std::int64_t step_ms = 0;
+    SUBCASE("an hour on") { step_ms = kHourMs; }
+    SUBCASE("an hour back") { step_ms = -kHourMs; }
+    SUBCASE("seconds on") { step_ms = 5'000; }
+    SUBCASE("seconds back") { step_ms = -5'000; }
     SteppedNode node;
     node.start();
     node.client.say(post("once", "t1", asks({1}), 3'000));
     auto link = node.server.accept();
     REQUIRE(link.frame() == "St1.1 1 1\nq");
-    node.step_by(by);
+    node.step_by(step_ms);
     auto other = node.program.client();
     other.say(post("once", "t2", asks({2}), 3'000));
     const auto frame = link.frame_with_time();
     REQUIRE(frame.starts_with("St2.2 2 d="));
-    const int told = std::stoi(frame.substr(10));
-    CHECK(told <= 2'000);  // the aim: later it is worth nothing
-    CHECK(told > 1'500);
+    const int wait_ms = std::stoi(frame.substr(10));
+    CHECK(wait_ms <= 2'000);  // the latency budget; a later result has no importance
+    CHECK(wait_ms > 1'500);
     link.reply("t2.2", "done", "two");
     CHECK(other.answer() == R"(200 {"whole":true,"results":[{"partition":2,"value":"two"}]})");
     link.reply("t1.1", "done", "one");
     CHECK(node.client.answer() == R"(200 {"whole":true,"results":[{"partition":1,"value":"one"}]})");
     CHECK(node.program.counter("invariants_broken") == 0);
-    CHECK(node.program.counter("list_failures") == 0);  // the watch has not fallen silent
+    CHECK(node.program.counter("list_failures") == 0);  // the watch has not timed out
     node.program.kill(SIGTERM);
     node.client = Peer{};
     other = Peer{};
     CHECK(node.program.wait() == 0);
 }
 
-// Guards leases: what a process wrote after its clock had been stepped on counted as alive for an hour after
-// it had been killed, and one whose clock had been stepped back as gone while it lived.
-TEST_CASE("a process whose wall clock is stepped counts as alive while it lives, and as gone soon after") {
-    std::int64_t by = 0;
-    SUBCASE("an hour on") { by = kHourMs; }
-    SUBCASE("an hour back") { by = -kHourMs; }
+// Guards against leases dated by the wall clock: after a step forward, a killed process would count as alive
+// for an hour; after a step back, a running process would count as gone.
+TEST_CASE("a process whose wall clock is stepped counts as alive while it runs, and as gone soon after") {
+    std::int64_t step_ms = 0;
+    SUBCASE("an hour on") { step_ms = kHourMs; }
+    SUBCASE("an hour back") { step_ms = -kHourMs; }
     SteppedNode node;
     node.program.with_settings("[store]\nkind = \"sqlite\"\nfolder = \"@/store\"\nlease_ms = 900\n");
     node.start();
-    // As another process tells it, whose clock is right.
+    // The state is read by another process, whose clock is not stepped.
     std::string line;
-    const auto look = [&](const auto& wanted) {
+    const auto wait_for = [&](const auto& condition) {
         for (int tries = 0; tries < kPatienceSeconds * 50; ++tries) {
             line = node.program.store("show");
-            if (wanted()) return true;
+            if (condition()) return true;
             usleep(20'000);
         }
         return false;
     };
-    const auto is = [&](const char* what) { return line.find(what) != std::string::npos; };
-    REQUIRE(look([&] { return is(" alive, "); }));
-    node.step_by(by);
-    for (int signs_of_life = 0; signs_of_life < 3; ++signs_of_life) {
-        const auto before = line;
-        REQUIRE(look([&] { return line != before; }));
-        CHECK(is(" alive, "));
+    const auto contains = [&](const char* text) { return line.find(text) != std::string::npos; };
+    REQUIRE(wait_for([&] { return contains(" alive, "); }));
+    node.step_by(step_ms);
+    for (int renewals = 0; renewals < 3; ++renewals) {
+        const auto previous = line;
+        REQUIRE(wait_for([&] { return line != previous; }));
+        CHECK(contains(" alive, "));
     }
     node.program.kill(SIGKILL);
-    CHECK(look([&] { return is(" gone, "); }));
+    CHECK(wait_for([&] { return contains(" gone, "); }));
 }
 
-// Guards leases over a start of the machine, after which its boot clock begins at nothing.
-TEST_CASE("a store's clock goes on by the wall clock after the machine has started again") {
+// Guards leases across a reboot, after which the boot clock starts at zero.
+TEST_CASE("after a reboot a store's clock continues from the wall clock") {
     auto folder = scratch() + "/pinedoor-boot-XXXXXX";
     const std::string path = std::string(mkdtemp(folder.data())) + "/db";
     const auto now = [](pinedoor::store::SqliteDb& db) {
@@ -125,7 +125,7 @@
     pinedoor::store::SqliteDb first(path);
     first.agree_on_clock();
     first.run("UPDATE pinedoor_clock SET booted_at = booted_at + $1", {60 * kSecond});
-    pinedoor::store::SqliteDb second(path);  // the same start of the machine: what was agreed holds
+    pinedoor::store::SqliteDb second(path);  // the same boot: the recorded offset stays valid
     CHECK(now(second) - now(first) > 59 * kSecond);
     first.run("UPDATE pinedoor_clock SET boot = 'another'");
     pinedoor::store::SqliteDb third(path);
