--- a/bench/moves.cpp
+++ b/bench/moves.cpp
@@ -1,6 +1,6 @@
-// Front nodes under load on loopback while shards move, split and merge without end, against the same fleet
-// standing still; the time from a step in the map to the last node that knows it; and the time to empty a box
-// whose copies take a stated time. Prints the tables of docs/placement.md; figures of one run, as ratios.
+// Benchmarks of moves over loopback: front nodes under load while shards continuously move, split and merge,
+// compared with the same fleet without moves; the time from a map step until the last node has it; and the
+// time to drain an index server whose copies have a fixed duration. Prints the tables of docs/placement.md.
 #include <algorithm>
 #include <cstdio>
 #include <filesystem>
@@ -22,7 +22,7 @@
 
 constexpr int kSplits = 12;
 constexpr int kClients = 8;
-constexpr int kPerSecond = 50;  // of each
+constexpr int kPerSecond = 50;  // requests per second of each client
 constexpr auto kInTime = std::chrono::milliseconds(50);
 
 double ms(Clock::duration time) { return std::chrono::duration<double, std::milli>(time).count(); }
@@ -75,7 +75,7 @@
     std::vector<double> took;
 };
 
-// Open loop: an answer's time counts from when its request should have gone out.
+// Open loop: latency is measured from the time at which the request was due.
 Served serve(Fleet& fleet, int seconds, const std::string& prefix) {
     std::vector<Served> each(kClients);
     std::vector<std::thread> threads;
@@ -124,7 +124,7 @@
     return sorted[static_cast<std::size_t>(share * static_cast<double>(sorted.size() - 1))];
 }
 
-// Some move that the map allows, by chance.
+// A random move that the map allows.
 std::vector<store::JournalMove> some_moves(const ShardMap& map, const BoxNames& names,
                                            std::mt19937_64& chance, ShardId& next, std::size_t boxes) {
     const auto all = map.shards();
@@ -147,7 +147,7 @@
     } else if (chance() % 3 == 0 && which + 1 < all.size() &&
                !std::holds_alternative<ShardMap::Refused>(
                    map.after(Merge{one.id, all[which + 1].id, next + 1}))) {
-        // Its owner is the lower one's; both are on the same boxes with the same roles.
+        // Both shards have the same replicas with the same roles, so `from` is the owner of either.
         made.move.kind = MoveKind::kMerge;
         made.move.to = 0;
         made.move.cut = {0, all[which + 1].id, next + 1, 0};
--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -1,4 +1,5 @@
-// The shard map against plain ways, as ratios within one run; prints the table of docs/placement.md.
+// Benchmarks of placement: the shard map compared with standard containers, the planner with an exact solver,
+// the load sketches with exact counts. Prints the tables of docs/placement.md.
 #include <algorithm>
 #include <chrono>
 #include <cmath>
@@ -24,7 +25,7 @@
 using Clock = std::chrono::steady_clock;
 
 template <class Work>
-double median_ns(int times, Work work) {  // of five runs
+double median_ns(int times, Work work) {  // nanoseconds per iteration, median of five runs
     std::vector<double> seen;
     for (int run = 0; run < 5; ++run) {
         const auto began = Clock::now();
--- a/src/placement/box_guard.hpp
+++ b/src/placement/box_guard.hpp
@@ -1,13 +1,13 @@
-// What a box may run of one shard: the other side of the fence (mover.hpp). A decider that is its own durable
-// state: a box keeps it before it answers, and is what it kept after a crash. Stand-ins use it, and whoever
-// writes a box can.
+// Decides which parts of one shard an index server may run, and answers the requests of moves (mover.hpp).
+// The object is the server's durable state for the shard: the server saves it before it answers a request,
+// and restores it after a crash. The test servers use it, and implementations of an index server can.
 //
-// A part carries its shard's epoch. It is run only if this box owns the shard, no fence stands, and the
-// epochs are the same; else it is refused as never run, with the epoch that this box knows of. The argument
-// that nothing runs on two boxes: `to` owns only after Own, which is asked only once `from` has said that it
-// is fenced; `from` is unfenced only by the undoing of the same move, and a move that has switched is not
-// undone; a late Fence or Own of a move that was ended here is refused by its number. docs/placement.md has
-// it in full; tests explore it.
+// A part carries the epoch of its shard. It is run only if this server owns the shard, no fence is up and the
+// epochs are equal; otherwise it is refused without being run, with the epoch that this server knows. No part
+// can run on two servers: `to` owns the shard only after an own request, which is sent only once `from` has
+// confirmed its fence; `from` is unfenced only by undoing the same move, and a move is not undone after its
+// switch; delayed fence and own requests of a move that ended here are refused by the move's id.
+// docs/placement.md has the full argument, and tests explore all interleavings.
 #pragma once
 
 #include <algorithm>
@@ -18,6 +18,7 @@
 
 namespace pinedoor::placement {
 
+// The state of one shard at one index server.
 class BoxGuard {
 public:
     BoxGuard() = default;
@@ -26,21 +27,23 @@
 
     struct Verdict {
         bool run = false;
-        Epoch known = 0;  // with a refusal: what this box knows of; above the part's, the node is behind
+        Epoch known =
+            0;  // epoch known here; if a refusal has a higher one than the part, the node is outdated
     };
     Verdict may_run(Epoch epoch) const {
         if (owns_ && fenced_by_ == 0 && epoch == epoch_) return {true, epoch_};
         return {false, fenced_by_ != 0 || !owns_ ? std::max(epoch_, passed_to_) : epoch_};
     }
 
-    // What may run as often as it likes runs at readers too, and behind a fence: whoever has the data of the
-    // epoch. After a fence that is the old owner's until the switch, and both boxes' right then.
+    // Repeatable parts also run at readers and behind a fence, on any server that has the data of the epoch.
+    // After the fence that is the old owner until the switch, and from then on the new one.
     Verdict may_read(Epoch epoch) const {
         if ((owns_ || reads_) && epoch == epoch_) return {true, epoch_};
         return {false, std::max(epoch_, passed_to_)};
     }
 
-    // Requests of a move; false: it is of one that has ended here, and nothing has changed.
+    // Requests of a move. Each returns false if it is refused, because the move has ended here or the state
+    // does not allow it.
     bool copy(MoveId move) {
         if (move <= ended_) return false;
         has_copy_ = true;
@@ -51,12 +54,14 @@
         fenced_by_ = move;
         return true;
     }
-    bool unfence(MoveId move) {  // also without a fence: a late one must find the move ended
+    // Marks the move as ended even without a fence, so that a delayed fence request is refused.
+    bool unfence(MoveId move) {
         ended_ = std::max(ended_, move);
         if (fenced_by_ == move) fenced_by_ = 0;
         return true;
     }
-    bool own(MoveId move, Epoch epoch) {  // the epoch is the new one
+    // Owns the shard from the new epoch `epoch` on.
+    bool own(MoveId move, Epoch epoch) {
         if (owns_ && epoch_ == epoch) return true;
         if (move <= ended_ || !has_copy_) return false;
         owns_ = true;
@@ -64,7 +69,7 @@
         epoch_ = epoch;
         return true;
     }
-    // It reads from now on, by this epoch; an owner whose ownership has been passed, too.
+    // Becomes a reader under this epoch; also for an owner whose ownership was passed on.
     bool read(MoveId move, Epoch epoch) {
         if (reads_ && epoch_ >= epoch) return true;
         if (move <= ended_ || !has_copy_ || (owns_ && fenced_by_ != move)) return false;
@@ -77,7 +82,8 @@
     bool drop(MoveId move, Epoch passed_to = 0) {
         if (move < ended_) return false;
         ended_ = std::max(ended_, move);
-        if (owns_ && fenced_by_ != move) return false;  // it owns by another move: what it has is needed
+        if (owns_ && fenced_by_ != move)
+            return false;  // owns the shard by another move, so the data is needed
         owns_ = reads_ = has_copy_ = false;
         fenced_by_ = 0;
         passed_to_ = std::max(passed_to_, passed_to);
@@ -99,9 +105,9 @@
     bool reads_ = false;
     bool has_copy_ = false;
     Epoch epoch_ = 0;
-    Epoch passed_to_ = 0;  // the epoch that the shard had when it went away
-    MoveId fenced_by_ = 0;
-    MoveId ended_ = 0;  // no request of a move up to here counts
+    Epoch passed_to_ = 0;   // epoch under which the shard moved to another server
+    MoveId fenced_by_ = 0;  // 0: no fence is up
+    MoveId ended_ = 0;      // requests of moves up to this id are refused
 };
 
 }  // namespace pinedoor::placement
--- a/src/placement/exact.cpp
+++ b/src/placement/exact.cpp
@@ -12,7 +12,7 @@
 namespace pinedoor::placement {
 namespace {
 
-// libglpk is loaded when it is asked for: the front node must not carry it.
+// GLPK functions, loaded at run time so that the front node does not link against libglpk.
 class Glpk {
 public:
     Glpk() : library_(dlopen("libglpk.so.40", RTLD_NOW | RTLD_LOCAL | RTLD_NODELETE)) {
@@ -60,6 +60,7 @@
     void* library_;
 };
 
+// A mixed integer program with a minimized objective.
 class Model {
 public:
     explicit Model(const Glpk& glpk) : glpk_(glpk), problem_(glpk.create(), glpk.erase) {
@@ -79,7 +80,7 @@
         glpk_.cost(problem_.get(), col, cost);
         return col;
     }
-    // GLP_FX: the sum is `low`; GLP_UP: at most `high`.
+    // Constrains a weighted sum of columns. GLP_FX: it equals `low`; GLP_UP: it is at most `high`.
     void add_row(int kind, double low, double high, const std::vector<std::pair<int, double>>& terms) {
         const int row = glpk_.add_rows(problem_.get(), 1);
         glpk_.row_bounds(problem_.get(), row, kind, low, high);
@@ -89,7 +90,8 @@
             factors_.push_back(factor);
         }
     }
-    // GLP_OPT, GLP_FEAS, or another: there is no answer.
+    // Returns GLP_OPT (optimal), GLP_FEAS (feasible, found within the time limit) or a status without
+    // solution.
     int solve(int most_seconds) {
         glpk_.matrix(problem_.get(), static_cast<int>(rows_.size()) - 1, rows_.data(), cols_.data(),
                      factors_.data());
@@ -105,7 +107,7 @@
 private:
     const Glpk& glpk_;
     std::unique_ptr<glp_prob, decltype(&glp_delete_prob)> problem_;
-    std::vector<int> rows_{0}, cols_{0};  // GLPK counts from 1
+    std::vector<int> rows_{0}, cols_{0};  // element 0 is unused, since GLPK indexes from 1
     std::vector<double> factors_{0};
 };
 
@@ -148,13 +150,13 @@
                 why = "shard " + std::to_string(need.shard) + " is pinned to a box that may not hold it";
                 return std::nullopt;
             }
-            // What moves weighs so little that it never costs fullness that can be told.
+            // The cost of moving data is low enough not to outweigh a noticeable difference in load.
             h.push_back(model.add_yes_or_no(there ? 0 : 1e-4 * need.size / all, low, high));
             o.push_back(model.add_yes_or_no(0, 0, high));
             replicas.emplace_back(h.back(), 1);
             owners.emplace_back(o.back(), 1);
             in_zone[box.zone].emplace_back(h.back(), 1);
-            model.add_row(GLP_UP, 0, 0, {{o.back(), 1}, {h.back(), -1}});  // who owns holds
+            model.add_row(GLP_UP, 0, 0, {{o.back(), 1}, {h.back(), -1}});  // the owner holds a replica
             load[b].emplace_back(h.back(), need.reads / static_cast<double>(need.replicas) / box.capacity);
             load[b].emplace_back(o.back(), need.writes / box.capacity);
             space[b].emplace_back(h.back(), need.size);
--- a/src/placement/exact.hpp
+++ b/src/placement/exact.hpp
@@ -1,7 +1,7 @@
-// The best placement there is, for small fleets, by GLPK's branch and bound (libglpk, GLPK reference manual
-// 4.45 on). Minimizes the load of the fullest box first, and what is moved second, under what the planner
-// must keep (planner.hpp). It grows with shards times boxes in whole numbers: some hundred of those are what
-// it can do in seconds.
+// Optimal placement for small fleets by GLPK's branch and bound (libglpk, GLPK reference manual 4.45 and
+// later). Minimizes the highest load of a server first and the moved data second, under the planner's
+// constraints (planner.hpp). The number of integer variables grows with shards times servers; a few hundred
+// of them can be solved within seconds.
 #pragma once
 
 #include <optional>
@@ -15,10 +15,10 @@
 struct Exact {
     std::vector<std::vector<Replica>> target;
     double fullest = 0;
-    bool proven = false;  // else the time ran out on the way, and this is the best that was found
+    bool proven = false;  // false: the time limit was reached, and this is the best solution found
 };
 
-// None, with why told, if there is no such placement or libglpk cannot be loaded.
+// Returns nothing and sets `why` if there is no such placement or libglpk cannot be loaded.
 std::optional<Exact> exact_target(const Fleet& fleet, int most_seconds, std::string& why);
 
 }  // namespace pinedoor::placement
--- a/src/placement/gatherer.cpp
+++ b/src/placement/gatherer.cpp
@@ -9,7 +9,7 @@
 using namespace gathering;
 
 namespace {
-constexpr double kRounding = 0.00005;  // told weights miss 1 by a hair
+constexpr double kRounding = 0.00005;  // tolerance for rounded weights that do not add up to exactly 1
 }
 
 std::pair<Key, Key> Gatherer::keys_of(int split, std::uint64_t splits) {
@@ -31,15 +31,15 @@
     return &piece;
 }
 
-// The shard with this id as it is now, if the piece's keys are all in it.
+// Current epoch of the fragment's shard if that still holds all of the fragment's keys, else its old epoch.
 Epoch Gatherer::epoch_now(const Piece& piece) const {
     if (!map_) return piece.epoch;
     const auto& shard = map_->at(piece.first);
     return shard.id == piece.shard && shard.holds(piece.last) ? shard.epoch : piece.epoch;
 }
 
-// Who holds a shard's keys now and did not by the older map begins cold; a split or a merge at the same boxes
-// leaves them as warm as they were.
+// Marks replicas as cold whose server did not hold the shard's keys in the older map. A split or a merge at
+// the same servers keeps their state.
 void Gatherer::note_cold(Time now, const ShardMap& older) {
     if (terms_.cold_from >= 1 || terms_.warm_after <= 0) return;
     decltype(cold_since_) next;
@@ -62,7 +62,7 @@
     if (cold == cold_since_.end()) return true;
     const double warm = static_cast<double>(now - cold->second) / static_cast<double>(terms_.warm_after);
     const double share = terms_.cold_from + (1 - terms_.cold_from) * std::min(1.0, warm);
-    // Knuth's multiplicative hash spreads the numbers, which rise one by one, evenly.
+    // Knuth's multiplicative hash spreads consecutive routes evenly.
     const auto spread = static_cast<std::uint32_t>(piece.route) * 2'654'435'761U;
     return static_cast<double>(spread) / 4'294'967'296.0 < share;
 }
@@ -79,11 +79,12 @@
         boxes.push_back(each.box);
         if (takes(now, piece, each.box)) warm.push_back(each.box);
     }
-    // What only a cold box may run is run there: the decision module minds how much it bears.
+    // If only cold servers may run the fragment, they receive it; the decision module limits their load.
     return warm.empty() ? boxes : warm;
 }
 
-// One piece for each shard that holds some of the keys; the weight is divided by their width.
+// Returns one fragment per shard that holds some of the keys, with the weight divided in proportion to the
+// number of keys.
 std::vector<Piece> Gatherer::cut(const Multiget& multiget, std::size_t split, Key first, Key last,
                                  double weight) const {
     std::vector<Piece> pieces;
@@ -143,7 +144,7 @@
     while (!sent_.empty() && sent_.front().at <= now - terms_.further_look_back) sent_.pop_front();
     sent_.push_back({now, pieces.size(), 0});
     if (pieces.empty() || pieces.size() > terms_.most_pieces) {
-        // Without a map nothing can be sent; nothing has been.
+        // Nothing can be sent without a map or beyond the fragment limit.
         std::vector<std::pair<int, PieceFate>> fates;
         for (const auto& each : multiget.asked.splits) fates.emplace_back(each.split, PieceFate::kNeverSent);
         actions_.emplace_back(End{number, LegEnd::Kind::kPushedBack, false, 0, {}, std::move(fates)});
@@ -154,7 +155,8 @@
     return std::exchange(actions_, {});
 }
 
-// Is the map at or beyond what the box knew? Then where the keys are now is worth asking.
+// Whether the map is at least as new as the epoch known by the server that refused the fragment, so that it
+// can locate the fragment's keys.
 bool Gatherer::map_knows(const Held& held) const {
     const auto& piece = held.piece;
     for (Key from = piece.first;;) {
@@ -176,7 +178,7 @@
     return again <= terms_.further_floor + terms_.further_ratio * taken;
 }
 
-// Asks for what waits and whose place is known by now, as one further leg.
+// Sends the waiting fragments that the current map can locate, as one further round.
 void Gatherer::ask_again(Time now, Number number, Multiget& multiget) {
     std::vector<Piece> pieces;
     for (auto& held : multiget.pieces) {
@@ -214,7 +216,7 @@
     held.state = Held::State::kWaits;
     held.known = known;
     held.refused_at = now;
-    // Others of it are often refused in the same moment: what is known then is asked for as one leg.
+    // Several fragments of a multiget are often refused at once; the wake-up collects them into one round.
     if (map_knows(held))
         actions_.emplace_back(Wake{now});
     else
@@ -289,8 +291,8 @@
     return sum;
 }
 
-// Ends a multiget once nothing more can come, or what can come cannot make an answer any more, or what it
-// waits for is a map that has not come in its time.
+// Ends a multiget once nothing is open, or the open splits cannot complete an answer, or the map that it
+// waits for has not arrived in time.
 void Gatherer::settle(Time now, Number number) {
     auto& multiget = multigets_.at(number);
     const auto least = type_of(multiget).least_share;
@@ -299,7 +301,7 @@
     for (const auto& held : multiget.pieces) waits = waits || held.state == Held::State::kWaits;
     if (!waits && multiget.legs.empty()) return end(number, multiget);
     if (now_is.in + now_is.may_come < least - kRounding) return end(number, multiget);
-    if (!waits || !multiget.legs.empty()) return;  // the module ends the legs, each in its time
+    if (!waits || !multiget.legs.empty()) return;  // the decision module ends each round in time
     const bool enough = now_is.in >= least - kRounding;
     const Time until = std::min(enough ? multiget.budget_ends : multiget.asked.not_after,
                                 multiget.asked.not_after - terms_.answer_grace);
@@ -314,7 +316,7 @@
     }
     std::vector<std::pair<int, PieceFate>> fates;
     for (std::size_t s = 0; s < seen.size(); ++s) {
-        // Some pieces ran and some did not: of the split it can only be said that it may have run.
+        // With different fates of its fragments, a split may have run.
         const auto fate = seen[s].size() == 1 ? *seen[s].begin() : PieceFate::kMayHaveRun;
         fates.emplace_back(multiget.asked.splits[s].split, fate);
     }
@@ -325,7 +327,7 @@
     for (const auto& [leg, routes] : multiget.legs) {
         actions_.emplace_back(LeaveLeg{number, leg});
         for (const auto route : routes) routes_.erase(route);
-        multiget.any_failed = true;  // what is out may have run
+        multiget.any_failed = true;  // its fragments may have run
     }
     End ending;
     ending.number = number;
@@ -346,7 +348,7 @@
         auto merged = merge_values(type.merge, values);
         if (!merged) {
             ++counted_.unmerged;
-            multiget.any_failed = true;  // it ran, and asking again would bring the same
+            multiget.any_failed = true;  // the split ran, and a repeat would return the same values
             continue;
         }
         in += multiget.asked.splits[s].weight;
@@ -360,7 +362,7 @@
         ending.whole = in >= type.whole_share - kRounding;
     } else {
         ending.values.clear();
-        // Pushed back: nothing ran, or it may run as often as it likes and was turned away.
+        // Pushed back if nothing ran, or if readers may run the op type and a round was pushed back.
         const bool pushed_back =
             !multiget.any_failed && (none_ran || (type.readers && multiget.any_pushed_back));
         ending.kind = pushed_back ? LegEnd::Kind::kPushedBack : LegEnd::Kind::kFailed;
--- a/src/placement/gatherer.hpp
+++ b/src/placement/gatherer.hpp
@@ -1,20 +1,24 @@
-// One answer for each count split, whatever the map does meanwhile. A decider without I/O: it cuts what a
-// client asks for into pieces, each the keys of one split that lie in one shard, hands them on as legs, and
-// puts the split's value together again by the rule of its op type. Times are whole tenths of a millisecond.
+// Gathers one value per count split of a multiget while the shard map changes, without I/O. It cuts the
+// requested splits into fragments (the keys of one split that lie in one shard), hands these on in attempt
+// rounds, and merges the fragments' values by the merge rule of the op type. Times are in tenths of a
+// millisecond.
 //
-// A piece carries the epoch under which it is asked for. A box that does not own it (any more, or yet) says
-// so, and that it has never run; then the piece's keys are looked up anew in the next map and asked for in a
-// further leg: under the children if the shard was split, under the one shard if it was merged, at its new
-// box if it moved. Keys decide what a piece is and the map only where it is, so the pieces of a split cover
-// its keys once under whatever versions they were asked for, and nothing counts twice.
+// A fragment carries the epoch under which it is requested. An index server that does not own the shard under
+// this epoch refuses the fragment and guarantees that it was never run. The fragment's keys are then looked
+// up in the next map and requested in a further round: from the children if the shard was split, from the
+// merged shard, or from the new index server if the shard moved. A fragment is defined by its keys, and the
+// map only locates it. The fragments of a split therefore cover its keys exactly once, whatever map versions
+// they were requested under, and nothing is counted twice.
 //
-// A split counts as in only if all of its pieces are, and their values merge. Whole and least shares count by
-// the weight that the client gave. Pieces asked for again count as further sends: they have a share of that
-// budget to themselves (GatherTerms::further), and the decision module has the rest.
+// A split is answered only if all of its fragments are and their values merge. Whole and least shares are
+// computed from the weights that the client gave. Repeated fragments count as further sends; they have a
+// reserved share of that budget (GatherTerms::further_floor and further_ratio), and the decision module has
+// the rest.
 //
-// A box that has just come to hold a shard is cold for it, however old its process. Reads go there by a share
-// that rises from cold_from to all within warm_after; a piece's number says whether it is among them. Each
-// node takes that share of its own reads, so together they keep it, though they share nothing.
+// An index server that has just received a shard is cold for it, however long its process has been running.
+// The share of reads that it receives rises linearly from cold_from to 1 within warm_after; a hash of the
+// fragment's route decides whether the fragment belongs to that share. Every node applies the share to its
+// own reads, so the fleet keeps it without coordination.
 #pragma once
 
 #include <cstdint>
@@ -32,78 +36,90 @@
 
 namespace pinedoor::placement {
 
-struct GatheredType {  // of multigets
+// Settings of one op type.
+struct GatheredType {
     MergeRule merge = MergeRule::kWhole;
-    bool readers = false;  // may be run by those that do not own
-    double least_share = 1;
-    double whole_share = 1;
+    bool readers = false;    // readers may run its parts, not only the owner
+    double least_share = 1;  // share of the weight needed for an answer
+    double whole_share = 1;  // share of the weight from which an answer is whole
     Time latency_budget = 0;
 };
 
 struct GatherTerms {
     std::vector<GatheredType> op_types;
-    std::uint64_t splits = 1;                     // the key space is asked for in so many equal parts
-    double further_floor = 0, further_ratio = 0;  // of pieces asked for again, over
-    Time further_look_back = 0;                   // 0: no budget is stated
-    Time ask_again = 200;     // when the box was behind the map, not the map behind the box
-    Time answer_grace = 200;  // before a multiget's end, to send what is known
-    int most_legs = 4;
-    std::size_t most_pieces = 4096;  // of one multiget at once
-    double cold_from = 1;            // of a warm box's reads; 1: no box is cold
-    Time warm_after = 0;
+    std::uint64_t splits = 1;  // number of equal ranges that the key space is divided into
+    // Budget of repeated fragments within the look-back window: the floor plus the ratio times first sends.
+    double further_floor = 0, further_ratio = 0;
+    Time further_look_back = 0;      // 0: no budget applies
+    Time ask_again = 200;            // delay of a repeat if the server has an older epoch than the map
+    Time answer_grace = 200;         // time reserved before the deadline to send the answer
+    int most_legs = 4;               // limit on rounds per multiget
+    std::size_t most_pieces = 4096;  // limit on fragments per multiget
+    double cold_from = 1;            // initial share of reads at a cold server; 1: no server is cold
+    Time warm_after = 0;             // time from which a server is warm
 };
 
-using Number = std::uint64_t;  // of a multiget
-using Route = int;             // names a piece while it is asked for; unique
+using Number = std::uint64_t;  // identifies a multiget
+using Route = int;             // identifies an open fragment; unique on the node
 
+// One requested split of a multiget.
 struct SplitAsked {
     int split = 0;
     double weight = 0;
-    std::uint64_t key = 0;  // passed on
-    Time cost_hint = 0;     // passed on
+    std::uint64_t key = 0;  // passed through to the decision module
+    Time cost_hint = 0;     // passed through to the decision module
 };
+// A requested multiget.
 struct GatherAsked {
     int op_type = 0;
     Time not_after = 0;
     std::vector<SplitAsked> splits;
 };
 
+// A fragment: the keys of one split that lie in one shard.
 struct Piece {
     Route route = 0;
-    std::size_t split = 0;  // place among the splits asked for
+    std::size_t split = 0;  // index into GatherAsked::splits
     ShardId shard = 0;
     Epoch epoch = 0;
-    Key first = 0, last = 0;
+    Key first = 0, last = 0;  // both inclusive
     double weight = 0;
-    std::vector<BoxId> boxes;  // that may run it
+    std::vector<BoxId> boxes;  // index servers that may run it
 };
 
 enum class PieceFate : char { kNeverSent = 'n', kMayHaveRun = 'm', kRan = 'r' };
 
+// Result of a round.
 struct LegEnd {
     enum class Kind : std::uint8_t { kAnswered, kPushedBack, kFailed } kind = Kind::kFailed;
-    Time wait = 0;
+    Time wait = 0;  // kPushedBack: suggested delay before a retry
     std::vector<std::pair<Route, std::string>> values;
     std::vector<std::pair<Route, PieceFate>> fates;
 };
 
+// Actions that the caller executes.
 namespace gathering {
+// Sends a round of fragments.
 struct AskLeg {
     Number number = 0;
     int leg = 0;
     std::vector<Piece> pieces;
 };
+// Abandons an open round.
 struct LeaveLeg {
     Number number = 0;
     int leg = 0;
 };
-struct WantMap {  // a box knows of this epoch
+// Requests the map, since an index server has reported this epoch of the shard.
+struct WantMap {
     ShardId shard = 0;
     Epoch epoch = 0;
 };
+// Schedules a call of tick() at this time.
 struct Wake {
     Time at = 0;
 };
+// The result of a multiget.
 struct End {
     Number number = 0;
     LegEnd::Kind kind = LegEnd::Kind::kFailed;
@@ -115,6 +131,7 @@
 using Action = std::variant<AskLeg, LeaveLeg, WantMap, Wake, End>;
 }  // namespace gathering
 
+// Tracks the open multigets. Each member function that returns actions expects the caller to execute them.
 class Gatherer {
 public:
     explicit Gatherer(GatherTerms terms) : terms_(std::move(terms)) {}
@@ -122,21 +139,22 @@
 
     Actions map_is(Time now, std::shared_ptr<const ShardMap> map);
     Actions ask(Time now, Number number, GatherAsked asked);
-    Actions refused(Time now, Route route, Epoch known);  // by a box, as never run
+    // An index server refused the fragment without running it; `known` is the epoch that it knows.
+    Actions refused(Time now, Route route, Epoch known);
     Actions leg_ended(Time now, Number number, int leg, LegEnd end);
     Actions tick(Time now);
 
-    // Its client has left. Those of its legs that are open are left by whoever calls; what is known of their
-    // pieces is told here, and what is known of the splits returned.
+    // Removes a multiget whose client has disconnected. The caller abandons the open rounds and passes the
+    // known fates of their fragments; returns the fates of the splits.
     std::vector<int> open_legs(Number number) const;
     std::vector<std::pair<int, PieceFate>> left(Number number,
                                                 const std::vector<std::pair<Route, PieceFate>>& fates);
 
-    const Piece* piece(Route route) const;  // null: it is not asked for any more
-    // A piece may be sent later than it was cut: under the shard's epoch by now, if it has the same keys
-    // still.
+    const Piece* piece(Route route) const;  // null if the fragment is not open
+    // Returns the fragment to be sent now, with its epoch updated from the current map if the shard still
+    // holds its keys: a fragment may be sent later than it was cut.
     const Piece* sending(Route route);
-    // Who may be asked now: by the present map, and without those that are too cold for this piece.
+    // Index servers that may run the fragment by the current map, without those that are too cold for it.
     std::vector<BoxId> boxes_now(Time now, const Piece& piece) const;
 
     static std::pair<Key, Key> keys_of(int split, std::uint64_t splits);
@@ -147,32 +165,36 @@
     const Counted& counted() const { return counted_; }
     std::size_t open() const { return multigets_.size(); }
     std::size_t routes() const { return routes_.size(); }
-    std::size_t cold() const { return cold_since_.size(); }  // shards at boxes
+    std::size_t cold() const { return cold_since_.size(); }  // number of cold replicas
 
 private:
-    struct Held {  // a piece and what became of it
+    // A fragment and its state.
+    struct Held {
         Piece piece;
+        // Sent and open; answered; replaced by a repeat; waiting for a map or a repeat; failed.
         enum class State : std::uint8_t { kOut, kIn, kAgain, kWaits, kLost } state = State::kOut;
         std::string value;
         PieceFate fate = PieceFate::kNeverSent;
-        Epoch known = 0;      // kWaits: by the box that refused it
-        Time refused_at = 0;  // likewise
+        Epoch known = 0;      // kWaits: epoch known by the server that refused it
+        Time refused_at = 0;  // kWaits
     };
     struct Multiget {
         GatherAsked asked;
         Time budget_ends = 0;
         std::vector<Held> pieces;
-        std::map<int, std::vector<Route>> legs;  // open
+        std::map<int, std::vector<Route>> legs;  // open rounds
         int last_leg = -1;
-        bool any_pushed_back = false, any_failed = false;  // of its legs
+        bool any_pushed_back = false, any_failed = false;  // whether any round ended so
         Time wait = 0;
     };
+    // Location of an open fragment.
     struct Place {
         Number number = 0;
         std::size_t piece = 0;
     };
+    // Weight of the answered splits and of those that may still be answered.
     struct Standing {
-        double in = 0, may_come = 0;  // weight of splits
+        double in = 0, may_come = 0;
     };
 
     std::vector<Piece> cut(const Multiget& multiget, std::size_t split, Key first, Key last,
@@ -198,12 +220,13 @@
     std::map<Number, Multiget> multigets_;
     std::map<Route, Place> routes_;
     Route last_route_ = 0;
-    std::map<std::pair<ShardId, BoxId>, Time> cold_since_;  // until they are warm, or gone from the map
+    std::map<std::pair<ShardId, BoxId>, Time> cold_since_;  // cold replicas that are in the map
+    // Number of fragments sent for the first time and repeatedly at one time.
     struct Sent {
         Time at = 0;
         std::size_t taken = 0, again = 0;
     };
-    std::deque<Sent> sent_;  // for as long as it counts
+    std::deque<Sent> sent_;  // within the look-back window of the budget
     Counted counted_;
     Actions actions_;
 };
--- a/src/placement/heat.cpp
+++ b/src/placement/heat.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr std::size_t kHeavyKeys = 1024;
-constexpr double kSecond = 10'000;
-constexpr double kNewest = 0.5;  // of a load, the share of the latest look
+constexpr double kSecond = 10'000;  // in units of Time
+constexpr double kNewest = 0.5;     // weight of the latest interval in the smoothed load
 
 std::uint64_t mix(std::uint64_t value) {  // splitmix64's finalizer (Steele, Lea, Flood, 2014)
     value = (value ^ (value >> 30U)) * 0xbf58476d1ce4e5b9U;
@@ -58,7 +58,8 @@
         at_[key] = heap_.size() - 1;
         return rise(heap_.size() - 1);
     }
-    // It takes the lightest one's place, and may have been counted there: that is its error.
+    // Replaces the key with the lowest count. The new key may have occurred up to that many times before,
+    // which is recorded as its error.
     auto& lightest = heap_.front();
     at_.erase(lightest.key);
     lightest = {key, lightest.count + times, lightest.count};
@@ -78,7 +79,7 @@
 void HeavyKeys::halve() {
     total_ -= total_ / 2;
     for (auto& each : heap_) {
-        each.count -= each.count / 2;  // the order stays
+        each.count -= each.count / 2;  // keeps the heap order
         each.error -= each.error / 2;
     }
 }
@@ -125,7 +126,7 @@
     if (!(terms.split_above > 0) || terms.merge_below < 0 || terms.merge_below > 0.6 * terms.split_above)
         throw std::invalid_argument("merge_below must be at most 0.6 of split_above");
     if (terms.look <= 0 || terms.looks < 1 || terms.sample < 2)
-        throw std::invalid_argument("a look takes time, and a need at least one look");
+        throw std::invalid_argument("look must be positive, looks at least 1 and sample at least 2");
 }
 
 void HeatBook::asked(const Shard& shard, Key key, Time now) {
@@ -134,7 +135,7 @@
     auto& heat = at->second;
     if (is_new) heat.since = now;
     ++heat.seen;
-    // Each key that came is as likely to be in the sample as any other (Vitter's algorithm R, 1985).
+    // Reservoir sampling: every key has the same probability (Vitter's algorithm R, 1985).
     ++heat.sampled;
     if (heat.sample.size() < terms_.sample) {
         heat.sample.push_back(key);
@@ -144,7 +145,7 @@
     if (place < heat.sample.size()) heat.sample[place] = key;
 }
 
-// In the middle of what was asked, not of the range: half of the load goes to each side.
+// Splits at the median of the sampled keys, not of the range, so that each child receives half of the load.
 Proposal HeatBook::split_of(const Shard& shard, const Heat& heat) const {
     auto keys = heat.sample;
     std::sort(keys.begin(), keys.end());
@@ -152,7 +153,7 @@
     const auto same = std::count(keys.begin(), keys.end(), middle);
     if (static_cast<double>(same) >= terms_.one_key * static_cast<double>(keys.size()))
         return {Proposal::Kind::kOneKey, shard.id, 0, middle, heat.load};
-    // The first key of the upper part must lie behind the lower's first.
+    // The first key of the upper child must be greater than the first key of the shard.
     Key at = middle;
     if (at <= shard.first) at = *std::upper_bound(keys.begin(), keys.end(), middle);
     return {Proposal::Kind::kSplit, shard.id, 0, at, heat.load};
@@ -192,7 +193,7 @@
             heat.above = 0;
         }
         if (heat.load <= terms_.split_above && heat.above == 0 && heat.sampled > 4 * terms_.sample) {
-            // What lies back does not say where load is now.
+            // Lets new keys replace old ones faster, since old keys do not show where the load is now.
             heat.sampled = heat.sample.size();
         }
         if (i + 1 == all.size()) {
@@ -205,7 +206,7 @@
         std::sort(there_too.begin(), there_too.end());
         heat.below = heat.load + next.load < terms_.merge_below && here == there_too ? heat.below + 1 : 0;
         if (heat.below < terms_.looks || !rested(heat) || !rested(next)) continue;
-        // One of the two may be merged with the one before it in this very look.
+        // Skips a shard that this evaluation already merges with the one before it.
         const bool taken =
             !found.empty() && found.back().kind == Proposal::Kind::kMerge && found.back().other == all[i].id;
         if (taken) continue;
--- a/src/placement/heat.hpp
+++ b/src/placement/heat.hpp
@@ -1,5 +1,5 @@
-// Where load is, in bounded memory, and what it asks for: which shards should be split or merged. Deciders
-// without I/O; times are whole tenths of a millisecond.
+// Load statistics in bounded memory, and proposals for which shards to split or merge. No I/O; times are in
+// tenths of a millisecond.
 #pragma once
 
 #include <cstdint>
@@ -14,9 +14,9 @@
 
 namespace pinedoor::placement {
 
-// The heaviest keys of a stream with a fixed number of counters: Space-Saving (Metwally, Agrawal, El Abbadi,
-// 2005). A key's true count lies between count - error and count, and no key that is not held counted more
-// than total / counters.
+// The most frequent keys of a stream with a fixed number of counters: Space-Saving (Metwally, Agrawal, El
+// Abbadi, 2005). A key's true count lies between count - error and count, and a key that is not held has a
+// count of at most total / counters.
 class HeavyKeys {
 public:
     explicit HeavyKeys(std::size_t counters) : most_(counters) {
@@ -29,9 +29,9 @@
         std::uint64_t count = 0, error = 0;
     };
     void add(Key key, std::uint64_t times = 1);
-    std::vector<Entry> heaviest(std::size_t most) const;  // the heaviest first
+    std::vector<Entry> heaviest(std::size_t most) const;  // in descending order of count
     std::uint64_t total() const { return total_; }
-    void halve();  // all counts: what is old counts less
+    void halve();  // halves all counts, so that older keys weigh less
     std::size_t bytes() const;
 
 private:
@@ -41,12 +41,12 @@
 
     const std::size_t most_;
     std::uint64_t total_ = 0;
-    std::vector<Entry> heap_;  // the lightest first
+    std::vector<Entry> heap_;  // min-heap by count
     std::unordered_map<Key, std::size_t> at_;
 };
 
-// Counts of any key, never too low: Count-Min (Cormode, Muthukrishnan, 2005), with conservative update. What
-// HeavyKeys was measured against.
+// Upper bounds of the count of any key: Count-Min (Cormode, Muthukrishnan, 2005) with conservative update.
+// Used by tests and benchmarks for comparison with HeavyKeys.
 class CountMin {
 public:
     CountMin(std::size_t width, std::size_t depth) : width_(width), cells_(width * depth), depth_(depth) {}
@@ -62,50 +62,51 @@
 };
 
 struct HeatTerms {
-    double split_above = 1'000;  // parts a second of one shard
-    double merge_below = 400;    // of two that lie side by side; at most 0.6 of split_above
-    Time look = 10'000;          // between two looks
-    int looks = 5;               // in a row that a need must stand before it is told
-    Time rest = 600'000;         // after a shard was made, nothing is proposed for it
-    std::size_t sample = 64;     // keys kept of each shard
-    double one_key = 0.5;        // of a shard's load on one key: a split does not help
+    double split_above = 1'000;  // load of a shard, in parts per second
+    double merge_below = 400;    // joint load of two adjacent shards; at most 0.6 of split_above
+    Time look = 10'000;          // evaluation interval
+    int looks = 5;               // consecutive evaluations over a threshold before a proposal is made
+    Time rest = 600'000;         // no proposals for a shard for this long after it was created
+    std::size_t sample = 64;     // sampled keys per shard
+    double one_key = 0.5;        // share of a shard's load on one key from which a split does not help
 };
 
+// A proposed split or merge, or the report of a shard whose load is on one key.
 struct Proposal {
     enum class Kind : std::uint8_t { kSplit, kMerge, kOneKey } kind = Kind::kSplit;
-    ShardId shard = 0;  // the lower one of a merge
-    ShardId other = 0;  // kMerge: the upper one
-    Key at = 0;         // kSplit: the first key of the upper part; kOneKey: that key
-    double load = 0;    // parts a second
+    ShardId shard = 0;  // kMerge: the lower shard
+    ShardId other = 0;  // kMerge: the upper shard
+    Key at = 0;         // kSplit: the first key of the upper child; kOneKey: the hot key
+    double load = 0;    // parts per second
 };
 std::string print(const Proposal& proposal);
 
-// Counts what is asked of each shard and says, look by look, what should be split or merged. A load that
-// hovers at a mark causes nothing: a need must stand for several looks in a row, a shard rests after it was
-// made, and two that would be merged carry well less than what is split.
+// Counts the parts of each shard and proposes splits and merges at each evaluation. To avoid oscillation at a
+// threshold, a threshold must be crossed in several consecutive evaluations, new shards are exempt for a rest
+// period, and the merge threshold lies well below the split threshold.
 class HeatBook {
 public:
     HeatBook(HeatTerms terms, std::uint64_t seed);  // throws std::invalid_argument
 
     void asked(const ShardMap& map, Key key, Time now) { asked(map.at(key), key, now); }
     void asked(const Shard& shard, Key key, Time now);
-    // At each look, under the present map; between looks it returns nothing.
+    // Evaluates the load under the current map once per interval; returns nothing in between.
     std::vector<Proposal> look(const ShardMap& map, Time now);
 
-    double load(ShardId shard) const;  // parts a second, at the last look
+    double load(ShardId shard) const;  // parts per second, at the last evaluation
     std::vector<std::pair<ShardId, double>> hottest(std::size_t most) const;
     std::vector<HeavyKeys::Entry> heavy_keys(std::size_t most) const { return keys_.heaviest(most); }
     std::size_t shards() const { return shards_.size(); }
 
 private:
     struct Heat {
-        std::uint64_t seen = 0;  // since the last look
-        double load = 0;
-        int above = 0;            // looks in a row
-        int below = 0;            // likewise, with the shard behind it
-        Time since = 0;           // it was first met
-        std::vector<Key> sample;  // of what was asked since the load last rested, each as likely
-        std::uint64_t sampled = 0;
+        std::uint64_t seen = 0;     // parts since the last evaluation
+        double load = 0;            // parts per second, smoothed
+        int above = 0;              // consecutive evaluations above split_above
+        int below = 0;              // consecutive evaluations below merge_below, with the next shard
+        Time since = 0;             // when the shard was first seen
+        std::vector<Key> sample;    // uniform sample of recently requested keys
+        std::uint64_t sampled = 0;  // number of keys that the sample stands for; reset while the load is low
     };
     Proposal split_of(const Shard& shard, const Heat& heat) const;
 
--- a/src/placement/map_follower.cpp
+++ b/src/placement/map_follower.cpp
@@ -38,7 +38,7 @@
     asked_at_ = now;
     wait_ = wait_ == 0 ? terms_.ask_from : std::min(2 * wait_, terms_.ask_to);
     ++counted_.asked_whole;
-    // Unless something that fits comes, it is asked for again.
+    // Repeats the request unless a valid update arrives.
     ask_at_ = now + wait_;
     return true;
 }
@@ -59,7 +59,7 @@
         settled();
         return count(Did::kRepeated);
     }
-    // An epoch that falls would let a box run what another one owns by now.
+    // With a falling epoch, a server could run parts that another server owns.
     if (present_) {
         for (const auto& was : present_->shards()) {
             const auto& is = made.at(was.first);
@@ -74,7 +74,7 @@
     return count(Did::kTaken);
 }
 
-// All of the steps or none.
+// Applies all of the steps or none.
 std::string MapFollower::follow(const MapChanges& changes) {
     auto map = *present_;
     const auto known = present_->version() - changes.after;
@@ -90,7 +90,7 @@
 
 void MapFollower::close_gaps() {
     for (auto at = aside_.begin(); at != aside_.end() && at->first <= present_->version();) {
-        // What does not fit is dropped: the whole map tells.
+        // Changes that do not apply are dropped; the whole map replaces them.
         if (at->second.version > present_->version()) follow(at->second);
         at = aside_.erase(at);
     }
@@ -131,7 +131,7 @@
 void MapFollower::epoch_seen(Time now, ShardId shard, Epoch epoch) {
     if (!present_) return;
     const auto* known = present_->find(shard);
-    // Gone from the map: what the box knows is already known here.
+    // A shard that is not in the map was split or merged by a step that this map already contains.
     if (known != nullptr && known->epoch < epoch) want_whole(now);
 }
 
--- a/src/placement/map_follower.hpp
+++ b/src/placement/map_follower.hpp
@@ -1,20 +1,21 @@
-// What a front node takes for the map, out of what discovery tells: late, twice, out of order, with gaps, and
-// sometimes wrong. A decider without I/O; times are whole tenths of a millisecond.
+// Maintains a front node's current shard map from the updates that discovery sends, which may be delayed,
+// repeated, out of order, incomplete or invalid. It does no I/O; times are in tenths of a millisecond.
 //
-//   what is told                              | what is done
-//   ------------------------------------------+------------------------------------------------------------
-//   a whole map, newer, without a fault       | taken
-//   a whole map or changes that lead to what  | nothing: it came twice
-//   is known already                          |
-//   a whole map that is older                 | nothing: what lags. It is counted, and never gone back to
-//   a whole map of this version, but unlike   | refused: one of both is wrong, and this one is in use
-//   a map with a hole, an overlap, two owners | refused, with the fault in words; the old one stays
-//   changes after this version                | taken step by step; one that does not fit refuses them all
-//   changes from before it, leading beyond it | those steps that are new are taken
-//   changes from beyond it                    | kept aside, and taken once the gap is closed; if that lasts,
-//                                             | the whole map is asked for
+//   update                                       | result
+//   ---------------------------------------------+---------------------------------------------------------
+//   whole map, newer and valid                   | becomes the current map
+//   whole map or changes up to the current or an | ignored as a repetition
+//   earlier version                              |
+//   whole map, older                             | ignored and counted; the follower never goes back
+//   whole map of the current version that        | refused, since one of the two is wrong and the current one
+//   differs                                      | is in use
+//   map with a gap, an overlap or two owners     | refused with an error message; the current map stays
+//   changes from the current version             | applied; one invalid step refuses all of them
+//   changes from an earlier to a later version   | the steps that are new are applied
+//   changes from a later version                 | set aside and applied once the gap is closed; if it stays
+//                                                | open, the whole map is requested
 //
-// After whatever was refused the whole map is asked for as well, each time later than the time before.
+// After a refusal the whole map is requested as well, with exponential backoff.
 #pragma once
 
 #include <cstdint>
@@ -30,12 +31,13 @@
 namespace pinedoor::placement {
 
 struct FollowTerms {
-    Time gap_patience = 1'000;  // what is missing may still be on its way
-    Time ask_from = 1'000;      // between two askings for the whole map, doubling
-    Time ask_to = 100'000;
-    std::size_t most_aside = 64;  // changes kept until their gap is closed
+    Time gap_patience = 1'000;    // wait for missing changes before the whole map is requested
+    Time ask_from = 1'000;        // first delay between two requests for the whole map; doubles each time
+    Time ask_to = 100'000;        // limit of that delay
+    std::size_t most_aside = 64;  // limit on sets of changes that are set aside until their gap is closed
 };
 
+// Applies map updates and decides when the whole map must be requested.
 class MapFollower {
 public:
     explicit MapFollower(FollowTerms terms) : terms_(terms) {}
@@ -43,19 +45,20 @@
     enum class Did : std::uint8_t { kTaken, kRepeated, kOlder, kAside, kRefused };
     struct Heard {
         Did did = Did::kRefused;
-        std::string why;  // kRefused, kOlder, kAside: in words
+        std::string why;  // kRefused, kOlder, kAside: message for the log
     };
     Heard hear(Time now, MapNews news);
-    void lost(Time now);  // nothing is heard any more until the whole map is asked for
-    // A box has refused a part of this shard with a newer epoch than the map has: the map lags.
+    void lost(Time now);  // the stream of updates has broken, so the whole map must be requested
+    // An index server has refused a part of this shard with this epoch. If it is newer than the map's, the
+    // map is outdated and the whole map is requested.
     void epoch_seen(Time now, ShardId shard, Epoch epoch);
 
-    // Null until a first map was taken. Whoever holds one keeps it alive; versions share what they can.
+    // The current map; null until a first map has been accepted.
     const std::shared_ptr<const ShardMap>& present() const { return present_; }
 
-    // True at most once for each time that the whole map is to be asked for.
+    // Whether the whole map must be requested now. A true result counts as the request.
     bool wants_whole(Time now);
-    Time wake() const { return ask_at_; }  // when wants_whole() may turn true; kNever: not by time alone
+    Time wake() const { return ask_at_; }  // next time that wants_whole() can be true; kNever if none is set
     static constexpr Time kNever = INT64_MAX;
 
     struct Counted {
@@ -69,17 +72,17 @@
     Heard take(Time now, WholeMap map);
     Heard take(Time now, MapChanges changes);
     Heard take(Time now, const Unreadable& unreadable);
-    std::string follow(const MapChanges& changes);  // what is wrong; empty: taken
+    std::string follow(const MapChanges& changes);  // returns an error message, empty if applied
     void close_gaps();
     void want_whole(Time at);
-    void settled();  // what was heard fits: asking begins at its shortest wait again
+    void settled();  // resets the backoff after a valid update
 
     const FollowTerms terms_;
     std::shared_ptr<const ShardMap> present_;
-    std::map<Version, MapChanges> aside_;  // by where they start from
+    std::map<Version, MapChanges> aside_;  // by MapChanges::after
     Time ask_at_ = kNever;
     Time asked_at_ = 0;
-    Time wait_ = 0;  // 0: the next asking is the first in a row
+    Time wait_ = 0;  // current backoff; 0: the next request is the first
     Counted counted_;
 };
 
--- a/src/placement/map_text.cpp
+++ b/src/placement/map_text.cpp
@@ -8,9 +8,10 @@
 namespace pinedoor::placement {
 namespace {
 
-constexpr std::size_t kLargestMap = std::size_t{64} << 20U;
-constexpr double kMostWhole = 9e15;  // up to which a JSON number is surely whole
+constexpr std::size_t kLargestMap = std::size_t{64} << 20U;  // bytes
+constexpr double kMostWhole = 9e15;  // doubles represent all integers up to this value exactly
 
+// Thrown for JSON that is not a valid map or change.
 struct Bad {
     std::string why;
 };
--- a/src/placement/map_text.hpp
+++ b/src/placement/map_text.hpp
@@ -1,12 +1,12 @@
-// The map as it travels over discovery, one JSON object a line, and boxes by their names in the list
-// (docs/placement.md, "Over discovery"):
+// The JSON form of the shard map and its changes, as discovery sends them, one object per line. Index servers
+// are given by their names in the list (docs/placement.md, "Over discovery"):
 //
 //   {"version":12,"shards":[{"id":1,"first":"0","last":"ffffffffffffffff","epoch":3,
 //    "replicas":[{"box":"s-1","role":"owner"},{"box":"s-2","role":"reader"}]}]}
 //   {"version":13,"after":12,"steps":[{"step":"split","shard":1,"at":"8000","lower":2,"upper":3}]}
 //   steps: split; merge lower upper merged; add shard box; remove shard box; pass shard box
 //
-// Keys are hexadecimal digits in a text: JSON's numbers do not hold 64 bits everywhere.
+// Keys are strings of hexadecimal digits, since not every JSON reader keeps 64-bit numbers exactly.
 #pragma once
 
 #include <map>
@@ -20,29 +20,33 @@
 
 namespace pinedoor::placement {
 
-// Numbers for the names of boxes, from 1 on, for the life of the process. Bounded: no number for one more.
+// Assigns a number to each index server name, from 1 on, for the lifetime of the process. The number of names
+// is limited; number() returns nothing beyond the limit.
 class BoxNames {
 public:
     explicit BoxNames(std::size_t most = 100'000) : most_(most) {}
     std::optional<BoxId> number(const std::string& name);
     std::optional<BoxId> find(const std::string& name) const;
-    const std::string& name(BoxId box) const;  // empty: there is none
+    const std::string& name(BoxId box) const;  // empty if the number is unknown
 
 private:
     std::size_t most_;
     std::map<std::string, BoxId> numbers_;
-    std::vector<std::string> names_{""};  // 0 is no box
+    std::vector<std::string> names_{""};  // number 0 is not assigned
 };
 
+// A complete map, not validated.
 struct WholeMap {
     Version version = 0;
     std::vector<Shard> shards;
 };
+// The steps from one version to a later one.
 struct MapChanges {
-    Version version = 0;  // that they lead to
-    Version after = 0;    // that they start from
+    Version version = 0;  // version after the last step
+    Version after = 0;    // version before the first step
     std::vector<Step> steps;
 };
+// A line that could not be parsed.
 struct Unreadable {
     std::string why;
 };
@@ -53,6 +57,6 @@
 std::string print_changes(Version after, const std::vector<Step>& steps, const BoxNames& names);
 
 std::string print_key(Key key);                      // hexadecimal, without leading zeros
-std::optional<Key> read_key(std::string_view text);  // up to sixteen digits
+std::optional<Key> read_key(std::string_view text);  // up to 16 hexadecimal digits
 
 }  // namespace pinedoor::placement
--- a/src/placement/merge_values.cpp
+++ b/src/placement/merge_values.cpp
@@ -52,10 +52,9 @@
         longest = std::max(longest, lines->size());
         all.insert(all.end(), lines->begin(), lines->end());
     }
-    // Equal scores stay in the order of the keys.
+    // A stable sort keeps lines of equal score in key order.
     std::stable_sort(all.begin(), all.end(), [](const Line& a, const Line& b) { return a.score > b.score; });
-    // A piece with fewer lines than the longest has told all it has, so nothing that belongs among the first
-    // is missing.
+    // A value with fewer lines than the longest is complete, so no line is missing among the first `longest`.
     all.resize(std::min(all.size(), longest));
     std::string text;
     for (const auto& line : all) {
--- a/src/placement/merge_values.hpp
+++ b/src/placement/merge_values.hpp
@@ -1,5 +1,5 @@
-// How the values of a part's pieces become the part's value, when its keys lie in several shards. The pieces
-// cover its keys once, so each rule holds for disjoint data.
+// Merges the values of a part's fragments into the value of the part when its keys lie in several shards. The
+// fragments cover disjoint keys.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +11,15 @@
 namespace pinedoor::placement {
 
 enum class MergeRule : std::uint8_t {
-    kWhole,         // only one value may come: several are no answer
-    kSum,           // decimal integers, added; any other text, or a sum beyond 64 bits, is no answer
-    kRanked,        // lines "score item", highest first; as many of them as the longest piece has
-    kConcatenated,  // one after the other, by key
+    kWhole,         // a single value; several values cannot be merged
+    kSum,           // adds decimal integers; fails on other text and on 64-bit overflow
+    kRanked,        // merges lines "score item" by descending score, as many as the longest value has
+    kConcatenated,  // concatenates in key order
 };
 std::optional<MergeRule> merge_rule_named(std::string_view name);  // whole, sum, ranked, concatenated
 std::string_view name_of(MergeRule rule);
 
-// The values by key, one for each piece. None: they cannot be merged honestly.
+// Merges one value per fragment, in key order. Returns nothing if the rule cannot merge them.
 std::optional<std::string> merge_values(MergeRule rule, const std::vector<std::string>& values);
 
 }  // namespace pinedoor::placement
--- a/src/placement/move_desk.cpp
+++ b/src/placement/move_desk.cpp
@@ -6,9 +6,9 @@
 
 std::string MoveDesk::fault_of(const DeskTerms& terms) {
     if (terms.at_once == 0 || terms.at_once_box == 0 || terms.at_once_zone == 0)
-        return "no move may go on at all";
-    if (!(terms.resume_below < terms.pause_above)) return "resume_below must lie under pause_above";
-    if (terms.looks < 1) return "a look must count";
+        return "at_once, at_once_box and at_once_zone must be at least 1";
+    if (!(terms.resume_below < terms.pause_above)) return "resume_below must be less than pause_above";
+    if (terms.looks < 1) return "looks must be at least 1";
     return {};
 }
 
@@ -35,7 +35,7 @@
 std::vector<MoveId> MoveDesk::begin() {
     std::vector<MoveId> begun;
     for (auto at = waiting_.begin(); at != waiting_.end();) {
-        // What had begun must end, whatever else is the case: a fence may stand.
+        // A begun move must continue regardless of limits and pauses, since its fence may be up.
         const bool may = at->begun || (!paused() && !stopped_ && fits(*at));
         const bool earlier_waits =
             std::any_of(waiting_.begin(), at, [&](const WantedMove& other) { return other.wave < at->wave; });
--- a/src/placement/move_desk.hpp
+++ b/src/placement/move_desk.hpp
@@ -1,8 +1,10 @@
-// Which of the moves that are wanted go on now. A decider without I/O: bounded by number, by box, by zone and
-// by shard, in the order of the plan, and none of them while the fleet is under pressure.
+// Queue of requested moves that decides which of them run now, without I/O. It limits the running moves in
+// total and per index server, zone and shard, keeps the order of the plan, and starts none while the fleet is
+// under pressure.
 //
-// A plan's waves are kept: a later one may need the room that an earlier one makes. A move that was undone,
-// and not by hand, ends the plan: what comes after may not fit any more, and a person or a new plan must say.
+// A wave begins only once the waves before it are done, since it may need the space that they free. A move
+// that was undone without an operator's abort stops the queue: the remaining moves may not fit any more, and
+// an operator must decide or plan again.
 #pragma once
 
 #include <cstdint>
@@ -15,42 +17,47 @@
 namespace pinedoor::placement {
 
 struct DeskTerms {
-    std::size_t at_once = 4;       // moves that go on
-    std::size_t at_once_box = 1;   // of them from one box, and to one
-    std::size_t at_once_zone = 4;  // of them to one zone
-    double pause_above = 0.02;     // of multigets turned away or failed, in a look
-    double resume_below = 0.005;   // under pause_above, so that it does not flutter
-    int looks = 3;                 // in a row, for either
+    std::size_t at_once = 4;       // limit on running moves
+    std::size_t at_once_box = 1;   // limit on running moves from one index server, and to one
+    std::size_t at_once_zone = 4;  // limit on running moves to one zone
+    double pause_above = 0.02;     // pauses above this share of multigets turned away or failed
+    double resume_below = 0.005;   // resumes below this share; less than pause_above for hysteresis
+    int looks = 3;                 // consecutive samples beyond the threshold, for either
 };
 
+// A requested move.
 struct WantedMove {
     MoveId id = 0;
     ShardId shard = 0;
     BoxId from = 0, to = 0;
     std::size_t wave = 0;
-    bool begun = false;  // before the mover was started again: goes on whatever the bounds say
+    bool begun = false;  // began before a restart of the process; continues regardless of the limits
     int zone = 0;        // of `to`
 };
 
+// Schedules moves within the configured limits.
 class MoveDesk {
 public:
-    explicit MoveDesk(DeskTerms terms) : terms_(terms) {}  // without a fault
+    explicit MoveDesk(DeskTerms terms) : terms_(terms) {}  // expects valid settings
+    // Validates the settings. Returns an error message, empty if they are valid.
     static std::string fault_of(const DeskTerms& terms);
 
     void add(const WantedMove& wanted);
-    std::vector<MoveId> begin();  // those that may begin now, and do
+    // Starts all moves that may run now, and returns their ids.
+    std::vector<MoveId> begin();
     enum class End : std::uint8_t { kDone, kUndone, kAborted };
     void ended(MoveId id, End end);
-    void drop(MoveId id);  // of one that waits: it is not wanted any more
+    void drop(MoveId id);  // removes a waiting move
 
-    // The share of multigets that were turned away or failed since the last look.
+    // Samples the share of multigets that were turned away or failed since the last call, and pauses or
+    // resumes.
     enum class Did : std::uint8_t { kNothing, kPaused, kResumed };
     Did look(double pressure);
     void by_hand(bool paused) { paused_by_hand_ = paused; }
     bool paused() const { return paused_ || paused_by_hand_; }
 
-    bool done() const;        // nothing goes on, and nothing may begin any more
-    std::string why() const;  // nothing begins, or empty
+    bool done() const;        // no move is running and none can begin any more
+    std::string why() const;  // why no move begins; empty if moves may begin
     std::size_t going_on() const { return going_on_.size(); }
     std::size_t waiting() const { return waiting_.size(); }
 
@@ -58,7 +65,7 @@
     bool fits(const WantedMove& wanted) const;
 
     const DeskTerms terms_;
-    std::vector<WantedMove> waiting_;  // by wave, then as added
+    std::vector<WantedMove> waiting_;  // begun moves first, then by wave, then in order of add()
     std::map<MoveId, WantedMove> going_on_;
     bool paused_ = false;
     bool paused_by_hand_ = false;
--- a/src/placement/mover.cpp
+++ b/src/placement/mover.cpp
@@ -35,7 +35,7 @@
 
 std::vector<Action> Mover::start(Time now) {
     now_ = now;
-    // A step that was kept is durable; what was answered to the mover before is asked anew.
+    // A saved step is durable. Answers received before a restart are lost, so its requests are sent again.
     kept_ = move_.step != MoveStep::kPrepare;
     if (!kept_) actions_.emplace_back(Keep{move_});
     ask();
@@ -54,7 +54,7 @@
     actions_.emplace_back(Keep{move_});
 }
 
-// Asks what belongs to the step, once that is durable, and again later until it is answered.
+// Sends the requests of the current step once the step is durable, and schedules their repetition.
 void Mover::ask() {
     if (!kept_ || ended()) return;
     if (paused_ && move_.step <= MoveStep::kCatchUp) return;
@@ -69,9 +69,9 @@
                 actions_.emplace_back(AskFence{});
             break;
         case MoveStep::kSwitch:
-            // Whoever learns of the new epoch must find its owner ready: first the box, then the map would
-            // leave nodes refused for longer; either order is safe, since only `to` runs parts of the new
-            // epoch.
+            // Both are requested at once: activating `to` before publishing the map would lengthen the time
+            // during which front nodes are refused. Either order is safe, since only `to` runs parts of the
+            // new epoch.
             if (!published_) actions_.emplace_back(Publish{});
             actions_.emplace_back(AskOwn{});
             break;
@@ -89,7 +89,7 @@
 }
 
 void Mover::on(const Kept& kept) {
-    if (kept.step != move_.step) return;  // of a step that is past
+    if (kept.step != move_.step) return;  // delayed confirmation of an earlier step
     kept_ = true;
     if (ended()) {
         actions_.emplace_back(Ended{move_.step == MoveStep::kDone});
@@ -116,7 +116,7 @@
 
 void Mover::on(const Reached& reached) {
     if (move_.step != MoveStep::kFence || !kept_ || !fenced_) return;
-    if (reached.upto < fence_at_) return;  // of an earlier question
+    if (reached.upto < fence_at_) return;  // answers an earlier request
     go(MoveStep::kSwitch);
 }
 
@@ -162,9 +162,9 @@
 
 void Mover::on(const Tick&) {
     if (move_.step == MoveStep::kFence && fence_since_ >= 0 && now_ - fence_since_ >= terms_.longest_fence)
-        return go(MoveStep::kUndo);  // nobody runs the shard meanwhile: better where it was than nowhere
+        return go(MoveStep::kUndo);  // no server runs a fenced shard, so its old owner must resume
     if (kept_ && !ended() && now_ - asked_at_ >= terms_.ask_again) return ask();
-    // What is to be kept is repeated as well: it may be the keeping that was lost.
+    // Repeats the save too, since it may have failed without a report.
     if (!kept_ && now_ - asked_at_ >= terms_.ask_again) {
         actions_.emplace_back(Keep{move_});
         asked_at_ = now_;
--- a/src/placement/mover.hpp
+++ b/src/placement/mover.hpp
@@ -1,23 +1,23 @@
-// One move of a shard's ownership from one box to another, as a decider: no I/O, no clock. It is handed what
-// happened and returns what to do; the carrier does it, and tells how it went. Whoever moves may die at any
-// point: the step is durable before anything is asked that belongs to it, and a new Mover goes on from the
-// step that was kept.
+// State machine that moves ownership of a shard from one index server (`from`) to another (`to`). It does no
+// I/O and reads no clock: the caller passes in events, executes the returned actions and reports their
+// results as further events. The process that runs it may crash at any point: each step is saved durably
+// before any request of that step is sent, and a new Mover resumes from the saved step.
 //
-//   step     | asked of                        | goes on when         | may still be undone
-//   ---------+---------------------------------+----------------------+--------------------
-//   prepare  | to: copy the shard              | it has a copy        | yes
-//   catch-up | to: take what came meanwhile    | little is missing    | yes
-//   fence    | from: run nothing more          | it runs nothing more |
-//            | to: take all up to that point   | it has all           | yes
-//   switch   | the map: pass ownership         | it is published      |
-//            | to: run from the new epoch on   | it does              | no: the new epoch may be known
-//   drain    | from: is anything left out      | nothing              | no
-//   retire   | from: drop the shard            | it is gone           | no
-//   undo     | from: run again; to: drop it    | both have            | -
+//   step     | request                              | next step when            | can be undone
+//   ---------+--------------------------------------+---------------------------+---------------------------
+//   prepare  | to: copy the shard                   | `to` has a copy           | yes
+//   catch-up | to: fetch writes since the copy      | few writes are missing    | yes
+//   fence    | from: stop running parts             | `from` has stopped        |
+//            | to: fetch writes up to that position | `to` has all of them      | yes
+//   switch   | map: pass ownership                  | the map is published      |
+//            | to: run parts from the new epoch on  | `to` confirms             | no: epoch may be published
+//   drain    | from: are any parts still running?   | none are                  | no
+//   retire   | from: drop the shard                 | it is dropped             | no
+//   undo     | from: resume; to: drop the shard     | both have                 | -
 //
-// Every request carries the move's number, and both boxes keep, durably, the highest number that was undone
-// or done with them (box_guard.hpp): what a lost or late request of an older move asks is refused. So
-// requests may be lost, repeated, late and out of order; each is asked again until it is answered.
+// Every request carries the move's id, and both index servers durably store the highest id that was undone or
+// completed there (box_guard.hpp), so they refuse delayed requests of older moves. Requests may therefore be
+// lost, repeated, delayed and reordered; each is repeated until it is answered.
 #pragma once
 
 #include <cstdint>
@@ -31,9 +31,9 @@
 
 namespace pinedoor::placement {
 
-using MoveId = std::uint64_t;    // one more with each move of the fleet
-using Position = std::uint64_t;  // in what a box has run of a shard
-using Time = std::int64_t;       // whole tenths of a millisecond
+using MoveId = std::uint64_t;    // increases by one with each move of the fleet
+using Position = std::uint64_t;  // in an index server's log of the parts that it ran on a shard
+using Time = std::int64_t;       // in tenths of a millisecond
 
 enum class MoveStep : std::uint8_t {
     kPrepare,
@@ -49,33 +49,35 @@
 std::string_view name_of(MoveStep step);
 std::optional<MoveStep> move_step_named(std::string_view name);
 
-// What moves. A reader's move needs no fence, and passing to a reader no copy: the carrier answers those
-// steps itself.
+// What is moved. Moving a reader needs no fence, and passing ownership to a reader needs no copy: the caller
+// reports those steps as completed without sending a request.
 enum class MoveKind : std::uint8_t {
-    kOwner,   // ownership and data, from one box to another that has none of it
-    kPass,    // ownership, to a box that reads; the old owner reads from then on
-    kReader,  // a reader's data
-    kCopy,    // one more reader; `from` has it and keeps it
-    kRemove,  // a reader goes; `to` is none
-    kSplit,   // of a shard in place: fenced at its owner, until the owner runs the children; `to` is none
-    kMerge    // of two in place, likewise
+    kOwner,   // ownership and data, to an index server that does not hold the shard
+    kPass,    // ownership, to a reader; the old owner becomes a reader
+    kReader,  // a reader's replica
+    kCopy,    // adds a reader; `from` keeps its replica
+    kRemove,  // removes a reader; `to` is 0
+    kSplit,   // splits a shard in place: fenced at its owner until the owner runs the children; `to` is 0
+    kMerge    // merges two shards in place, fenced in the same way; `to` is 0
 };
 std::string_view name_of(MoveKind kind);
 std::optional<MoveKind> move_kind_named(std::string_view name);
 
-struct Cut {            // of a split and a merge
+// Keys and shard ids of a split or a merge.
+struct Cut {
     Key at = 0;         // kSplit: the first key of the upper child
-    ShardId other = 0;  // kMerge: the upper one
-    ShardId lower = 0;  // kSplit: the children's ids; kMerge: the merged one's, and 0
-    ShardId upper = 0;
+    ShardId other = 0;  // kMerge: the upper of the two shards
+    ShardId lower = 0;  // kSplit: id of the lower child; kMerge: id of the merged shard
+    ShardId upper = 0;  // kSplit: id of the upper child; kMerge: 0
     bool operator==(const Cut&) const = default;
 };
 
-struct Move {  // as it is kept
+// A move as it is stored in the move journal.
+struct Move {
     MoveId id = 0;
     ShardId shard = 0;
     BoxId from = 0, to = 0;
-    Epoch epoch = 0;  // the shard's, before
+    Epoch epoch = 0;  // the shard's epoch before the move
     MoveStep step = MoveStep::kPrepare;
     MoveKind kind = MoveKind::kOwner;
     Cut cut = {};
@@ -83,63 +85,87 @@
 };
 
 struct MoveTerms {
-    Position close_enough = 100;  // so little may be missing when the fence goes up
-    Time ask_again = 2'000;       // a request that is not answered
-    Time longest_fence = 20'000;  // while nobody runs the shard; then it is undone
+    Position close_enough = 100;  // fences once `to` lacks at most this many positions
+    Time ask_again = 2'000;       // repeats unanswered requests and saves
+    Time longest_fence = 20'000;  // no server runs the shard during the fence; then the move is undone
 };
 
-namespace moving {  // what happens
-struct Kept {       // the step is durable
+namespace moving {
+
+// Events.
+
+// The step was saved durably.
+struct Kept {
     MoveStep step = MoveStep::kPrepare;
 };
-struct Copied {};  // by `to`
-struct Missing {   // at `to`: so much of what `from` has
+// `to` holds a copy of the shard.
+struct Copied {};
+// Number of positions that `from` has and `to` lacks.
+struct Missing {
     Position much = 0;
 };
-struct Fenced {  // `from` runs nothing more, and has run up to there
+// `from` runs no more parts of the shard; `upto` is the last position that it ran.
+struct Fenced {
     Position upto = 0;
 };
-struct Reached {  // `to` has all up to there
+// `to` has everything up to and including `upto`.
+struct Reached {
     Position upto = 0;
 };
+// The map with the new owner is published.
 struct Published {};
-struct Owns {};     // `to` runs from the new epoch on
-struct Drained {};  // nothing is out at `from`
-struct Dropped {    // by either
+// `to` runs parts from the new epoch on.
+struct Owns {};
+// No part of the old epoch is running at `from`.
+struct Drained {};
+// `box`, which is `from` or `to`, dropped its replica.
+struct Dropped {
     BoxId box = 0;
 };
-struct Unfenced {};  // `from` runs again
+// `from` runs parts again.
+struct Unfenced {};
+// The operator requested an abort.
 struct AbortAsked {};
-struct Pause {};  // asks for nothing more until Resume; a fence that stands is not left standing
+// Sends no requests of the steps before the fence until Resume; later steps continue, so that no fence is
+// left up.
+struct Pause {};
 struct Resume {};
 struct Tick {};
 using Event = std::variant<Kept, Copied, Missing, Fenced, Reached, Published, Owns, Drained, Dropped,
                            Unfenced, AbortAsked, Pause, Resume, Tick>;
 
-// What is done about it.
-struct Keep {  // the move with this step, durably; Kept is told after
+// Actions.
+
+// Saves the move with its step durably; the caller reports Kept afterwards.
+struct Keep {
     Move move;
 };
+// Requests answered by Copied, Missing, Fenced and Reached.
 struct AskCopy {};
 struct AskMissing {};
 struct AskFence {};
 struct AskReach {
     Position upto = 0;
 };
+// Publishes the map with the new owner; answered by Published.
 struct Publish {};
+// Requests answered by Owns, Drained, Dropped and Unfenced.
 struct AskOwn {};
 struct AskDrained {};
 struct AskDrop {
     BoxId box = 0;
 };
 struct AskUnfence {};
+// Schedules a Tick at this time.
 struct Wake {
     Time at = 0;
 };
+// The move is over.
 struct Ended {
-    bool done = false;  // else undone
+    bool done = false;  // false: it was undone
 };
-struct CannotAbort {};  // it has switched: another move leads back
+// An abort was requested after the switch; only another move can reverse this one.
+struct CannotAbort {};
 using Action = std::variant<Keep, AskCopy, AskMissing, AskFence, AskReach, Publish, AskOwn, AskDrained,
                             AskDrop, AskUnfence, Wake, Ended, CannotAbort>;
 }  // namespace moving
@@ -148,7 +174,7 @@
 public:
     Mover(Move move, MoveTerms terms) : terms_(terms), move_(move) {}
 
-    // At the begin, or anew from what was kept.
+    // Starts a new move, or resumes a saved one from its step.
     std::vector<moving::Action> start(Time now);
     std::vector<moving::Action> take(Time now, const moving::Event& event);
 
@@ -157,7 +183,8 @@
     bool paused() const { return paused_; }
     std::uint64_t impossible() const { return impossible_; }
 
-    // For explorers: two movers with the same text act alike from here on, but for the time.
+    // Fingerprint for state space exploration: movers with equal text behave alike from here on, apart from
+    // timing.
     std::string state() const;
 
 private:
@@ -182,13 +209,13 @@
     MoveTerms terms_;
     Move move_;
     Time now_ = 0;
-    bool kept_ = false;  // the present step is durable
+    bool kept_ = false;  // the current step is saved durably
     bool paused_ = false;
     bool fenced_ = false;
     Position fence_at_ = 0;
-    Time fence_since_ = -1;  // when it was asked for; -1: it was not
+    Time fence_since_ = -1;  // time of the first fence request; -1: none was sent
     bool published_ = false;
-    bool unfenced_ = false, dropped_ = false;  // of undoing
+    bool unfenced_ = false, dropped_ = false;  // kUndo: requests that were answered
     Time asked_at_ = 0;
     std::uint64_t impossible_ = 0;
     std::vector<moving::Action> actions_;
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -12,8 +12,8 @@
 
 using Placed = std::vector<std::vector<Replica>>;
 constexpr std::size_t kNowhere = std::numeric_limits<std::size_t>::max();
-// The emptiest boxes that a replica is tried on. With all 500 of the measured fleet the fullest box ended the
-// same, and planning took ten times as long (docs/placement.md).
+// Number of least loaded servers that a replica is tried on. Trying all 500 servers of a fleet gives the same
+// highest load and takes ten times as long (docs/placement.md).
 constexpr std::size_t kTried = 24;
 constexpr double kNoGain = 1e-9;
 
@@ -23,7 +23,9 @@
 bool has(const std::vector<BoxId>& boxes, BoxId box) {
     return std::find(boxes.begin(), boxes.end(), box) != boxes.end();
 }
-class Index {  // of boxes by their ids
+
+// Position of each server in Fleet::boxes, by id.
+class Index {
 public:
     explicit Index(const Fleet& fleet) {
         for (std::size_t i = 0; i < fleet.boxes.size(); ++i) at_[fleet.boxes[i].id] = i;
@@ -37,7 +39,7 @@
     std::unordered_map<BoxId, std::size_t> at_;
 };
 
-// So many zones can a shard's replicas be told apart by: those with a box that may hold something.
+// Number of zones that replicas can be spread over: zones with a server that is not draining.
 std::size_t zones_of(const Fleet& fleet) {
     std::set<int> zones;
     for (const auto& box : fleet.boxes) {
@@ -46,7 +48,7 @@
     return zones.size();
 }
 
-// A placement under change, with what each box carries.
+// A placement that is being changed, with the load, used space and shards of each server.
 class Draft {
 public:
     Draft(const Fleet& fleet, const Placed& placed) : fleet_(fleet), index_(fleet), placed_(placed) {
@@ -68,13 +70,13 @@
         count(shard, 1);
     }
 
-    // What a box takes of a shard with so many replicas.
+    // Load of one replica of a shard that has this many replicas.
     static double share(const Need& need, std::size_t replicas, bool owner) {
         return need.reads / static_cast<double>(std::max<std::size_t>(1, replicas)) +
                (owner ? need.writes : 0);
     }
 
-    // May this box come to hold the shard, whose replicas are to be these and itself?
+    // Whether the server may hold a replica of the shard beside the `others`.
     bool may_hold(std::size_t shard, std::size_t box, const std::vector<Replica>& others) const {
         const auto& need = fleet_.shards[shard];
         const auto& to = fleet_.boxes[box];
@@ -84,7 +86,7 @@
         return zone_is_free(others, to.zone);
     }
 
-    // Two of a shard in one zone are wrong as long as there is a zone for each.
+    // Whether one more replica in the zone keeps the replicas spread evenly over the zones.
     bool zone_is_free(const std::vector<Replica>& others, int zone) const {
         std::map<int, std::size_t> in;
         for (const auto& each : others) ++in[fleet_.boxes[index_[each.box]].zone];
@@ -114,6 +116,7 @@
     std::vector<std::set<std::size_t>> shards_on_;
 };
 
+// Finds the target placement: repairs each shard, then balances the load.
 class Planner {
 public:
     explicit Planner(const Fleet& fleet) : fleet_(fleet), draft_(fleet, now(fleet)) {
@@ -121,7 +124,7 @@
     }
 
     Placed target(std::vector<std::string>& unmet) {
-        // The hottest find a place first, while there is room.
+        // Places the shards with the highest load first, while there is most space.
         std::vector<std::size_t> order(fleet_.shards.size());
         for (std::size_t s = 0; s < order.size(); ++s) order[s] = s;
         std::stable_sort(order.begin(), order.end(), [this](std::size_t a, std::size_t b) {
@@ -150,8 +153,8 @@
         for (const auto box : touched) by_fullness_.insert({draft_.fullness(box), box});
     }
 
-    // What must move, whatever it costs: off draining and forbidden boxes, on to the pinned ones, out of a
-    // zone that holds too many, up and down to the wanted number.
+    // Enforces the hard constraints of a shard: no replica on draining or forbidden servers, replicas on the
+    // pinned servers, even spread over the zones, and the configured number of replicas.
     void repair(std::size_t shard, std::vector<std::string>& unmet) {
         const auto& need = fleet_.shards[shard];
         std::vector<Replica> kept;
@@ -179,7 +182,7 @@
         if (kept.size() < wanted) {
             unmet.push_back(shard_name(need.shard) + ": only " + std::to_string(kept.size()) + " of " +
                             std::to_string(wanted) + " replicas find a box with room in another zone");
-            // What is there stays, though it is not where it should be, rather than fall below what is sound.
+            // Keeps misplaced replicas rather than reduce the number of replicas.
             for (const auto& each : need.now) {
                 if (kept.size() < std::min(wanted, need.now.size()) && !is_on(kept, each.box))
                     kept.push_back({each.box, Role::kReader});
@@ -218,14 +221,14 @@
     struct Change {
         std::size_t shard = kNowhere;
         std::vector<Replica> replicas;
-        double fullest = 0;  // of the two boxes concerned, after
-        double size = 0;     // that moves
+        double fullest = 0;  // higher load of the two servers concerned, after the change
+        double size = 0;     // of the moved data
     };
 
-    // Takes load off the fullest box as long as that makes it less full than the box it goes to becomes.
+    // Moves load off the most loaded server while that lowers the higher load of the two servers concerned.
     void balance() {
         const double enough = mean() * (1 + fleet_.terms.near_enough);
-        std::set<std::size_t> given_up;  // boxes that nothing helps
+        std::set<std::size_t> given_up;  // servers that no change can relieve
         for (std::size_t copies = 0; copies < fleet_.terms.most_copies;) {
             auto fullest = by_fullness_.rbegin();
             while (fullest != by_fullness_.rend() && given_up.contains(fullest->second)) ++fullest;
@@ -254,8 +257,8 @@
         return a.fullest < b.fullest + kNoGain && a.size < b.size;
     }
 
-    // The change of one shard that leaves the fuller of both boxes the least full: its ownership passed to
-    // another replica, which moves nothing, or its replica moved to one of the emptiest boxes.
+    // The change of one shard that minimizes the higher load of the two servers: either passes ownership to
+    // another replica, which moves no data, or moves the replica to one of the least loaded servers.
     Change best_off(std::size_t box) const {
         Change best;
         const auto id = fleet_.boxes[box].id;
@@ -293,7 +296,7 @@
                 ++tried;
                 auto moved = others;
                 moved.push_back({fleet_.boxes[to].id, owner ? Role::kOwner : Role::kReader});
-                // What was there before is not moved there.
+                // A server that currently holds the shard needs no copy.
                 const double size = is_on(need.now, fleet_.boxes[to].id) ? 0 : need.size;
                 consider(shard, to, std::move(moved), share, share, size);
             }
@@ -301,7 +304,7 @@
         return best;
     }
 
-    // A replica of this box against a lighter one of another, where neither could move alone.
+    // Swaps a replica of this server for a lighter one of another, for cases in which neither can move alone.
     Change best_swap(std::size_t box) {
         Change best;
         const auto id = fleet_.boxes[box].id;
@@ -365,10 +368,11 @@
     const Fleet& fleet_;
     Draft draft_;
     std::set<std::pair<double, std::size_t>> by_fullness_;
-    Change second_;  // of a swap
+    Change second_;  // second half of a swap
 };
 
-// Plays steps on the fleet as it is: who holds what, how full boxes are, what is under way in this wave.
+// Applies steps to the current placement and tracks the replicas, the used space and the steps of the current
+// wave.
 class Replay {
 public:
     explicit Replay(const Fleet& fleet) : fleet_(fleet), index_(fleet), used_(fleet.boxes.size()) {
@@ -394,7 +398,7 @@
         return at == at_.end() ? kNowhere : at->second;
     }
 
-    // Why the step may not be taken in this wave; empty: it may.
+    // Why the step is not allowed in this wave; empty if it is allowed.
     std::string hinders(const PlanStep& step) const {
         const auto s = shard(step.shard);
         if (s == kNowhere) return "there is no " + shard_name(step.shard);
@@ -447,7 +451,7 @@
                 return;
             case PlanStep::Kind::kRemove:
                 std::erase_if(replicas, [&](const Replica& r) { return r.box == step.from; });
-                // The room is free from the next wave on: in this one, the removal may still be under way.
+                // Frees the space in the next wave, since the removal may take until the end of this one.
                 freed_.emplace_back(index_[step.from], size);
                 return;
         }
@@ -472,7 +476,7 @@
     std::vector<std::pair<std::size_t, double>> freed_;
 };
 
-// The next step of one shard towards its target, or none.
+// Possible next steps of one shard towards its target, in order of preference; empty if it is there.
 std::vector<PlanStep> next_steps(const Need& need, const std::vector<Replica>& now,
                                  const std::vector<Replica>& target) {
     using Kind = PlanStep::Kind;
@@ -480,7 +484,7 @@
     const auto owner = owner_of(now), wanted = owner_of(target);
     for (const auto& each : target) {
         if (is_on(now, each.box)) continue;
-        // Whoever has least to do else sends the copy; the order says who is asked first.
+        // One candidate per source; the caller takes the first that is allowed in the wave.
         for (const auto& from : now) steps.push_back({Kind::kCopy, need.shard, from.box, each.box});
     }
     if (owner != wanted && is_on(now, wanted)) steps.push_back({Kind::kPass, need.shard, owner, wanted});
@@ -598,8 +602,8 @@
     for (std::size_t s = 0; s < fleet.shards.size(); ++s) {
         if (!next_steps(fleet.shards[s], replay.placed()[s], target[s]).empty()) open.insert(s);
     }
-    // Each wave takes one step of each shard that has one that nothing hinders; whoever frees room goes
-    // first, so that a full fleet empties before it fills.
+    // Each wave takes at most one allowed step per shard. Steps that free space come before copies, so that a
+    // full fleet can make progress.
     while (!open.empty()) {
         std::vector<PlanStep> wave;
         for (const bool copies : {false, true}) {
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -1,14 +1,14 @@
-// Where the replicas should be, and the order of steps that leads there. A decider without I/O: given the
-// boxes, the shards with their heat and size, and what is asked of a placement, it finds a target in which
-// the fullest box is as little full as it can make it, and then as few bytes move as that takes.
+// Computes a target placement of replicas and an order of steps that leads to it, without I/O. Given the
+// index servers, the shards with their load and size, and the constraints, it first minimizes the relative
+// load of the most loaded server, and then the number of bytes moved.
 //
-// The order keeps what is sound sound: a replica is copied before the one that it takes the place of goes, a
-// copy has room on its box before it begins, ownership is passed before the owner is removed, and no box
-// sends or takes more copies at once than is stated. A wave's steps go side by side; the next wave begins
-// once they are done. check_plan() replays a plan step by step against all of that.
+// The order of steps keeps every intermediate placement valid: a replica is copied before the one it replaces
+// is removed, a copy has space on its server before it begins, ownership is passed before the owner is
+// removed, and no server sends or receives more copies at once than configured. The steps of a wave run in
+// parallel; the next wave begins once they are done. check_plan() replays a plan and checks each step.
 //
-// Greedy with a bounded look at the emptiest boxes, measured against the exact answer of a solver for small
-// fleets (exact.hpp, docs/placement.md).
+// The search is greedy and tries a bounded number of the least loaded servers. Tests compare it with an exact
+// solver for small fleets (exact.hpp, docs/placement.md).
 #pragma once
 
 #include <cstdint>
@@ -20,45 +20,49 @@
 
 namespace pinedoor::placement {
 
+// An index server.
 struct Box {
     BoxId id = 0;
     int zone = 0;
-    double capacity = 1;    // of load, in the units of Need::reads and writes
-    double space = 1;       // in the units of Need::size
-    bool draining = false;  // is to hold nothing in the end
+    double capacity = 1;    // load limit, in the units of Need::reads and Need::writes
+    double space = 1;       // storage, in the units of Need::size
+    bool draining = false;  // the target places no replica here
 };
 
-struct Need {  // of one shard
+// Load, size and placement constraints of one shard.
+struct Need {
     ShardId shard = 0;
-    double reads = 0;   // a second, spread evenly over its replicas
-    double writes = 0;  // a second, all of them the owner's
+    double reads = 0;   // per second, spread evenly over the replicas
+    double writes = 0;  // per second, all at the owner
     double size = 0;
-    std::size_t replicas = 1;     // wanted
-    std::vector<Replica> now;     // one of them the owner
-    std::vector<BoxId> pinned;    // boxes that it must be on
-    std::vector<BoxId> never_on;  // boxes that it must not be on
+    std::size_t replicas = 1;     // number of replicas in the target
+    std::vector<Replica> now;     // current replicas, exactly one of them the owner
+    std::vector<BoxId> pinned;    // servers that must hold a replica
+    std::vector<BoxId> never_on;  // servers that must not hold a replica
 };
 
 struct PlanTerms {
-    double fill = 0.9;                 // of a box's space, at any moment
-    double near_enough = 0.05;         // the fullest box may be so much above the mean, as a share of it
-    std::size_t most_copies = 10'000;  // in the whole plan, beyond what must move
-    std::size_t at_once = 16;          // copies in one wave
-    std::size_t at_once_box = 1;       // of them from one box, and to one
-    std::size_t sound = 1;             // replicas that a shard keeps at any moment, or what it has, if less
+    double fill = 0.9;                 // usable share of a server's space, at any moment
+    double near_enough = 0.05;         // balancing stops at this excess over the mean load, as a share of it
+    std::size_t most_copies = 10'000;  // limit on copies made for balancing, per plan
+    std::size_t at_once = 16;          // limit on copies per wave
+    std::size_t at_once_box = 1;       // limit on copies per wave from one server, and to one server
+    std::size_t sound = 1;             // replicas a shard keeps at any moment, or its current number if lower
 };
 
+// Input of the planner.
 struct Fleet {
     std::vector<Box> boxes;
     std::vector<Need> shards;
     PlanTerms terms;
 };
 
+// One step of a plan. A copy adds a reader; a pass makes the reader `to` the owner and the owner a reader.
 struct PlanStep {
     enum class Kind : std::uint8_t { kCopy, kPass, kRemove } kind = Kind::kCopy;
     ShardId shard = 0;
-    BoxId from = 0;  // who sends the copy, or whose ownership or replica goes
-    BoxId to = 0;    // kCopy, kPass
+    BoxId from = 0;  // kCopy: source; kPass: current owner; kRemove: server whose replica is removed
+    BoxId to = 0;    // kCopy, kPass: destination
     bool operator==(const PlanStep&) const = default;
 };
 std::string print(const PlanStep& step);
@@ -66,28 +70,29 @@
 struct Plan {
     std::vector<std::vector<Replica>> target;  // by shard, in the fleet's order
     std::vector<std::vector<PlanStep>> waves;
-    double fullest_before = 0, fullest_after = 0;  // load of the fullest box, as a share of its capacity
-    double bytes_moved = 0;
+    double fullest_before = 0, fullest_after = 0;  // highest load of a server, as a share of its capacity
+    double bytes_moved = 0;                        // in the units of Need::size
     std::size_t copies = 0;
-    std::vector<std::string> unmet;  // what is asked for and could not be had, in words
+    std::vector<std::string> unmet;  // messages about constraints and steps that could not be satisfied
 };
 
-// Load of each box as a share of its capacity, in the fleet's order, with such replicas.
+// Load of each server as a share of its capacity, in the fleet's order, under this placement.
 std::vector<double> loads(const Fleet& fleet, const std::vector<std::vector<Replica>>& placed);
 
-// What is wrong with what is asked; empty: nothing.
+// Validates the input. Returns an error message, empty if the fleet is valid.
 std::string fault_of(const Fleet& fleet);
 
-// What must hold of a placement whatever it costs: empty if it does, else the first that does not, in words.
+// Checks the hard constraints of a placement. Returns the first violation, empty if there is none.
 std::string fault_of_target(const Fleet& fleet, const std::vector<std::vector<Replica>>& placed);
 
-Plan plan(const Fleet& fleet);  // of a fleet without a fault; throws std::invalid_argument otherwise
+// Computes target and steps. Throws std::invalid_argument if the fleet is invalid.
+Plan plan(const Fleet& fleet);
 
-// Replays a plan from the fleet as it is; empty if every moment keeps the terms and the end is the target,
-// else what went wrong, in words.
+// Replays a plan from the current placement. Returns an empty text if every step keeps the constraints and
+// the plan ends at its target, else the first violation.
 std::string check_plan(const Fleet& fleet, const Plan& plan);
 
-// The steps alone, for a target that something else has found.
+// Orders the steps to a given target.
 Plan order_steps(const Fleet& fleet, std::vector<std::vector<Replica>> target);
 
 }  // namespace pinedoor::placement
--- a/src/placement/shard_map.cpp
+++ b/src/placement/shard_map.cpp
@@ -136,7 +136,7 @@
     return all;
 }
 
-// Puts shards in a chunk's place: in none if there are none, in two if they are too many.
+// Replaces a chunk by the shards: by no chunk if there are none, by two chunks if there are too many for one.
 void ShardMap::put(std::size_t which, std::vector<Shard> shards) {
     const auto at = static_cast<std::ptrdiff_t>(which);
     firsts_.erase(firsts_.begin() + at);
@@ -162,7 +162,7 @@
             static_cast<std::size_t>(std::lower_bound(in.begin(), in.end(), shard.first) - in.begin())};
 }
 
-// The map with some shards in one's place, which cover just what it covered.
+// The map with shard `was` replaced by shards that cover the same range.
 std::variant<ShardMap, ShardMap::Refused> ShardMap::replaced(const Shard& was,
                                                              const std::vector<Shard>& by) const {
     for (const auto& each : by) {
@@ -204,7 +204,7 @@
     auto next = *this;
     ++next.version_;
     --next.size_;
-    // The upper one first: it may lie in the chunk behind.
+    // Changes the upper shard's chunk first, since it may be the chunk after the lower shard's.
     const auto upper_at = place_of(*upper), lower_at = place_of(*lower);
     auto shards = chunks_[upper_at.first]->shards;
     shards.erase(shards.begin() + static_cast<std::ptrdiff_t>(upper_at.second));
--- a/src/placement/terms.hpp
+++ b/src/placement/terms.hpp
@@ -1,4 +1,4 @@
-// What an installation states of placement ([placement] in deploy/pinedoor.toml). Off unless it is on.
+// Settings of placement ([placement] in deploy/pinedoor.toml).
 #pragma once
 
 #include <map>
@@ -12,11 +12,11 @@
 
 struct PlacementTerms {
     bool on = false;
-    std::string path = "/discovery/shards";  // at discovery, where the map is told
-    std::map<std::string, MergeRule> merge;  // by op type; whole for others
-    double further_share = 0.25;             // of the budget for further sends, for what is asked for again
-    int most_legs = 4;
-    Time ask_again = 200;
+    std::string path = "/discovery/shards";  // URL path of the map at discovery
+    std::map<std::string, MergeRule> merge;  // by op type; kWhole for those not listed
+    double further_share = 0.25;  // share of the further-send budget reserved for repeated fragments
+    int most_legs = 4;            // limit on rounds per multiget
+    Time ask_again = 200;         // GatherTerms::ask_again
     HeatTerms heat;
     FollowTerms follow;
 };
--- a/tests/placement/explore_test.cpp
+++ b/tests/placement/explore_test.cpp
@@ -1,6 +1,6 @@
-// All interleavings of a move of one shard: a mover, the two boxes, two front nodes that each have something
-// which must not run twice, and messages that are late, lost, repeated and out of order, with crashes and an
-// abort. The very Mover and BoxGuard are played, not a model of them.
+// Explores all interleavings of a move of one shard: a mover, the two index servers, two front nodes that
+// each send a non-repeatable part, messages that are delayed, lost, repeated and reordered, crashes and an
+// abort. It runs the production Mover and BoxGuard, not a model of them.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -55,23 +55,26 @@
     auto operator<=>(const Message&) const = default;
 };
 
-struct Faults {               // built in, to see them found
-    bool no_fence = false;    // a box says that it is fenced, and runs on
-    bool no_numbers = false;  // a box takes late requests of a move that has ended
-    bool own_early = false;   // the mover asks `to` to own while it fences
+// Injected defects, which the exploration must find.
+struct Faults {
+    bool no_fence = false;    // `from` confirms the fence and continues to run parts
+    bool no_numbers = false;  // servers accept delayed requests of a move that has ended
+    bool own_early = false;   // the mover sends the own request during the fence
 };
 
+// A state of the whole system.
+
 struct State {
     Mover mover{{7, 1, kFrom, kTo, kBefore, MoveStep::kPrepare}, {0, 1, INT64_MAX}};
     Move kept{7, 1, kFrom, kTo, kBefore, MoveStep::kPrepare};
     bool mover_up = true;
     BoxGuard from{true, kBefore}, to;
     bool from_up = true, to_up = true;
-    std::uint8_t data_from = 0, data_to = 0;  // whose effects are in
+    std::uint8_t data_from = 0, data_to = 0;  // bit mask of the nodes whose parts are in the data
     bool published = false;
     struct Node {
         Epoch epoch = kBefore;
-        char status = 'n';  // not sent, out, done, failed
+        char status = 'n';  // 'n' not sent, 'o' open, 'd' done, 'f' failed
         int sends = 2;
         int runs = 0;
     } nodes[2];
@@ -93,15 +96,16 @@
     }
 };
 
+// Breadth-first search of the reachable states.
 class Explorer {
 public:
-    // How often each may happen in one run, and how many front nodes have something to send.
+    // How often each event may happen in one run, and the number of front nodes that send a part.
     struct May {
         int nodes = 2, crashes = 0, repeats = 0, aborts = 0, losses = 0;
     };
     Explorer(Faults faults, May may) : faults_(faults), may_(may) {}
 
-    // What is broken somewhere, or nothing.
+    // Returns a violated invariant, empty if there is none.
     std::string run(std::size_t most) {
         State first;
         first.crashes = may_.crashes;
@@ -116,7 +120,7 @@
             if (const auto what = broken(states_[at]); !what.empty()) return what;
             next(static_cast<int>(at));
         }
-        // From everywhere there is a way to the end: no step waits for what cannot come.
+        // The move can end from every reachable state, so no step waits forever.
         std::vector<char> ends(states_.size());
         std::deque<int> back;
         for (std::size_t i = 0; i < states_.size(); ++i) {
@@ -132,35 +136,36 @@
             }
         }
         for (std::size_t i = 0; i < states_.size(); ++i) {
-            if (ends[i] == 0) return "no way to the end from " + states_[i].key();
+            if (ends[i] == 0) return "the move cannot end from " + states_[i].key();
         }
         return {};
     }
     std::size_t states() const { return states_.size(); }
-    int done = 0, undone = 0;  // states in which the move has ended so
+    int done = 0, undone = 0;  // number of states in which the move is done or undone
 
 private:
-    // One box runs the shard, and its data has all that anybody was told of.
+    // Whether exactly one server runs the shard.
     static bool settled(const State& s) {
         const bool from_runs = s.from.owns() && !s.from.fenced(), to_runs = s.to.owns() && !s.to.fenced();
         return from_runs != to_runs;
     }
     std::string broken(const State& s) {
         for (const auto& node : s.nodes) {
-            if (node.runs > 1) return "something ran twice";
+            if (node.runs > 1) return "a part ran twice";
         }
         if (s.from.owns() && !s.from.fenced() && s.to.owns() && !s.to.fenced() &&
             s.from.epoch() == s.to.epoch())
-            return "two boxes run one epoch";
+            return "two servers run the same epoch";
         if (!s.mover.ended()) return {};
         ++(s.mover.move().step == MoveStep::kDone ? done : undone);
         if (s.messages.contains({Kind::kFence, 0, 0}) || !settled(s)) {
-            // A late fence may still come; what it finds is looked at where it has come.
-            if (!settled(s)) return "the move has ended and nobody, or both, run the shard";
+            // The effect of a delayed fence is checked in the state after its delivery.
+            if (!settled(s)) return "the move has ended and no server, or both, run the shard";
         }
         const auto data = s.to.owns() ? s.data_to : s.data_from;
         for (int i = 0; i < 2; ++i) {
-            if (s.nodes[i].status == 'd' && (data >> i & 1) == 0) return "what was answered is lost";
+            if (s.nodes[i].status == 'd' && (data >> i & 1) == 0)
+                return "the data of an answered part is lost";
         }
         return {};
     }
@@ -199,7 +204,7 @@
         if (s.mover_up) play(s, s.mover.take(0, event));
     }
 
-    // False: whom it is for is not there; it stays.
+    // Delivers a message. Returns false, leaving the message pending, if its receiver is down.
     bool deliver(State& s, const Message& what) const {
         const MoveId move = faults_.no_numbers ? 8 : 7;
         const auto reply = [&s](Kind kind, int a = 0, int b = 0) {
@@ -303,7 +308,7 @@
             case Kind::kDone:
                 if (s.nodes[what.a].status == 'o') s.nodes[what.a].status = 'd';
                 break;
-            case Kind::kRefused: {  // it never ran: it may go where the newer epoch says
+            case Kind::kRefused: {  // the part never ran, so it may be sent again under the newer epoch
                 auto& node = s.nodes[what.a];
                 if (node.status != 'o') break;
                 node.epoch = std::max<Epoch>(node.epoch, what.b);
@@ -321,7 +326,8 @@
             taken.messages.erase(message);
             if (deliver(taken, message)) {
                 add(taken, at);
-                // A request of the mover comes once more, later; parts go over streams, which repeat nothing.
+                // Messages of the mover may be duplicated; parts are sent over streams, which do not
+                // duplicate.
                 const bool of_node = message.kind == Kind::kPart || message.kind == Kind::kDone ||
                                      message.kind == Kind::kRefused;
                 if (here.repeats > 0 && !of_node) {
@@ -330,21 +336,21 @@
                     add(std::move(taken), at);
                 }
             }
-            if (message.kind == Kind::kKeep || message.kind == Kind::kKept) continue;  // a disk loses nothing
+            if (message.kind == Kind::kKeep || message.kind == Kind::kKept) continue;  // saves are not lost
             if (here.losses == 0) continue;
             auto lost = here;
             --lost.losses;
             lost.messages.erase(message);
             if (message.kind == Kind::kRefused || message.kind == Kind::kDone ||
                 message.kind == Kind::kPart) {
-                // Its node's time runs out: it has failed, and is not sent again.
+                // The node's deadline passes: the part has failed and is not sent again.
                 lost.nodes[message.a].status =
                     lost.nodes[message.a].status == 'o' ? 'f' : lost.nodes[message.a].status;
             }
             add(std::move(lost), at);
         }
-        // A request is asked again once nothing of the move is on its way: what is late beside it is a
-        // repeat, above.
+        // Requests are repeated only while no message of the move is pending; the duplicates above cover
+        // delayed messages beside a repeat.
         const bool quiet = std::all_of(here.messages.begin(), here.messages.end(),
                                        [](const Message& each) { return each.kind >= Kind::kPart; });
         if (quiet && here.mover_up && !here.mover.ended()) {
@@ -392,7 +398,7 @@
                 sent.messages.insert({Kind::kPart, std::uint8_t(i), std::uint8_t(node.epoch)});
                 add(std::move(sent), at);
             }
-            if (here.published && node.epoch == kBefore) {  // it hears of the new map
+            if (here.published && node.epoch == kBefore) {  // the node receives the new map
                 auto heard = here;
                 heard.nodes[i].epoch = kBefore + 1;
                 add(std::move(heard), at);
@@ -408,7 +414,7 @@
 };
 
 TEST_CASE(
-    "a move in every order of its messages: nothing runs twice, nothing answered is lost, it always can "
+    "a move under every order of messages: no part runs twice, no answered part is lost, the move can "
     "end") {
     int done = 0, undone = 0;
     std::size_t states = 0;
@@ -429,8 +435,7 @@
     CHECK(undone > 0);
 }
 
-TEST_CASE(
-    "the explorer finds the fault when the fence is taken out, numbers are passed over, or Own comes early") {
+TEST_CASE("the exploration finds a missing fence, ignored move ids, and an early own request") {
     CHECK(Explorer({true, false, false}, {1, 0, 0, 0, 0}).run(400'000) != "");
     CHECK(Explorer({false, true, false}, {1, 0, 1, 1, 0}).run(400'000) != "");
     CHECK(Explorer({false, false, true}, {1, 0, 0, 1, 0}).run(400'000) != "");
--- a/tests/placement/follow_test.cpp
+++ b/tests/placement/follow_test.cpp
@@ -1,5 +1,5 @@
-// The map over discovery: its text, and what a follower takes of news that are late, doubled, out of order,
-// with gaps, and wrong.
+// Tests of the JSON form of the map and of the map follower under updates that are delayed, repeated, out of
+// order, incomplete or invalid.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -20,7 +20,7 @@
     return std::get<ShardMap>(result);
 }
 
-// A history of maps, and the steps between them.
+// A sequence of map versions and the steps between them.
 struct History {
     BoxNames names;
     std::vector<ShardMap> maps;
@@ -53,7 +53,7 @@
     }
 };
 
-TEST_CASE("a map and its changes are read as they were written; what is wrong is named") {
+TEST_CASE("maps and changes survive a round trip; invalid text is rejected with a message") {
     History history(40);
     BoxNames names;
     for (const char* name : {"s-1", "s-2", "s-3"}) names.number(name);
@@ -90,7 +90,8 @@
 }
 
 TEST_CASE(
-    "late, doubled, out of order: whatever comes, what is held is a map that was told, and never goes back") {
+    "delayed, repeated, reordered updates: the current map is always one that was sent, and never goes "
+    "back") {
     CHECK(rc::check("follower", [] {
         const int length = *rc::gen::inRange(1, 25);
         const History history(length, *rc::gen::arbitrary<std::uint64_t>());
@@ -115,7 +116,7 @@
             RC_ASSERT(follower.aside() <= 64U);
         }
         RC_ASSERT(follower.counted().refused == 0U);
-        // Whatever is still missing, asking for the whole map brings it.
+        // A request for the whole map closes any remaining gap.
         if (follower.aside() > 0 || !follower.present()) {
             RC_ASSERT(follower.wake() != MapFollower::kNever);
             RC_ASSERT(follower.wants_whole(std::max(now, follower.wake())));
@@ -126,8 +127,7 @@
     }));
 }
 
-TEST_CASE(
-    "a map with a hole, an overlap or two owners is refused by name, the old one stays, and more is asked") {
+TEST_CASE("an invalid map is refused with a message, the current one stays, and the whole map is requested") {
     const History history(5);
     MapFollower follower({});
     CHECK(follower.hear(0, history.whole(2)).did == Did::kTaken);
@@ -157,7 +157,7 @@
           "map changes to version 3: remove box 1 from shard 99: there is no shard 99");
     CHECK(follower.hear(100, MapChanges{5, 2, {AddReader{1, 3}}}).did == Did::kRefused);
     CHECK(follower.hear(100, Unreadable{"noise"}).did == Did::kRefused);
-    // Asked at once, then each time later, until something fits.
+    // Requested at once, then with backoff until a valid update arrives.
     CHECK(follower.wants_whole(100));
     CHECK(!follower.wants_whole(1'099));
     CHECK(follower.wants_whole(1'100));
@@ -169,8 +169,7 @@
     CHECK(follower.counted().refused == 8);
 }
 
-TEST_CASE(
-    "a gap may close by itself; else the whole map is asked for; a box that knows more is a reason too") {
+TEST_CASE("the whole map is requested if a gap stays open or an index server knows a newer epoch") {
     const History history(6);
     MapFollower follower({});
     follower.hear(0, history.whole(1));
--- a/tests/placement/front_test.cpp
+++ b/tests/placement/front_test.cpp
@@ -1,4 +1,5 @@
-// The front node with a map of shards, on loopback: real answers while shards split, merge and move.
+// Tests of the front node with a shard map over loopback: answers are correct while shards split, merge and
+// move.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -17,6 +18,7 @@
     "[placement]\non = true\nask_again_ms = 5\nmost_legs = 8\n[placement.merge]\nagain = \"sum\"\nonce = "
     "\"sum\"\n";
 
+// Index servers, a discovery and a front node with placement switched on.
 struct Fleet {
     explicit Fleet(std::size_t count, std::size_t shards, std::size_t replicas = 2)
         : boxes(count), map(ShardMap::even(shards, ids(count), replicas)) {
@@ -43,7 +45,7 @@
     void say(const std::string& op_type, const std::string& name, const std::vector<int>& splits) {
         client.say(post(op_type, name, asks(splits, op_type == "once" ? "once" : "sum")));
     }
-    // The boxes take the step, and discovery would tell it; the front node hears of it by tell().
+    // Applies a step at the index servers and to discovery's whole map; tell() sends it to the front node.
     void step(const Step& step) {
         auto made = map.after(step);
         if (auto* refused = std::get_if<ShardMap::Refused>(&made)) FAIL(refused->why);
@@ -68,14 +70,14 @@
     Peer client;
 };
 
-TEST_CASE("parts go where the map says, in pieces where a shard ends within them, and come back as one") {
-    Fleet fleet(3, 5);  // twelve splits lie in five shards unevenly
+TEST_CASE("parts are sent by the map, cut into fragments at shard bounds, and merged into one value") {
+    Fleet fleet(3, 5);  // some of the 12 splits lie in two of the 5 shards
     fleet.go();
     CHECK(fleet.ask("again", "t1", {0, 2, 3}) == whole_answer({0, 2, 3}));
     CHECK(fleet.ask("once", "t2", {2}) == whole_answer({2}));
     CHECK(fleet.program->counter("parts_divided") == 2);
     CHECK(fleet.boxes.run_twice("once") == 0);
-    // What must not run twice went to owners alone.
+    // Non-repeatable parts went only to owners.
     for (const auto& run : fleet.boxes.runs()) {
         if (run.query == "once") CHECK(fleet.map.at(run.first).owner() == run.box + 1);
     }
@@ -83,8 +85,7 @@
     CHECK(fleet.program->counter("invariants_broken") == 0);
 }
 
-TEST_CASE(
-    "a node that is three versions behind learns it from a refusal, asks for the map, and answers whole") {
+TEST_CASE("a node whose map is three versions old requests the map after a refusal and answers whole") {
     Fleet fleet(2, 3);
     fleet.go();
     const auto first = Gatherer::keys_of(5, kSplits).first;
@@ -99,11 +100,13 @@
 }
 
 TEST_CASE(
-    "a split with a hundred parts open: each part becomes its children's, and each multiget one answer") {
+    "a shard is split with 100 parts open: the parts are sent to the children, each multiget has one "
+    "answer") {
     Fleet fleet(4, 2, 4);
     fleet.program->with("\"max_open\":40", "\"max_open\":400");
     fleet.go();
-    // A node that has just begun gives its servers little at once, and what is usually quick is missed soon.
+    // Warms up the node: a new node limits its open parts per server, and short usual latencies would make it
+    // time parts out early.
     fleet.boxes.answers_after(40);
     for (int i = 0; i < 40; ++i)
         CHECK(fleet.ask("again", "w" + std::to_string(i), {0, 1, 2, 3, 4, 5}) ==
@@ -130,11 +133,11 @@
     CHECK(fleet.program->counter("invariants_broken") == 0);
 }
 
-TEST_CASE("two shards merge under a multiget: its parts are asked of the one, and are two values still") {
+TEST_CASE("two shards are merged under a multiget: its parts go to the merged shard and stay two values") {
     Fleet fleet(1, 6, 1);
     fleet.go();
     fleet.boxes.hold(true);
-    fleet.say("once", "t1", {0, 2});  // of the first two shards
+    fleet.say("once", "t1", {0, 2});  // one split in each of the first two shards
     for (int tries = 0; tries < 800 && fleet.boxes.waiting() < 2; ++tries) usleep(5'000);
     fleet.step(Merge{fleet.map.at(0).id, fleet.map.at(Gatherer::keys_of(2, kSplits).first).id, fleet.id()});
     fleet.tell();
@@ -144,7 +147,7 @@
     CHECK(fleet.program->counter("map_shards") == 5);
 }
 
-TEST_CASE("a map with a hole, an overlap or two owners is refused by name and the old one goes on") {
+TEST_CASE("an invalid map is refused with a message and the old one stays in use") {
     Fleet fleet(2, 4);
     fleet.go();
     const auto refused = [&](std::vector<Shard> shards, const std::string& words, std::uint64_t count) {
@@ -180,8 +183,8 @@
 }
 
 TEST_CASE(
-    "discovery down in the middle of a change: nothing runs twice, nothing is guessed, and it goes on "
-    "after") {
+    "discovery is down during a change: nothing runs twice, parts are refused, and service resumes "
+    "afterwards") {
     Fleet fleet(2, 3);
     fleet.go();
     const auto first = Gatherer::keys_of(1, kSplits).first;
@@ -189,7 +192,7 @@
     const auto& shard = fleet.map.at(first);
     fleet.step(PassOwnership{shard.id, shard.owner() == 1 ? 2U : 1U});
     fleet.client.say(post("once", "t1", asks({1}, "once"), 600));
-    CHECK(fleet.client.answer().starts_with("503"));  // refused as never run, and where it is nobody told
+    CHECK(fleet.client.answer().starts_with("503"));  // refused without running; the new owner is unknown
     CHECK(fleet.boxes.runs().empty());
     fleet.discovery.down(false);
     CHECK(fleet.program->counter_at("map_version", 2) == 2);
@@ -197,7 +200,7 @@
     CHECK(fleet.boxes.run_twice("once") == 0);
 }
 
-TEST_CASE("steady load while the map changes without end: every answer is that of the whole data set") {
+TEST_CASE("steady load under continuous map changes: every value is that of the complete data set") {
     Fleet fleet(3, 4);
     fleet.program->with("\"max_open\":40", "\"max_open\":400");
     fleet.go();
@@ -224,7 +227,7 @@
                     ++refusals;
                 else if (answer.find("\"whole\":false") == std::string::npos)
                     wrong.push_back(answer);
-                else  // in part: what is there must be right
+                else  // partial answer: the values in it must be correct
                     for (const int split : splits) {
                         const auto one = whole_answer({split});
                         const auto value = one.substr(one.find("{\"partition\""));
@@ -270,7 +273,7 @@
                      << fleet.program->counter("pieces_refused"));
 }
 
-TEST_CASE("without placement a box that says moved breaks the protocol, and no map is asked for") {
+TEST_CASE("without placement a `moved` reply is a protocol error, and no map is requested") {
     Fleet fleet(1, 1, 1);
     fleet.program->with_settings("[placement]\non = false\n");
     fleet.client = fleet.program->start().client();
--- a/tests/placement/gather_test.cpp
+++ b/tests/placement/gather_test.cpp
@@ -1,5 +1,5 @@
-// One answer for each count split: pieces, refusals, splits and merges underneath, merge rules, and what is
-// said of what is missing.
+// Tests of the gatherer: fragments, refusals, splits and merges of shards under open multigets, merge rules,
+// and the fates reported for missing splits.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -17,7 +17,7 @@
 namespace g = pinedoor::placement::gathering;
 constexpr Key kLast = std::numeric_limits<Key>::max();
 
-TEST_CASE("values merge by their rule, or not at all") {
+TEST_CASE("values are merged by their rule or rejected") {
     using enum MergeRule;
     CHECK(merge_values(kSum, {"3", "-1", "40"}) == "42");
     CHECK(!merge_values(kSum, {"3", "x"}));
@@ -26,7 +26,7 @@
     CHECK(merge_values(kSum, {"what one box says"}) == "what one box says");
     CHECK(merge_values(kRanked, {"9 a\n5 b\n1 c", "7 d\n5 e"}) == "9 a\n7 d\n5 b");
     CHECK(merge_values(kRanked, {"", "7 d"}) == "7 d");
-    CHECK(!merge_values(kRanked, {"5 b\n9 a", "1 c"}));  // not in order: it cannot be told what is missing
+    CHECK(!merge_values(kRanked, {"5 b\n9 a", "1 c"}));  // not in descending order
     CHECK(!merge_values(kRanked, {"5", "1 c"}));
     CHECK(merge_values(kConcatenated, {"a", "", "b"}) == "ab");
     CHECK(!merge_values(kWhole, {"a", "b"}));
@@ -85,9 +85,9 @@
 
 const GatherAsked kTwoSplits{0, 2'000, {{0, 0.25, 0, 0}, {1, 0.75, 0, 0}}};
 
-TEST_CASE("a split that lies in two shards is asked of both, its weight divided, its value their sum") {
+TEST_CASE("a split that lies in two shards is requested from both, with divided weight and summed value") {
     Gatherer gatherer(terms());
-    auto map = ShardMap::even(2, {1, 2}, 2);  // two count splits in each
+    auto map = ShardMap::even(2, {1, 2}, 2);  // two count splits per shard
     map = after(map, Split{1, Gatherer::keys_of(1, 4).first + (kLast / 4) / 2, 11, 12});
     Trace trace;
     trace(gatherer.map_is(0, share(map)))(gatherer.ask(0, 7, kTwoSplits));
@@ -103,29 +103,30 @@
     CHECK(pieces[0].boxes.size() == 2);
     std::map<Route, std::string> values{
         {pieces[0].route, "1"}, {pieces[1].route, "20"}, {pieces[2].route, "300"}};
-    SUBCASE("all in") {
+    SUBCASE("all fragments answered") {
         trace(gatherer.leg_ended(5, 7, 0, answered(trace.legs[0], values)));
         REQUIRE(trace.ends.size() == 1);
         CHECK(trace.ends[0].whole);
         CHECK(trace.ends[0].values == std::vector<std::pair<int, std::string>>{{0, "1"}, {1, "320"}});
     }
-    SUBCASE("half of a split is not a value of it") {
+    SUBCASE("a partly answered split has no value") {
         values.erase(pieces[2].route);
         trace(gatherer.leg_ended(5, 7, 0, answered(trace.legs[0], values)));
         REQUIRE(trace.ends.size() == 1);
-        // 0.25 + 0.375 of the weight came, but only 0.25 of what was asked for: under the least share.
+        // Fragments of weight 0.25 + 0.375 are answered, but complete splits only of 0.25: below the least
+        // share.
         CHECK(trace.ends[0].kind == LegEnd::Kind::kFailed);
         CHECK(trace.ends[0].values.empty());
         CHECK(trace.ends[0].fates[1].second == PieceFate::kMayHaveRun);
     }
-    SUBCASE("enough of the weight without it") {
+    SUBCASE("the least share is reached without the missing split") {
         values.erase(pieces[0].route);
         trace(gatherer.leg_ended(5, 7, 0, answered(trace.legs[0], values)));
         CHECK(trace.ends[0].kind == LegEnd::Kind::kAnswered);
         CHECK(!trace.ends[0].whole);
         CHECK(trace.ends[0].values == std::vector<std::pair<int, std::string>>{{1, "320"}});
     }
-    SUBCASE("what does not merge is no answer, and no reason to ask again") {
+    SUBCASE("values that do not merge fail the multiget without a repeat") {
         values[pieces[1].route] = "x";
         trace(gatherer.leg_ended(5, 7, 0, answered(trace.legs[0], values)));
         CHECK(trace.ends[0].kind == LegEnd::Kind::kFailed);
@@ -136,7 +137,7 @@
 }
 
 TEST_CASE(
-    "a shard split under a multiget: the refused piece becomes the children's, once their map is known") {
+    "a shard is split under a multiget: the refused fragment is cut for the children once the map is known") {
     Gatherer gatherer(terms());
     const auto map = ShardMap::even(4, {1, 2}, 2);
     Trace trace;
@@ -145,10 +146,10 @@
     REQUIRE(leg.pieces.size() == 2);
     trace(gatherer.refused(10, leg.pieces[1].route, 2));
     CHECK(trace.wants_map == 1);
-    CHECK(trace.legs.size() == 1);  // where its keys are is not known yet
+    CHECK(trace.legs.size() == 1);  // the location of its keys is not known yet
     const auto [first, last] = Gatherer::keys_of(1, 4);
     const auto split = after(map, Split{2, first + 1'000, 21, 22});
-    SUBCASE("and then asked for") {
+    SUBCASE("the children's fragments are sent") {
         trace(gatherer.map_is(20, share(split)));
         REQUIRE(trace.legs.size() == 2);
         const auto again = trace.legs[1];
@@ -158,14 +159,14 @@
         CHECK(again.pieces[0].weight + again.pieces[1].weight == doctest::Approx(0.75));
         trace(gatherer.leg_ended(30, 7, 0, answered(leg, {{leg.pieces[0].route, "1"}})));
         CHECK(trace.ends.empty());
-        SUBCASE("both in") {
+        SUBCASE("both answered") {
             trace(gatherer.leg_ended(
                 40, 7, 1, answered(again, {{again.pieces[0].route, "5"}, {again.pieces[1].route, "6"}})));
             REQUIRE(trace.ends.size() == 1);
             CHECK(trace.ends[0].whole);
             CHECK(trace.ends[0].values == std::vector<std::pair<int, std::string>>{{0, "1"}, {1, "11"}});
         }
-        SUBCASE("one moves again, three versions on") {
+        SUBCASE("one child moves again, several map versions later") {
             auto later = after(after(split, PassOwnership{22, 1}), Split{22, first + 2'000, 31, 32});
             later = after(later, PassOwnership{21, 1});
             later = after(later, Merge{21, 31, 41});
@@ -182,17 +183,17 @@
             REQUIRE(trace.ends.size() == 1);
             CHECK(trace.ends[0].values.back().second == "11");
         }
-        SUBCASE("the second leg fails: at once what is known") {
+        SUBCASE("the second round fails: the multiget ends at once") {
             LegEnd failed;
             trace(gatherer.leg_ended(40, 7, 1, failed));
             REQUIRE(trace.ends.size() == 1);
             CHECK(trace.ends[0].kind == LegEnd::Kind::kFailed);
         }
     }
-    SUBCASE("or given up at the end of its time, if no map comes") {
+    SUBCASE("given up at the deadline if no map arrives") {
         trace(gatherer.leg_ended(30, 7, 0, answered(leg, {{leg.pieces[0].route, "1"}})));
         CHECK(trace.ends.empty());
-        CHECK(trace.wake == 1'800);  // 0.25 is no answer: it waits for as long as there is time
+        CHECK(trace.wake == 1'800);  // 0.25 is below the least share, so it waits until the deadline
         trace(gatherer.tick(1'800));
         REQUIRE(trace.ends.size() == 1);
         CHECK(trace.ends[0].kind == LegEnd::Kind::kFailed);
@@ -202,7 +203,7 @@
     CHECK(gatherer.routes() == 0);
 }
 
-TEST_CASE("what must not run twice goes to the owner alone, and only what never ran is asked for again") {
+TEST_CASE("non-repeatable parts go only to the owner, and are repeated only if they never ran") {
     Gatherer gatherer(terms());
     const auto map = ShardMap::even(4, {1, 2}, 2);
     Trace trace;
@@ -212,10 +213,11 @@
     const auto passed = after(map, PassOwnership{2, 1});
     CHECK(gatherer.boxes_now(1, leg.pieces[0]) == std::vector<BoxId>{2});
     trace(gatherer.map_is(1, share(passed)));
-    CHECK(gatherer.boxes_now(1, leg.pieces[0]) == std::vector<BoxId>{1});  // if it has not been sent yet
+    CHECK(gatherer.boxes_now(1, leg.pieces[0]) ==
+          std::vector<BoxId>{1});  // not sent yet: goes to the new owner
     REQUIRE(gatherer.sending(leg.pieces[0].route) != nullptr);
     CHECK(gatherer.sending(leg.pieces[0].route)->epoch == 2);
-    SUBCASE("refused by the box that was behind: after a pause") {
+    SUBCASE("refused by a server with an older epoch: repeated after a delay") {
         trace(gatherer.refused(10, leg.pieces[0].route, 1));
         CHECK(trace.wake == 10);
         trace(gatherer.tick(10));
@@ -229,7 +231,7 @@
         trace(gatherer.leg_ended(220, 7, 1, answered(trace.legs[1], {{trace.legs[1].pieces[0].route, "8"}})));
         CHECK(trace.ends.at(0).whole);
     }
-    SUBCASE("not answered: no second leg, and the end says that it may have run") {
+    SUBCASE("not answered: no second round, and the fate says that it may have run") {
         LegEnd failed;
         failed.fates = {{leg.pieces[0].route, PieceFate::kMayHaveRun}};
         trace(gatherer.leg_ended(12, 7, 0, failed));
@@ -245,7 +247,7 @@
         CHECK(trace.ends.at(0).kind == LegEnd::Kind::kPushedBack);
         CHECK(trace.ends.at(0).wait == 50);
     }
-    SUBCASE("its client leaves") {
+    SUBCASE("the client disconnects") {
         CHECK(gatherer.open_legs(7) == std::vector<int>{0});
         const auto fates = gatherer.left(7, {{leg.pieces[0].route, PieceFate::kRan}});
         CHECK(fates == std::vector<std::pair<int, PieceFate>>{{1, PieceFate::kRan}});
@@ -255,7 +257,7 @@
     CHECK(gatherer.routes() == 0);
 }
 
-TEST_CASE("asking again has a bound for each multiget and a budget for all") {
+TEST_CASE("repeated fragments are limited per multiget and by a common budget") {
     auto made = terms();
     made.further_floor = 2;
     made.further_look_back = 10'000;
@@ -274,9 +276,9 @@
     map = after(map, PassOwnership{1, 2});
     gatherer.map_is(0, share(map));
     trace(gatherer.refused(0, trace.legs[2].pieces[0].route, 4))(gatherer.tick(0));
-    REQUIRE(trace.ends.size() == 1);  // a third leg was the last, and what cannot come is not waited for
+    REQUIRE(trace.ends.size() == 1);  // the third round was the last, so the multiget ends at once
     CHECK(trace.left.size() == 3);
-    // The budget is used up by now, for others too, until it has passed.
+    // The budget is used up for all multigets until the look-back window has passed.
     trace(gatherer.ask(0, 2, {0, 2'000, {{0, 1, 0, 0}}}));
     map = after(map, PassOwnership{1, 1});
     gatherer.map_is(0, share(map));
@@ -290,7 +292,7 @@
     CHECK(trace.ends.size() == 2);
 }
 
-TEST_CASE("pieces refused in one moment are asked for as one leg") {
+TEST_CASE("fragments refused at the same time are repeated in one round") {
     Gatherer gatherer(terms());
     auto map = ShardMap::even(4, {1, 2}, 2);
     gatherer.map_is(0, share(map));
@@ -307,13 +309,13 @@
     CHECK(trace.legs[1].pieces.size() == 2);
 }
 
-TEST_CASE("a box that has just come to a shard gets a share of the reads, whatever the number of nodes") {
+TEST_CASE("a cold server gets the configured share of the reads, whatever the number of nodes") {
     auto made = terms();
     made.cold_from = 0.2;
     made.warm_after = 10'000;
     const auto before = ShardMap::even(4, {1, 2}, 2);
     const auto with = after(before, AddReader{1, 3});
-    // Of the reads of twenty nodes, how many may go to box 3, and what must not run twice to the owner alone.
+    // Share of the reads of twenty nodes that may go to server 3.
     const auto share = [&](Time now, const ShardMap& map) {
         int all = 0, there = 0;
         for (int node = 0; node < 20; ++node) {
@@ -335,7 +337,7 @@
     CHECK(share(100, with) == doctest::Approx(0.2).epsilon(0.1));
     CHECK(share(5'100, with) == doctest::Approx(0.6).epsilon(0.1));
     CHECK(share(10'100, with) == 1);
-    // A split does not make it warm, nor cold anew.
+    // A split leaves the server as cold as it was.
     const auto split = after(with, Split{1, 1'000, 50, 51});
     CHECK(share(5'100, split) == doctest::Approx(0.6).epsilon(0.1));
     Gatherer owner(made);
@@ -347,12 +349,12 @@
     CHECK(owner.boxes_now(100, trace.legs[0].pieces[0]) == std::vector<BoxId>{3});
     owner.map_is(200,
                  std::make_shared<const ShardMap>(after(after(with, AddReader{2, 4}), RemoveReader{1, 3})));
-    CHECK(owner.cold() == 1);  // box 3 has gone, box 4 has come
+    CHECK(owner.cold() == 1);  // server 3 was removed and server 4 added
     made.cold_from = 1;
     CHECK(share(100, with) == 1);
 }
 
-TEST_CASE("without a map nothing is sent and all is pushed back") {
+TEST_CASE("without a map nothing is sent and multigets are pushed back") {
     Gatherer gatherer(terms());
     Trace trace;
     trace(gatherer.ask(0, 1, kTwoSplits));
@@ -360,15 +362,15 @@
     CHECK(trace.ends.at(0).fates[0].second == PieceFate::kNeverSent);
 }
 
-// Boxes that hold the data and the newest map, a node that lags behind them, and answers counted against the
-// whole data set. Values are how many of 64 points of each count split lie within a piece's keys.
+// Index servers use the newest map and the node an older one; each answer is compared with the complete data
+// set. The value of a fragment is the number of points in its keys; each count split has 64 points.
 std::string points_in(Key first, Key last) {
     const Key step = kLast / 256;
     const Key from = first / step + (first % step == 0 ? 0 : 1), upto = last / step;
     return std::to_string(upto >= from ? upto - from + 1 : 0);
 }
 
-TEST_CASE("whatever splits, merges and moves, every whole answer is the one of the whole data set") {
+TEST_CASE("under random splits, merges and moves, every value is that of the complete data set") {
     CHECK(rc::check("gatherer", [] {
         auto made = terms();
         made.most_legs = 8;
@@ -410,7 +412,7 @@
         for (int step = 0; step < 300; ++step) {
             now += 10;
             switch (chance() % 8) {
-                case 0: {  // the fleet changes; the node does not know yet
+                case 0: {  // the fleet's map changes; the node has not received it yet
                     const auto all = truth.shards();
                     const auto at = chance() % all.size();
                     const auto& one = all[at];
@@ -425,7 +427,7 @@
                         truth = std::get<ShardMap>(made_map);
                     break;
                 }
-                case 1:  // the node hears
+                case 1:  // the node receives the map
                     known = truth;
                     take(gatherer.map_is(now, share(known)));
                     break;
@@ -436,7 +438,7 @@
                     take(gatherer.ask(now, ++number, asked));
                     break;
                 }
-                default: {  // a box takes a piece: under the truth
+                default: {  // an index server runs or refuses a fragment by the newest map
                     if (undecided.empty()) break;
                     auto at = undecided.begin();
                     std::advance(at, static_cast<std::ptrdiff_t>(chance() % undecided.size()));
--- a/tests/placement/heat_test.cpp
+++ b/tests/placement/heat_test.cpp
@@ -1,4 +1,5 @@
-// Heat: the sketch against exact counts, and proposals that a hovering load does not cause.
+// Tests of the load statistics: the sketches compared with exact counts, and no oscillating proposals under a
+// load near the thresholds.
 #include "placement/heat.hpp"
 
 #include <doctest/doctest.h>
@@ -15,7 +16,7 @@
 using namespace pinedoor::placement;
 constexpr Time kSecond = 10'000;
 
-TEST_CASE("the heaviest keys are held, and their counts lie within what the sketch says") {
+TEST_CASE("the most frequent keys are held, and their counts lie within the error bounds") {
     CHECK(rc::check("heavy keys", [] {
         const auto counters = *rc::gen::inRange<std::size_t>(4, 64);
         HeavyKeys sketch(counters);
@@ -46,6 +47,7 @@
     }));
 }
 
+// A map and a HeatBook under a simulated load.
 struct World {
     explicit World(double scale = 1) : terms(scaled(scale)) {}
     static HeatTerms scaled(double scale) {
@@ -61,7 +63,7 @@
     Time now = 0;
     std::mt19937_64 chance{5};
 
-    // A second of load: parts of one shard, spread over the lower tenth of its keys.
+    // Simulates a second of load, in parts per shard, spread over the lowest tenth of each shard's keys.
     std::vector<Proposal> second(const std::map<ShardId, double>& load) {
         for (const auto& [id, parts] : load) {
             const auto* shard = map.find(id);
@@ -75,7 +77,7 @@
     }
 };
 
-TEST_CASE("a hot shard is to be split in the middle of its load, after some looks, and rests after") {
+TEST_CASE("a hot shard is split at the median of its load, after its rest period") {
     World world;
     world.book.look(world.map, 0);
     int proposed = 0;
@@ -84,11 +86,11 @@
             ++proposed;
             CHECK(each.kind == Proposal::Kind::kSplit);
             CHECK(each.shard == 2);
-            CHECK(second >= 59);  // shards rest after they were first seen
+            CHECK(second >= 59);  // no proposals during the rest period
             const auto& shard = *world.map.find(2);
             const double into =
                 static_cast<double>(each.at - shard.first) / static_cast<double>(shard.last - shard.first);
-            CHECK(into > 0.02);  // of the lower tenth, some half
+            CHECK(into > 0.02);  // about the middle of the lowest tenth
             CHECK(into < 0.08);
         }
     }
@@ -97,7 +99,7 @@
     CHECK(world.book.hottest(1).front().first == 2);
 }
 
-TEST_CASE("one hot key is no reason to split") {
+TEST_CASE("a shard with one hot key is reported and not split") {
     World world;
     world.book.look(world.map, 0);
     bool told = false;
@@ -114,7 +116,7 @@
     CHECK(world.book.heavy_keys(1).front().key == world.map.find(2)->first + 77);
 }
 
-TEST_CASE("two cold shards side by side on the same boxes are to be merged") {
+TEST_CASE("two adjacent cold shards on the same servers are merged") {
     World world;
     const std::vector<Replica> same{{1, Role::kOwner}, {2, Role::kReader}};
     auto shards = world.map.shards();
@@ -134,7 +136,7 @@
     }
 }
 
-TEST_CASE("a load that hovers about the marks causes no split and merge in turn") {
+TEST_CASE("a load near the thresholds does not cause alternating splits and merges") {
     CHECK(rc::check("hovering", [] {
         World world(0.1);
         auto shards = world.map.shards();
@@ -147,7 +149,7 @@
         std::vector<Proposal::Kind> changes;
         ShardId next = 100;
         for (int second = 0; second < 300; ++second) {
-            // The first quarter of the keys carries the load, whatever shards it is in by now.
+            // The first quarter of the keys has the load, in whatever shards it lies.
             std::map<ShardId, double> load;
             std::vector<const Shard*> hot;
             const auto all = world.map.shards();
@@ -170,14 +172,14 @@
                 }
             }
         }
-        // Splitting may be right, or merging; one after the other of it never is.
+        // Either splits or merges may be right, but never both.
         const bool split = std::count(changes.begin(), changes.end(), Proposal::Kind::kSplit) > 0;
         const bool merged = std::count(changes.begin(), changes.end(), Proposal::Kind::kMerge) > 0;
         RC_ASSERT(!(split && merged));
     }));
 }
 
-TEST_CASE("marks that would chase each other are refused") {
+TEST_CASE("thresholds that are too close to each other are refused") {
     HeatTerms terms;
     terms.merge_below = 0.7 * terms.split_above;
     CHECK_THROWS(HeatBook(terms, 1));
--- a/tests/placement/map_test.cpp
+++ b/tests/placement/map_test.cpp
@@ -1,4 +1,5 @@
-// The map of shards: steps against a plain model, sharing, faults; and the mover's traces.
+// Tests of the shard map (steps compared with a simple model, sharing between versions, invalid maps) and of
+// the Mover and BoxGuard state machines.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -26,7 +27,7 @@
     return refused == nullptr ? "" : refused->why;
 }
 
-TEST_CASE("a hole, an overlap, two owners or none: no map") {
+TEST_CASE("a map with a gap, an overlap, two owners or no owner is invalid") {
     const Replica owner{1, Role::kOwner}, reader{2, Role::kReader};
     const Shard low{1, 0, 99, 1, {owner}}, high{2, 100, kLast, 1, {owner, reader}};
     CHECK(ShardMap::fault_of({high, low}) == "");
@@ -45,7 +46,7 @@
     CHECK_THROWS(ShardMap::of({low}));
 }
 
-TEST_CASE("steps lead from map to map, epochs rise with them, and what cannot be is refused in words") {
+TEST_CASE("steps create the next map and raise epochs; invalid steps are refused with a message") {
     const auto map = ShardMap::even(4, {1, 2, 3}, 2);
     const auto& shard = map.at(0);
     CHECK(shard.id == 1);
@@ -57,7 +58,7 @@
     CHECK(split.at(1'000).id == 12);
     CHECK(split.at(1'000).epoch == 2);
     CHECK(split.at(1'000).replicas == shard.replicas);
-    CHECK(map.at(1'000).id == 1);  // the old version is as it was
+    CHECK(map.at(1'000).id == 1);  // the old version is unchanged
     const auto merged = good(split.after(Merge{11, 12, 1}));
     CHECK(merged.at(5).id == 1);
     CHECK(merged.at(5).epoch == 3);
@@ -74,7 +75,7 @@
     CHECK(why(map.after(AddReader{1, 2})) == "shard 1 is on box 2 already");
 }
 
-TEST_CASE("whatever steps are taken, every key has one shard, as in a plain list, and old versions stay") {
+TEST_CASE("under random steps the map equals a simple list, and old versions stay unchanged") {
     CHECK(rc::check("steps", [] {
         auto map = ShardMap::even(*rc::gen::inRange<std::size_t>(1, 500), {1, 2, 3, 4}, 3);
         std::vector<ShardMap> versions{map};
@@ -150,7 +151,7 @@
     }));
 }
 
-TEST_CASE("versions share what did not change, and are there as long as somebody goes by them") {
+TEST_CASE("versions share unchanged chunks, and an old version lives as long as it is referenced") {
     auto map = std::make_shared<const ShardMap>(ShardMap::even(100'000, {1, 2, 3}, 3));
     const auto before = map;
     const auto next = good(map->after(PassOwnership{50'000, map->find(50'000)->replicas.back().box}));
@@ -161,8 +162,7 @@
     CHECK(map->find(50'000)->epoch == 2);
 }
 
-// --- The mover's traces ---
-
+// Feeds events to a Mover and records its actions as text.
 class Script {
 public:
     explicit Script(Move move = {7, 1, 1, 2, 5, MoveStep::kPrepare}, MoveTerms terms = {100, 2'000, 20'000})
@@ -204,23 +204,23 @@
     std::string trace_;
 };
 
-TEST_CASE("a move from begin to end: each step durable before anything is asked that belongs to it") {
+TEST_CASE("a move from begin to end: each step is saved before its requests are sent") {
     Script script;
     CHECK(script.trace() == "keep prepare");
     CHECK(script.keep().trace() == "copy");
     CHECK(script.on(m::Copied{}).trace() == "keep catch-up");
-    CHECK(script.on(m::Missing{0}).trace() == "");  // not durable yet
+    CHECK(script.on(m::Missing{0}).trace() == "");  // the step is not saved yet
     CHECK(script.keep().trace() == "missing?");
     CHECK(script.on(m::Missing{101}).trace() == "");
     CHECK(script.on(m::Missing{100}).trace() == "keep fence");
     CHECK(script.keep().trace() == "fence");
-    CHECK(script.on(m::Reached{900}).trace() == "");  // nobody asked for it yet
+    CHECK(script.on(m::Reached{900}).trace() == "");  // not requested yet
     CHECK(script.on(m::Fenced{900}).trace() == "reach 900");
     CHECK(script.on(m::Reached{899}).trace() == "");
     CHECK(script.on(m::Reached{900}).trace() == "keep switch");
     CHECK(script.on(m::AbortAsked{}).trace() == "cannot abort");
     CHECK(script.keep().trace() == "publish; own");
-    CHECK(script.on(m::Owns{}).trace() == "");  // the map is not out
+    CHECK(script.on(m::Owns{}).trace() == "");  // the map is not published yet
     CHECK(script.on(m::Published{}).on(m::Owns{}).trace() == "keep drain");
     CHECK(script.keep().trace() == "drained?");
     CHECK(script.on(m::Drained{}).trace() == "keep retire");
@@ -231,8 +231,7 @@
     CHECK(script.on(m::AbortAsked{}).on(m::Tick{}, 90'000).trace() == "");
 }
 
-TEST_CASE(
-    "a move is asked again, undone by hand or because a fence stands too long, and paused while it may be") {
+TEST_CASE("requests are repeated; a move is undone on abort or after the fence timeout, and can be paused") {
     Script script;
     script.keep();
     CHECK(script.trace() == "keep prepare; copy");
@@ -253,7 +252,7 @@
     CHECK(aborted.on(m::AbortAsked{}).keep().trace() == "keep prepare; keep undo; unfence; drop 2");
 }
 
-TEST_CASE("a mover that died goes on from the step that was kept") {
+TEST_CASE("a restarted mover resumes from the saved step") {
     for (const auto& [step, asks] : {std::pair{MoveStep::kCatchUp, "missing?"},
                                      {MoveStep::kFence, "fence"},
                                      {MoveStep::kSwitch, "publish; own"},
@@ -266,23 +265,23 @@
     }
 }
 
-TEST_CASE("a box runs what is its own by the epoch, and passes over what an ended move still asks") {
+TEST_CASE("a guard runs parts of its own epoch, and refuses delayed requests of ended moves") {
     BoxGuard from(true, 5), to;
     CHECK(from.may_run(5).run);
     CHECK(!from.may_run(4).run);
     CHECK(from.may_run(4).known == 5);
     CHECK(!to.may_run(5).run);
-    CHECK(!to.own(7, 6));  // it has no copy
+    CHECK(!to.own(7, 6));  // no copy yet
     CHECK(to.copy(7));
     CHECK(from.fence(7, 5));
     CHECK(!from.may_run(5).run);
-    CHECK(from.fence(7, 5));  // asked again
+    CHECK(from.fence(7, 5));  // repeated request
     CHECK(to.own(7, 6));
     CHECK(to.may_run(6).run);
     CHECK(!to.may_run(5).run);
     CHECK(from.drop(7, 6));
     CHECK(from.may_run(5).known == 6);
-    CHECK(!from.fence(7, 5));  // late
+    CHECK(!from.fence(7, 5));  // delayed request
     BoxGuard undone(true, 5), other;
     CHECK(other.copy(8));
     CHECK(undone.fence(8, 5));
--- a/tests/placement/mover_test.cpp
+++ b/tests/placement/mover_test.cpp
@@ -1,5 +1,6 @@
-// Moves carried out by `pinedoor shards` on loopback: the mover killed at each step and begun again, two at
-// once, undone, paused; and what must not run twice in flight meanwhile.
+// Tests of moves executed by `pinedoor shards` over loopback: the process is killed at each step and
+// restarted, two processes run at once, moves are undone and paused. Parts that must not run twice are in
+// flight meanwhile.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -32,7 +33,7 @@
     int code = 0;
 };
 
-// Two shards on three boxes, a front node, and what an operator types.
+// Two shards on three index servers, a front node, and the `pinedoor shards` command line.
 struct Yard {
     Yard() : map(two_shards()) {
         for (const char* name : {"s-1", "s-2", "s-3"}) names.number(name);
@@ -47,7 +48,7 @@
         client = program->start().client();
         CHECK(program->counter_at("map_version", 1) == 1);
     }
-    // Box 1 owns both; box 2 reads the first, of the second there is no other.
+    // Server 1 owns both shards; server 2 is a reader of the first; the second has no reader.
     static ShardMap two_shards() {
         auto shards = ShardMap::even(2, {1, 2}, 2).shards();
         shards[1].replicas = {{1, Role::kOwner}};
@@ -64,10 +65,10 @@
             said.text.append(bytes, count);
         const int status = pclose(pipe);
         said.code = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
-        if (said.code > 128) said.code = 128 - said.code;  // told by the shell
+        if (said.code > 128) said.code = 128 - said.code;  // the shell reports a signal as 128 + its number
         return said;
     }
-    // Box 1 is to be emptied.
+    // A fleet file in which server 1 is draining.
     std::string fleet() const {
         const auto path = folder.path + "/fleet.toml";
         std::ofstream(path) << R"([limits]
@@ -104,7 +105,7 @@
         client.say(post(op_type, name, asks(splits, op_type == "once" ? "once" : "sum")));
         return client.answer();
     }
-    // Another mover, once the dead one's lease is over.
+    // Runs `apply` until the lease of the killed process has expired.
     Said go_on() const {
         Said said;
         for (int tries = 0; tries < 100; ++tries) {
@@ -143,7 +144,7 @@
     Peer client;
 };
 
-TEST_CASE("a box is emptied by plan, and the journal tells how") {
+TEST_CASE("applying a plan drains an index server, and the journal records the moves") {
     Yard yard;
     const auto file = yard.fleet();
     CHECK(yard.shards("check " + file).text == file + ": good, 3 boxes, 2 shards\n");
@@ -154,7 +155,7 @@
     const auto dry = yard.shards("apply --dry-run " + file);
     CHECK(dry.text.find("owner of shard 2  s-1 -> ") != std::string::npos);
     CHECK(yard.discovery.kept().version() == 1);
-    yard.boxes.copy_takes(250);  // asked again and again until it is there
+    yard.boxes.copy_takes(250);  // the copy request is repeated until the copy is complete
     const auto applied = yard.shards("apply " + file);
     CHECK_MESSAGE(applied.code == 0, applied.text);
     yard.check_emptied();
@@ -162,14 +163,14 @@
     CHECK(history.find("nobody carries moves") == 0);
     CHECK(history.find("owner    shard 2        s-1 -> ") != std::string::npos);
     CHECK(yard.shards("history --open").text == "nobody carries moves\n");
-    // The file says what was: it is not planned by again.
+    // The fleet file describes the placement before the moves, so it is refused.
     CHECK(yard.shards("apply " + file).code == 1);
     CHECK(yard.shards("abort 1").code == 3);
     CHECK(yard.shards("heat --node " + pinedoor::net::to_text(yard.program->at())).code == 0);
 }
 
 TEST_CASE(
-    "the mover is killed at each step, with a part that must not run twice in flight: the next goes on") {
+    "killed at each step while a non-repeatable part is in flight: the next process completes the moves") {
     for (const char* point :
          {"keep-prepare", "kept-prepare", "asked-copy", "kept-catch-up", "asked-missing", "kept-fence",
           "asked-fence", "asked-reach", "keep-switch", "kept-switch", "published", "asked-own", "keep-drain",
@@ -177,7 +178,7 @@
         CAPTURE(std::string(point));
         Yard yard;
         const auto file = yard.fleet();
-        yard.boxes.hold(true);  // it waits at its box, and is looked at after the kill
+        yard.boxes.hold(true);  // the part waits at its index server until the process was killed
         yard.client.say(post("once", "flight", asks({2}, "once")));
         for (int tries = 0; tries < 800 && yard.boxes.waiting() < 1; ++tries) usleep(2'000);
         CHECK(yard.shards("apply --lease-ms 100 " + file, point).code == -SIGKILL);
@@ -185,13 +186,13 @@
         const auto said = yard.go_on();
         CHECK_MESSAGE(said.code == 0, said.text);
         const auto answer = yard.client.answer();
-        // On a slow machine its time may be over; whatever it was told, it ran once at most.
+        // On a slow machine the deadline may have passed; in any case the part ran at most once.
         CHECK((answer == whole_answer({2}) || answer.starts_with("50")));
         yard.check_emptied();
     }
 }
 
-TEST_CASE("a split and a merge of the same range, the mover killed at each step, a part in flight") {
+TEST_CASE("split and merge of the same range: killed at each step while a part is in flight") {
     for (const char* point : {"kept-prepare", "asked-fence", "keep-switch", "kept-switch", "published",
                               "asked-copy", "asked-own", "kept-drain", "kept-retire", "asked-drop"}) {
         CAPTURE(std::string(point));
@@ -207,7 +208,7 @@
         const auto said = yard.go_on();
         CHECK_MESSAGE(said.code == 0, said.text);
         const auto answer = yard.client.answer();
-        // On a slow machine its time may be over; whatever it was told, it ran once at most.
+        // On a slow machine the deadline may have passed; in any case the part ran at most once.
         CHECK((answer == whole_answer({2}) || answer.starts_with("50")));
         auto map = yard.discovery.kept();
         CHECK(map.size() == 3);
@@ -227,7 +228,7 @@
     }
 }
 
-TEST_CASE("a split is undone behind its fence: the shard runs where it was") {
+TEST_CASE("a split is undone after its fence: the old owner runs the shard again") {
     Yard yard;
     yard.shards("split 1 " + print_key(Gatherer::keys_of(2, kSplits).first + 12'345));
     CHECK(yard.shards("apply --lease-ms 100", "asked-fence").code == -SIGKILL);
@@ -242,7 +243,7 @@
     CHECK(yard.ask("once", "t2", {2}) == whole_answer({2}));
 }
 
-TEST_CASE("a new box dies right after a step is in the map: the move waits for it, nothing runs twice") {
+TEST_CASE("the new owner fails right after the map is published: the move waits, nothing runs twice") {
     for (const int published : {1, 2, 3}) {
         for (const std::size_t box : {2U, 3U}) {
             CAPTURE(published);
@@ -264,7 +265,7 @@
     }
 }
 
-TEST_CASE("two movers: one carries, the other says who; a step is not kept by who lost the lease") {
+TEST_CASE("a second process reports the lease holder; a step is not saved after the lease is lost") {
     Yard yard;
     const auto file = yard.fleet();
     CHECK(yard.shards("apply --lease-ms 60000 " + file, "kept-fence").code == -SIGKILL);
@@ -290,7 +291,7 @@
     yard.check_emptied();
 }
 
-TEST_CASE("the journal is the same over PostgreSQL, and a connection that breaks keeps no half step") {
+TEST_CASE("the journal works over PostgreSQL, and a broken connection saves no partial step") {
     const auto file = scratch() + "/pinedoor-journal-" + std::to_string(getpid()) + ".db";
     {
         PostgresStandIn postgres(file);
@@ -298,7 +299,7 @@
         store::migrate(db);
         store::MoveJournal journal(db);
         journal.init();
-        journal.init();  // again: nothing
+        journal.init();  // a second call has no effect
         CHECK(journal.take_lease("me", 600'000));
         CHECK(journal.take_lease("me", 600'000));
         CHECK(!journal.take_lease("other", 600'000));
@@ -339,7 +340,7 @@
     for (const char* end : {"", "-wal", "-shm"}) std::filesystem::remove(file + end);
 }
 
-TEST_CASE("a move is undone from each step before the switch, and not after it") {
+TEST_CASE("a move can be undone at each step before the switch and not after it") {
     for (const char* point : {"kept-prepare", "kept-catch-up", "kept-fence", "asked-fence", "asked-reach"}) {
         CAPTURE(std::string(point));
         Yard yard;
@@ -347,7 +348,7 @@
         for (const int move : {1, 2, 3, 4}) yard.shards("abort " + std::to_string(move));
         const auto said = yard.go_on();
         CHECK(said.code == 3);
-        // What was done before stays: a reader more. Ownership is where it was, and no fence stands.
+        // Readers added by completed moves stay. Ownership is unchanged and no fence is up.
         const bool asked = std::string(point).starts_with("asked");
         if (!asked) CHECK(yard.discovery.kept() == yard.map);
         for (const auto& shard : yard.discovery.kept().shards()) {
@@ -371,7 +372,7 @@
     yard.check_emptied();
 }
 
-TEST_CASE("paused, no move begins; resumed, they do") {
+TEST_CASE("no move begins while paused; moves begin after resume") {
     Yard yard;
     CHECK(yard.shards("apply --lease-ms 100 " + yard.fleet(), "keep-prepare").code == -SIGKILL);
     CHECK(yard.shards("pause").text == "paused\n");
@@ -386,14 +387,14 @@
     yard.check_emptied();
 }
 
-TEST_CASE("the desk: so many at once, by box, by shard, in waves; pressure pauses and does not flutter") {
+TEST_CASE("the move queue limits moves in total, per server, shard and zone; pauses with hysteresis") {
     CHECK(MoveDesk::fault_of({}) == "");
     DeskTerms wrong;
     wrong.resume_below = wrong.pause_above;
     CHECK(MoveDesk::fault_of(wrong) != "");
     MoveDesk desk({2, 1, 2, 0.02, 0.005, 2});
     desk.add({1, 10, 1, 2, 0, false});
-    desk.add({2, 11, 1, 3, 0, false});  // from the same box
+    desk.add({2, 11, 1, 3, 0, false});  // from the same index server
     desk.add({3, 12, 4, 5, 0, false});
     desk.add({4, 10, 6, 7, 1, false});  // a later wave
     CHECK(desk.begin() == std::vector<MoveId>{1, 3});
@@ -401,13 +402,13 @@
     desk.ended(1, MoveDesk::End::kDone);
     CHECK(desk.begin() == std::vector<MoveId>{2});
     desk.ended(3, MoveDesk::End::kDone);
-    CHECK(desk.begin().empty());  // the wave has not ended
+    CHECK(desk.begin().empty());  // the first wave is not finished
     CHECK(desk.look(0.5) == MoveDesk::Did::kNothing);
     CHECK(desk.look(0.5) == MoveDesk::Did::kPaused);
     desk.ended(2, MoveDesk::End::kDone);
     CHECK(desk.begin().empty());
     CHECK(desk.why() == "paused: the fleet is under pressure");
-    CHECK(desk.look(0.01) == MoveDesk::Did::kNothing);  // between the marks: as it is
+    CHECK(desk.look(0.01) == MoveDesk::Did::kNothing);  // between the thresholds: no change
     CHECK(desk.look(0.01) == MoveDesk::Did::kNothing);
     CHECK(desk.look(0.001) == MoveDesk::Did::kNothing);
     CHECK(desk.look(0.001) == MoveDesk::Did::kResumed);
@@ -427,10 +428,10 @@
     again.by_hand(true);
     again.add({1, 10, 1, 2, 5, true});
     again.add({2, 11, 1, 2, 0, false});
-    CHECK(again.begin() == std::vector<MoveId>{1});  // it had begun: a fence may stand
+    CHECK(again.begin() == std::vector<MoveId>{1});  // a begun move continues, since its fence may be up
 }
 
-TEST_CASE("the desk never breaks its bounds, and ends") {
+TEST_CASE("the move queue keeps its limits and terminates") {
     CHECK(rc::check("desk", [] {
         DeskTerms terms;
         terms.at_once = *rc::gen::inRange<std::size_t>(1, 5);
--- a/tests/placement/planner_test.cpp
+++ b/tests/placement/planner_test.cpp
@@ -1,5 +1,5 @@
-// The planner: whatever the fleet, its steps keep every moment sound, its target keeps what is asked, and it
-// comes near what a solver proves best.
+// Tests of the planner: for random fleets, its steps keep every intermediate placement valid, its target
+// meets the constraints, and its highest load is close to the optimum proven by a solver.
 #include "placement/planner.hpp"
 
 #include <doctest/doctest.h>
@@ -16,7 +16,7 @@
 using pinedoor::test::FleetShape;
 using pinedoor::test::random_fleet;
 
-TEST_CASE("whatever the fleet, each step keeps it sound and the end is the target") {
+TEST_CASE("for random fleets, each step is valid and the plan ends at its target") {
     CHECK(rc::check("plans", [] {
         FleetShape shape;
         shape.boxes = *rc::gen::inRange<std::size_t>(3, 15);
@@ -30,7 +30,7 @@
         fleet.terms.sound = *rc::gen::inRange<std::size_t>(1, 4);
         if (*rc::gen::arbitrary<bool>()) fleet.boxes.front().draining = true;
         for (const auto& need : fleet.shards) {
-            if (need.now.empty()) return;  // it found no room: not a fleet
+            if (need.now.empty()) return;  // the generated shard did not fit on any server
         }
         const auto made = plan(fleet);
         RC_ASSERT(check_plan(fleet, made) == "");
@@ -39,7 +39,7 @@
     }));
 }
 
-TEST_CASE("a drained box ends empty, pins and zones are kept, missing replicas are made") {
+TEST_CASE("draining empties a server, pins and zones are respected, missing replicas are added") {
     auto fleet = random_fleet(3, {8, 60, 3, 4, 1, 1, false});
     fleet.boxes[2].draining = true;
     fleet.shards[5].pinned = {7};
@@ -55,7 +55,7 @@
     }
 }
 
-TEST_CASE("what cannot be had is said, and what is sound stays") {
+TEST_CASE("unsatisfiable constraints are reported, and existing replicas stay") {
     Fleet fleet;
     fleet.boxes = {{1, 0, 100, 10, false}, {2, 1, 100, 2, false}};
     fleet.shards = {{1, 10, 0, 5, 2, {{1, Role::kOwner}}, {}, {}}};
@@ -64,7 +64,7 @@
     CHECK(made.unmet[0] == "shard 1: only 1 of 2 replicas find a box with room in another zone");
     CHECK(made.waves.empty());
     CHECK(fault_of(fleet) == "");
-    // Two boxes that are full of what the other should hold: no order of steps leads there.
+    // Two full servers that should swap their shards: no order of steps reaches the target.
     Fleet full;
     full.boxes = {{1, 0, 100, 10, false}, {2, 0, 100, 10, false}};
     full.terms.fill = 1;
@@ -76,7 +76,7 @@
     CHECK(stuck.unmet[0] == "copy shard 1 from box 1 to box 2: box 2 has no room for shard 1");
 }
 
-TEST_CASE("faults in what is asked are named") {
+TEST_CASE("an invalid fleet is rejected with an error message") {
     Fleet fleet;
     fleet.boxes = {{1, 0, 100, 10, false}};
     fleet.shards = {{1, 10, 0, 5, 1, {{1, Role::kOwner}}, {}, {}}};
@@ -99,7 +99,7 @@
     CHECK_THROWS(plan(wrong));
 }
 
-TEST_CASE("a replay finds what a plan must not do") {
+TEST_CASE("check_plan() finds steps that a plan must not contain") {
     auto fleet = random_fleet(5, {6, 12, 2, 3, 2, 1, false});
     const auto good = plan(fleet);
     REQUIRE(check_plan(fleet, good) == "");
@@ -120,7 +120,7 @@
           std::string::npos);
 }
 
-TEST_CASE("for small fleets the plan is near what the solver proves best") {
+TEST_CASE("for small fleets the highest load is close to the solver's optimum") {
     double worst = 1, sum = 0;
     int seen = 0;
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
@@ -140,7 +140,7 @@
         CHECK(check_plan(fleet, order_steps(fleet, best->target)) == "");
     }
     REQUIRE(seen >= 3);
-    MESSAGE("fullest box against the best: mean " << sum / seen << ", worst " << worst);
+    MESSAGE("highest load relative to the optimum: mean " << sum / seen << ", worst " << worst);
     CHECK(worst < 1.25);
     auto impossible = random_fleet(1, {2, 3, 2, 2, 2, 1, false});
     impossible.boxes[0].space = 0.1;
--- a/tests/stand_ins/boxes.hpp
+++ b/tests/stand_ins/boxes.hpp
@@ -1,8 +1,9 @@
-// Boxes that hold shards of a small data set and answer by it, and a discovery that tells the list and the
-// map. What a box owns is set by the test; each part is run only under the epoch that it owns, and every run
-// is noted, so that a test can say that nothing ran twice.
+// Test servers for placement: index servers that hold shards of a small data set, and a discovery that sends
+// the server list and the shard map. The test sets which shards a server owns. A part is run only under the
+// epoch of an owned shard, and every run is recorded, so that tests can check that no part ran twice.
 //
-// The data set: 1,200 points spread evenly over all keys. A part's value is how many lie in its keys.
+// The data set has 1,200 points spread evenly over all keys. A part's value is the number of points in its
+// keys.
 #pragma once
 
 #include <poll.h>
@@ -33,7 +34,7 @@
     return upto >= from ? upto - from + 1 : 0;
 }
 
-// What all of the data set says of some of so many count splits, as a client is told.
+// The expected response of the front node for these of `count` splits.
 inline std::string whole_answer(const std::vector<int>& splits, std::uint64_t count = 12) {
     std::string text = "200 {\"whole\":true,\"results\":[";
     for (const int split : splits) {
@@ -44,13 +45,15 @@
     return text + "]}";
 }
 
+// A part that was run.
 struct Run {
-    std::size_t box = 0;
-    std::string multiget;  // as the client named it
+    std::size_t box = 0;   // index from 0
+    std::string multiget;  // the client's name for it
     placement::Key first = 0, last = 0;
     std::string query;
 };
 
+// The index servers, served by one thread. Server numbers count from 1.
 class Boxes {
 public:
     explicit Boxes(std::size_t count) : boxes_(count) {
@@ -67,7 +70,7 @@
         return all;
     }
 
-    // All boxes, or one (from 1), own and read by this map from now on.
+    // Makes all servers, or one, own and read shards by this map.
     void know(const placement::ShardMap& map) {
         for (std::size_t b = 1; b <= boxes_.size(); ++b) know(map, b);
     }
@@ -85,24 +88,25 @@
                     held = {shard.first, shard.last, placement::BoxGuard(owner, shard.epoch, !owner)};
             }
         }
-        for (auto& [id, held] : mine) {  // what it held once it knows to be elsewhere by now
+        for (auto& [id, held] : mine) {  // shards that this server no longer holds by the new map
             if (here.contains(id) || !(held.guard.owns() || held.guard.reads())) continue;
             const auto* now = map.find(id);
             held.guard = placement::BoxGuard(false, now == nullptr ? held.guard.epoch() + 1 : now->epoch);
         }
     }
-    // What a box (from 1) is of a shard.
+    // The state of a shard at a server.
     placement::BoxGuard guard(std::size_t box, placement::ShardId shard) const {
         const std::lock_guard lock(mutex_);
         const auto at = boxes_[box - 1].shards.find(shard);
         return at == boxes_[box - 1].shards.end() ? placement::BoxGuard{} : at->second.guard;
     }
-    // A box says no to `copy` until it has taken so long.
+    // Servers refuse `copy` requests until the copy has lasted this long.
     void copy_takes(int ms) { copy_ms_ = ms; }
     void answers_after(int ms) { answer_ms_ = ms; }
-    // A box (from 1) is dead: connections end, and new ones at once. It comes back with what it kept.
+    // Takes a server down: it closes its connections and refuses new ones. It comes back with its saved
+    // state.
     void dead(std::size_t box, bool is) { dead_ = is ? box : 0; }
-    // Parts wait at the boxes until they are let go; then they are looked at.
+    // Holds back all parts at the servers; they are decided on after release.
     void hold(bool held) { held_ = held; }
     std::size_t waiting() const {
         const std::lock_guard lock(mutex_);
@@ -112,7 +116,7 @@
         const std::lock_guard lock(mutex_);
         return runs_;
     }
-    // Of one query: pairs of runs of one multiget with keys in common.
+    // Number of pairs of runs with common keys, among the runs of one multiget with this query.
     std::size_t run_twice(const std::string& query) const {
         const std::lock_guard lock(mutex_);
         std::map<std::string, std::vector<const Run*>> by_name;
@@ -181,7 +185,7 @@
         }
     }
 
-    // What a mover asks (docs/placement.md).
+    // Answers a request of a move (docs/placement.md).
     std::string moved(std::size_t box, std::istringstream& in) {
         std::string number, verb, first, last;
         placement::MoveId move = 0;
@@ -279,7 +283,7 @@
     mutable std::mutex mutex_;
     std::vector<Run> runs_;
     std::size_t waiting_ = 0;
-    std::size_t asked_ = 0;  // by movers
+    std::size_t asked_ = 0;  // number of requests of moves
     std::map<std::pair<std::size_t, placement::MoveId>, std::chrono::steady_clock::time_point> copies_;
     std::atomic<int> copy_ms_ = 0;
     std::atomic<int> answer_ms_ = 0;
@@ -289,6 +293,7 @@
     std::thread thread_;
 };
 
+// A discovery server for the server list and the shard map.
 class MapDiscovery {
 public:
     MapDiscovery() {
@@ -304,11 +309,11 @@
         const std::lock_guard lock(mutex_);
         members_ = std::move(members);
     }
-    void map(const std::string& whole) {  // told to whoever asks from now on
+    void map(const std::string& whole) {  // the response to requests for the map
         const std::lock_guard lock(mutex_);
         whole_ = whole;
     }
-    // The map itself, which whoever moves shards may change by steps.
+    // Sets the authoritative map, which clients can change by posted steps.
     void keep(const placement::ShardMap& map, const placement::BoxNames& names) {
         const std::lock_guard lock(mutex_);
         names_ = names;
@@ -319,12 +324,12 @@
         const std::lock_guard lock(mutex_);
         return *kept_;
     }
-    void say(const std::string& line) {  // to all who watch
+    void say(const std::string& line) {  // sent to all open streams of the map
         const std::lock_guard lock(mutex_);
         say_.push_back(line);
     }
-    void down(bool is_down) { down_ = is_down; }  // who asks is turned away, and watches end
-    std::size_t asked() const { return asked_; }  // for the map
+    void down(bool is_down) { down_ = is_down; }  // refuses requests and closes streams
+    std::size_t asked() const { return asked_; }  // number of requests for the map
 
 private:
     void run() {
--- a/tests/stand_ins/witness.hpp
+++ b/tests/stand_ins/witness.hpp
@@ -1,5 +1,5 @@
-// Index servers that take their time, fail some parts by chance from a seed, and note every part that reached
-// them: what they saw says whether the rules were kept, whoever sent it.
+// Index servers that answer after a delay, fail some parts at random (seeded), and record every part that
+// they receive, so that a test can check the sending rules for all senders together.
 #pragma once
 
 #include <poll.h>
@@ -22,13 +22,15 @@
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
 }
 
+// A received part.
 struct SeenPart {
-    double at = 0;  // seconds
+    double at = 0;  // time of receipt, in seconds of the steady clock
     std::size_t server = 0;
     std::string id;
     bool ran = false;
 };
 
+// The recording index servers, served by one thread.
 class Witness {
 public:
     Witness(int servers, int work_ms) : listeners_(static_cast<std::size_t>(servers)), work_(work_ms / 1e3) {
@@ -86,13 +88,14 @@
             seen_.push_back({seconds_now(), line.server, id, how >= 4});
             if (how < 4) line.peer.reply(id, "full");
             if (how >= 4 && how < 18) line.peer.reply(id, "failed");
-            if (how >= 20) line.due.emplace(seconds_now() + work_, std::pair(id, "done"));  // else: silence
+            if (how >= 20)
+                line.due.emplace(seconds_now() + work_, std::pair(id, "done"));  // otherwise no reply
         }
         return true;
     }
 
     std::vector<Listener> listeners_;
-    const double work_;
+    const double work_;  // delay of a reply in seconds
     std::vector<Line> lines_;
     std::vector<SeenPart> seen_;
     mutable std::mutex mutex_;
