--- a/bench/moves.cpp
+++ b/bench/moves.cpp
@@ -32,7 +32,7 @@
         std::vector<BoxId> ids;
         for (std::size_t b = 1; b <= count; ++b) ids.push_back(*names.number("s-" + std::to_string(b)));
         const auto map = ShardMap::even(shards, ids, 2);
-        boxes.know(map);
+        boxes.use_map(map);
         discovery.list(boxes.listed());
         discovery.keep(map, names);
         for (std::size_t n = 0; n < nodes; ++n) {
@@ -54,7 +54,7 @@
     }
     ~Fleet() { std::filesystem::remove_all(folder); }
 
-    void carry(std::vector<store::JournalMove> moves) {
+    void execute(std::vector<store::JournalMove> moves) {
         store::MoveJournal journal(*db);
         journal.init();
         if (!moves.empty()) journal.add(std::move(moves));
@@ -62,7 +62,7 @@
     }
 
     BoxNames names;
-    Boxes boxes;
+    TestServers boxes;
     MapDiscovery discovery;
     std::vector<std::unique_ptr<Program>> programs;
     std::string folder;
@@ -72,7 +72,7 @@
 
 struct Served {
     std::size_t asked = 0, in_time = 0, late = 0, refused = 0, wrong = 0;
-    std::vector<double> took;
+    std::vector<double> latency;
 };
 
 // Open loop: latency is measured from the time at which the request was due.
@@ -94,11 +94,11 @@
                 client.say(post(once ? "once" : "again", prefix + std::to_string(t) + "x" + std::to_string(i),
                                 asks(splits, once ? "once" : "sum")));
                 const auto answer = client.answer();
-                const auto took = Clock::now() - due;
+                const auto latency = Clock::now() - due;
                 ++seen.asked;
-                seen.took.push_back(ms(took));
+                seen.latency.push_back(ms(latency));
                 if (answer == whole_answer(splits))
-                    ++(took <= kInTime ? seen.in_time : seen.late);
+                    ++(latency <= kInTime ? seen.in_time : seen.late);
                 else if (answer.starts_with("200") && answer.find("\"whole\":true") != std::string::npos)
                     ++seen.wrong;
                 else
@@ -114,9 +114,9 @@
         all.late += one.late;
         all.refused += one.refused;
         all.wrong += one.wrong;
-        all.took.insert(all.took.end(), one.took.begin(), one.took.end());
+        all.latency.insert(all.latency.end(), one.latency.begin(), one.latency.end());
     }
-    std::sort(all.took.begin(), all.took.end());
+    std::sort(all.latency.begin(), all.latency.end());
     return all;
 }
 
@@ -161,7 +161,7 @@
     return {made};
 }
 
-void still_and_moving() {
+void service_during_moves() {
     std::printf(
         "service over 4 s rounds, %d clients at %d a second each, 4 nodes, 4 boxes; in time: %lld ms\n",
         kClients, kPerSecond, static_cast<long long>(kInTime.count()));
@@ -175,13 +175,13 @@
     for (int round = 0; round < 6; ++round) {
         const bool moves = round % 2 == 1;
         std::atomic<bool> done = false;
-        std::size_t carried = 0;
+        std::size_t executed = 0;
         std::thread mover;
         if (moves) {
             mover = std::thread([&] {
                 while (!done) {
-                    fleet.carry(some_moves(fleet.discovery.kept(), fleet.names, chance, next, 4));
-                    ++carried;
+                    fleet.execute(some_moves(fleet.discovery.kept(), fleet.names, chance, next, 4));
+                    ++executed;
                     usleep(20'000);
                 }
             });
@@ -191,17 +191,17 @@
         if (moves) mover.join();
         (moves ? moving : still) += static_cast<double>(seen.in_time) / static_cast<double>(seen.asked) / 3;
         std::printf("  %-8s %7zu %8zu %6zu %8zu %6zu %8.2f %8.2f %7zu\n", moves ? "moving" : "still",
-                    seen.asked, seen.in_time, seen.late, seen.refused, seen.wrong, at(seen.took, 0.5),
-                    at(seen.took, 0.99), carried);
+                    seen.asked, seen.in_time, seen.late, seen.refused, seen.wrong, at(seen.latency, 0.5),
+                    at(seen.latency, 0.99), executed);
         std::fflush(stdout);
     }
     std::printf("  moving against still %.4f; run twice %zu\n", moving / still,
-                fleet.boxes.run_twice("once"));
+                fleet.boxes.count_repeated_runs("once"));
 }
 
-void until_all_know() {
+void map_propagation() {
     Fleet fleet(20, 3, 4);
-    std::vector<double> took;
+    std::vector<double> latency;
     for (int i = 0; i < 20; ++i) {
         const auto map = fleet.discovery.kept();
         const auto one = map.shards()[0];
@@ -214,19 +214,19 @@
         for (auto& program : fleet.programs) {
             while (program->counter("map_version") != map.version() + 1) usleep(200);
         }
-        took.push_back(ms(Clock::now() - began));
+        latency.push_back(ms(Clock::now() - began));
     }
-    std::sort(took.begin(), took.end());
+    std::sort(latency.begin(), latency.end());
     std::printf(
         "from a step in the map to the last of 20 nodes that knows it: median %.1f ms, most %.1f ms\n",
-        at(took, 0.5), took.back());
+        at(latency, 0.5), latency.back());
 }
 
-void empty_a_box() {
+void drain_server() {
     std::printf("a box of 8 shards emptied, each copy taking 500 ms\n");
     for (const std::size_t at_once : {1U, 2U, 4U}) {
         Fleet fleet(1, 5, 20);
-        fleet.boxes.copy_takes(500);
+        fleet.boxes.set_copy_duration(500);
         fleet.terms.desk.at_once = fleet.terms.desk.at_once_box = at_once;
         std::vector<store::JournalMove> moves;
         const auto map = fleet.discovery.kept();
@@ -250,7 +250,7 @@
         }
         const auto count = moves.size();
         const auto began = Clock::now();
-        fleet.carry(std::move(moves));
+        fleet.execute(std::move(moves));
         const double seconds = ms(Clock::now() - began) / 1'000;
         const double ideal = 0.5 * static_cast<double>((count + at_once - 1) / at_once);
         std::printf("  %zu at once: %zu moves in %.2f s; the copies alone %.2f s, ratio %.2f\n", at_once,
@@ -261,10 +261,10 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-    const std::string only = count > 1 ? words[1] : "";
+int main(int count, char** arguments) {
+    const std::string only = count > 1 ? arguments[1] : "";
     std::setvbuf(stdout, nullptr, _IOLBF, 0);
-    if (only.empty() || only == "service") still_and_moving();
-    if (only.empty() || only == "news") until_all_know();
-    if (only.empty() || only == "empty") empty_a_box();
+    if (only.empty() || only == "service") service_during_moves();
+    if (only.empty() || only == "news") map_propagation();
+    if (only.empty() || only == "empty") drain_server();
 }
--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -142,23 +142,25 @@
         "  %-28s %12s %10s %14s %8s\n",
         "", "bytes", "ns a part", "mean error, %%", "found");
     constexpr std::size_t kKeys = 1'000'000, kParts = 2'000'000;
-    std::vector<double> upto(kKeys);
+    std::vector<double> cumulative(kKeys);
     double sum = 0;
-    for (std::size_t k = 0; k < kKeys; ++k) upto[k] = sum += 1 / std::pow(static_cast<double>(k + 1), 1.1);
+    for (std::size_t k = 0; k < kKeys; ++k)
+        cumulative[k] = sum += 1 / std::pow(static_cast<double>(k + 1), 1.1);
     std::mt19937_64 chance(5);
     std::vector<Key> stream(kParts);
     for (auto& key : stream) {
         const double at = std::uniform_real_distribution<double>(0, sum)(chance);
-        key = static_cast<Key>(std::lower_bound(upto.begin(), upto.end(), at) - upto.begin()) *
+        key = static_cast<Key>(std::lower_bound(cumulative.begin(), cumulative.end(), at) -
+                               cumulative.begin()) *
               0x9e3779b97f4a7c15U;
     }
-    const auto took = [](Clock::time_point began) {
+    const auto ns_per_part = [](Clock::time_point began) {
         return std::chrono::duration<double>(Clock::now() - began).count() / kParts * 1e9;
     };
     auto began = Clock::now();
     std::unordered_map<Key, std::uint64_t> exact;
     for (const auto key : stream) ++exact[key];
-    const double exact_ns = took(began);
+    const double exact_ns = ns_per_part(began);
     std::vector<std::pair<std::uint64_t, Key>> heaviest;
     for (const auto& [key, count] : exact) heaviest.emplace_back(count, key);
     std::sort(heaviest.rbegin(), heaviest.rend());
@@ -169,15 +171,15 @@
         HeavyKeys sketch(counters);
         began = Clock::now();
         for (const auto key : stream) sketch.add(key);
-        const double ns = took(began);
-        std::unordered_map<Key, std::uint64_t> told;
-        for (const auto& each : sketch.heaviest(100)) told[each.key] = each.count;
+        const double ns = ns_per_part(began);
+        std::unordered_map<Key, std::uint64_t> counts;
+        for (const auto& each : sketch.heaviest(100)) counts[each.key] = each.count;
         double error = 0;
         int found = 0;
         for (const auto& [count, key] : heaviest) {
-            if (!told.contains(key)) continue;
+            if (!counts.contains(key)) continue;
             ++found;
-            error += static_cast<double>(told[key] - count) / static_cast<double>(count) * 100;
+            error += static_cast<double>(counts[key] - count) / static_cast<double>(count) * 100;
         }
         std::printf("  Space-Saving, %-14zu %12zu %10.1f %14.2f %8d\n", counters, sketch.bytes(), ns,
                     found > 0 ? error / found : 0, found);
@@ -186,10 +188,11 @@
         CountMin sketch(width, 4);
         began = Clock::now();
         for (const auto key : stream) sketch.add(key);
-        const double ns = took(began);
+        const double ns = ns_per_part(began);
         double error = 0;
         for (const auto& [count, key] : heaviest)
-            error += static_cast<double>(sketch.at_most(key) - count) / static_cast<double>(count) * 100;
+            error +=
+                static_cast<double>(sketch.upper_bound_of(key) - count) / static_cast<double>(count) * 100;
         std::printf("  Count-Min, 4 x %-13zu %12zu %10.1f %14.2f %8s\n", width, sketch.bytes(), ns,
                     error / 100, "-");
     }
@@ -228,8 +231,8 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-    const std::string only = count > 1 ? words[1] : "";
+int main(int count, char** arguments) {
+    const std::string only = count > 1 ? arguments[1] : "";
     if (only.empty() || only == "maps") maps();
     if (only.empty() || only == "plans") plans();
     if (only.empty() || only == "heat") sketches();
--- a/src/placement/exact.cpp
+++ b/src/placement/exact.cpp
@@ -92,14 +92,14 @@
     }
     // Returns GLP_OPT (optimal), GLP_FEAS (feasible, found within the time limit) or a status without
     // solution.
-    int solve(int most_seconds) {
+    int solve(int time_limit_s) {
         glpk_.matrix(problem_.get(), static_cast<int>(rows_.size()) - 1, rows_.data(), cols_.data(),
                      factors_.data());
-        glp_iocp words;
-        glpk_.init(&words);
-        words.presolve = GLP_ON;
-        words.tm_lim = most_seconds * 1'000;
-        glpk_.solve(problem_.get(), &words);
+        glp_iocp parameters;
+        glpk_.init(&parameters);
+        parameters.presolve = GLP_ON;
+        parameters.tm_lim = time_limit_s * 1'000;
+        glpk_.solve(problem_.get(), &parameters);
         return glpk_.status(problem_.get());
     }
     double value(int col) const { return glpk_.value(problem_.get(), col); }
@@ -113,7 +113,7 @@
 
 }  // namespace
 
-std::optional<Exact> exact_target(const Fleet& fleet, int most_seconds, std::string& why) {
+std::optional<ExactTarget> exact_target(const Fleet& fleet, int time_limit_s, std::string& why) {
     if (why = fault_of(fleet); !why.empty()) return std::nullopt;
     std::unique_ptr<Glpk> glpk;
     try {
@@ -172,12 +172,12 @@
         model.add_row(GLP_UP, 0, 0, load[b]);
         model.add_row(GLP_UP, 0, fleet.boxes[b].space * fleet.terms.fill, space[b]);
     }
-    const int status = model.solve(most_seconds);
+    const int status = model.solve(time_limit_s);
     if (status != GLP_OPT && status != GLP_FEAS) {
         why = "no placement keeps what is asked, or none was found in the time";
         return std::nullopt;
     }
-    Exact found;
+    ExactTarget found;
     found.proven = status == GLP_OPT;
     for (std::size_t s = 0; s < holds.size(); ++s) {
         auto& replicas = found.target.emplace_back();
--- a/src/placement/exact.hpp
+++ b/src/placement/exact.hpp
@@ -12,13 +12,13 @@
 
 namespace pinedoor::placement {
 
-struct Exact {
+struct ExactTarget {
     std::vector<std::vector<Replica>> target;
     double fullest = 0;
     bool proven = false;  // false: the time limit was reached, and this is the best solution found
 };
 
 // Returns nothing and sets `why` if there is no such placement or libglpk cannot be loaded.
-std::optional<Exact> exact_target(const Fleet& fleet, int most_seconds, std::string& why);
+std::optional<ExactTarget> exact_target(const Fleet& fleet, int time_limit_s, std::string& why);
 
 }  // namespace pinedoor::placement
--- a/src/placement/gatherer.cpp
+++ b/src/placement/gatherer.cpp
@@ -9,7 +9,7 @@
 using namespace gathering;
 
 namespace {
-constexpr double kRounding = 0.00005;  // tolerance for rounded weights that do not add up to exactly 1
+constexpr double kWeightTolerance = 0.00005;  // tolerance for rounded weights that do not add up to exactly 1
 }
 
 std::pair<Key, Key> Gatherer::keys_of(int split, std::uint64_t splits) {
@@ -40,8 +40,8 @@
 
 // Marks replicas as cold whose server did not hold the shard's keys in the older map. A split or a merge at
 // the same servers keeps their state.
-void Gatherer::note_cold(Time now, const ShardMap& older) {
-    if (terms_.cold_from >= 1 || terms_.warm_after <= 0) return;
+void Gatherer::mark_cold(Time now, const ShardMap& older) {
+    if (config_.cold_from >= 1 || config_.warm_after <= 0) return;
     decltype(cold_since_) next;
     for (const auto& shard : map_->shards()) {
         const auto& was = older.at(shard.first);
@@ -50,18 +50,18 @@
             const auto known = cold_since_.find({was.id, each.box});
             const Time since = !held                        ? now
                                : known != cold_since_.end() ? known->second
-                                                            : now - terms_.warm_after;
-            if (now - since < terms_.warm_after) next[{shard.id, each.box}] = since;
+                                                            : now - config_.warm_after;
+            if (now - since < config_.warm_after) next[{shard.id, each.box}] = since;
         }
     }
     cold_since_ = std::move(next);
 }
 
-bool Gatherer::takes(Time now, const Piece& piece, BoxId box) const {
+bool Gatherer::may_receive(Time now, const Piece& piece, BoxId box) const {
     const auto cold = cold_since_.find({piece.shard, box});
     if (cold == cold_since_.end()) return true;
-    const double warm = static_cast<double>(now - cold->second) / static_cast<double>(terms_.warm_after);
-    const double share = terms_.cold_from + (1 - terms_.cold_from) * std::min(1.0, warm);
+    const double warm = static_cast<double>(now - cold->second) / static_cast<double>(config_.warm_after);
+    const double share = config_.cold_from + (1 - config_.cold_from) * std::min(1.0, warm);
     // Knuth's multiplicative hash spreads consecutive routes evenly.
     const auto spread = static_cast<std::uint32_t>(piece.route) * 2'654'435'761U;
     return static_cast<double>(spread) / 4'294'967'296.0 < share;
@@ -77,7 +77,7 @@
     for (const auto& each : shard.replicas) {
         if (!readers && each.role != Role::kOwner) continue;
         boxes.push_back(each.box);
-        if (takes(now, piece, each.box)) warm.push_back(each.box);
+        if (may_receive(now, piece, each.box)) warm.push_back(each.box);
     }
     // If only cold servers may run the fragment, they receive it; the decision module limits their load.
     return warm.empty() ? boxes : warm;
@@ -116,34 +116,35 @@
     return last_route_;
 }
 
-void Gatherer::ask_leg(Number number, Multiget& multiget, std::vector<Piece> pieces) {
-    auto& routes = multiget.legs[++multiget.last_leg];
+void Gatherer::send_round(Number number, Multiget& multiget, std::vector<Piece> pieces) {
+    auto& routes = multiget.rounds[++multiget.last_round];
     for (auto& piece : pieces) {
         piece.route = new_route();
         routes.push_back(piece.route);
         routes_[piece.route] = {number, multiget.pieces.size()};
-        multiget.pieces.push_back({piece, Held::State::kOut, {}, PieceFate::kNeverSent, 0, 0});
+        multiget.pieces.push_back({piece, TrackedFragment::State::kOpen, {}, PieceFate::kNeverSent, 0, 0});
         ++counted_.pieces;
     }
-    actions_.emplace_back(AskLeg{number, multiget.last_leg, std::move(pieces)});
+    actions_.emplace_back(AskLeg{number, multiget.last_round, std::move(pieces)});
 }
 
 Gatherer::Actions Gatherer::ask(Time now, Number number, GatherAsked asked) {
     Multiget multiget;
-    multiget.budget_ends = now + terms_.op_types[static_cast<std::size_t>(asked.op_type)].latency_budget;
+    multiget.budget_ends = now + config_.op_types[static_cast<std::size_t>(asked.op_type)].latency_budget;
     multiget.asked = std::move(asked);
     std::vector<Piece> pieces;
     for (std::size_t s = 0; map_ && s < multiget.asked.splits.size(); ++s) {
         const auto& each = multiget.asked.splits[s];
-        const auto [first, last] = keys_of(each.split, terms_.splits);
+        const auto [first, last] = keys_of(each.split, config_.splits);
         auto cut_now = cut(multiget, s, first, last, each.weight);
         counted_.divided += cut_now.size() > 1 ? 1 : 0;
         pieces.insert(pieces.end(), std::make_move_iterator(cut_now.begin()),
                       std::make_move_iterator(cut_now.end()));
     }
-    while (!sent_.empty() && sent_.front().at <= now - terms_.further_look_back) sent_.pop_front();
-    sent_.push_back({now, pieces.size(), 0});
-    if (pieces.empty() || pieces.size() > terms_.most_pieces) {
+    while (!send_history_.empty() && send_history_.front().at <= now - config_.further_look_back)
+        send_history_.pop_front();
+    send_history_.push_back({now, pieces.size(), 0});
+    if (pieces.empty() || pieces.size() > config_.most_pieces) {
         // Nothing can be sent without a map or beyond the fragment limit.
         std::vector<std::pair<int, PieceFate>> fates;
         for (const auto& each : multiget.asked.splits) fates.emplace_back(each.split, PieceFate::kNeverSent);
@@ -151,13 +152,13 @@
         return std::exchange(actions_, {});
     }
     auto& held = multigets_[number] = std::move(multiget);
-    ask_leg(number, held, std::move(pieces));
+    send_round(number, held, std::move(pieces));
     return std::exchange(actions_, {});
 }
 
 // Whether the map is at least as new as the epoch known by the server that refused the fragment, so that it
 // can locate the fragment's keys.
-bool Gatherer::map_knows(const Held& held) const {
+bool Gatherer::map_can_locate(const TrackedFragment& held) const {
     const auto& piece = held.piece;
     for (Key from = piece.first;;) {
         const auto& shard = map_->at(from);
@@ -167,42 +168,44 @@
     }
 }
 
-bool Gatherer::may_ask_again(Time now, std::size_t pieces) {
-    if (terms_.further_look_back == 0) return true;
-    while (!sent_.empty() && sent_.front().at <= now - terms_.further_look_back) sent_.pop_front();
+bool Gatherer::within_repeat_budget(Time now, std::size_t pieces) {
+    if (config_.further_look_back == 0) return true;
+    while (!send_history_.empty() && send_history_.front().at <= now - config_.further_look_back)
+        send_history_.pop_front();
     double taken = 0, again = static_cast<double>(pieces);
-    for (const auto& each : sent_) {
+    for (const auto& each : send_history_) {
         taken += static_cast<double>(each.taken);
         again += static_cast<double>(each.again);
     }
-    return again <= terms_.further_floor + terms_.further_ratio * taken;
+    return again <= config_.further_floor + config_.further_ratio * taken;
 }
 
 // Sends the waiting fragments that the current map can locate, as one further round.
 void Gatherer::ask_again(Time now, Number number, Multiget& multiget) {
     std::vector<Piece> pieces;
     for (auto& held : multiget.pieces) {
-        if (held.state != Held::State::kWaits || !map_knows(held)) continue;
-        const bool box_behind = held.known <= held.piece.epoch && epoch_now(held.piece) == held.piece.epoch;
-        if (box_behind && now < held.refused_at + terms_.ask_again) {
-            actions_.emplace_back(Wake{held.refused_at + terms_.ask_again});
+        if (held.state != TrackedFragment::State::kWaiting || !map_can_locate(held)) continue;
+        const bool server_outdated =
+            held.known <= held.piece.epoch && epoch_now(held.piece) == held.piece.epoch;
+        if (server_outdated && now < held.refused_at + config_.ask_again) {
+            actions_.emplace_back(Wake{held.refused_at + config_.ask_again});
             continue;
         }
         auto again = cut(multiget, held.piece.split, held.piece.first, held.piece.last, held.piece.weight);
-        const bool room = multiget.last_leg + 1 < terms_.most_legs &&
-                          multiget.pieces.size() + pieces.size() + again.size() <= terms_.most_pieces;
-        if (!room || !may_ask_again(now, again.size())) {
-            held.state = Held::State::kLost;
+        const bool room = multiget.last_round + 1 < config_.most_legs &&
+                          multiget.pieces.size() + pieces.size() + again.size() <= config_.most_pieces;
+        if (!room || !within_repeat_budget(now, again.size())) {
+            held.state = TrackedFragment::State::kFailed;
             ++counted_.given_up;
             continue;
         }
-        held.state = Held::State::kAgain;
+        held.state = TrackedFragment::State::kRepeated;
         counted_.asked_again += again.size();
-        sent_.push_back({now, 0, again.size()});
+        send_history_.push_back({now, 0, again.size()});
         pieces.insert(pieces.end(), std::make_move_iterator(again.begin()),
                       std::make_move_iterator(again.end()));
     }
-    if (!pieces.empty()) ask_leg(number, multiget, std::move(pieces));
+    if (!pieces.empty()) send_round(number, multiget, std::move(pieces));
 }
 
 Gatherer::Actions Gatherer::refused(Time now, Route route, Epoch known) {
@@ -211,79 +214,81 @@
     const auto number = at->second.number;
     auto& multiget = multigets_.at(number);
     auto& held = multiget.pieces[at->second.piece];
-    if (held.state != Held::State::kOut) return {};
+    if (held.state != TrackedFragment::State::kOpen) return {};
     ++counted_.refused;
-    held.state = Held::State::kWaits;
+    held.state = TrackedFragment::State::kWaiting;
     held.known = known;
     held.refused_at = now;
     // Several fragments of a multiget are often refused at once; the wake-up collects them into one round.
-    if (map_knows(held))
+    if (map_can_locate(held))
         actions_.emplace_back(Wake{now});
     else
         actions_.emplace_back(WantMap{held.piece.shard, known});
-    settle(now, number);
+    end_if_decided(now, number);
     return std::exchange(actions_, {});
 }
 
 Gatherer::Actions Gatherer::map_is(Time now, std::shared_ptr<const ShardMap> map) {
     const auto older = std::exchange(map_, std::move(map));
-    if (older && map_ && older != map_) note_cold(now, *older);
+    if (older && map_ && older != map_) mark_cold(now, *older);
     std::vector<Number> waiting;
     for (const auto& [number, multiget] : multigets_) {
-        const auto waits = [](const Held& held) { return held.state == Held::State::kWaits; };
+        const auto waits = [](const TrackedFragment& held) {
+            return held.state == TrackedFragment::State::kWaiting;
+        };
         if (std::any_of(multiget.pieces.begin(), multiget.pieces.end(), waits)) waiting.push_back(number);
     }
     for (const auto number : waiting) {
         ask_again(now, number, multigets_.at(number));
-        settle(now, number);
+        end_if_decided(now, number);
     }
     return std::exchange(actions_, {});
 }
 
 Gatherer::Actions Gatherer::tick(Time now) { return map_is(now, map_); }
 
-Gatherer::Actions Gatherer::leg_ended(Time now, Number number, int leg, LegEnd told) {
+Gatherer::Actions Gatherer::leg_ended(Time now, Number number, int leg, LegEnd result) {
     const auto at = multigets_.find(number);
     if (at == multigets_.end()) return {};
     auto& multiget = at->second;
-    const auto open = multiget.legs.find(leg);
-    if (open == multiget.legs.end()) return {};
-    const auto held_of = [&](Route route) -> Held* {
+    const auto open = multiget.rounds.find(leg);
+    if (open == multiget.rounds.end()) return {};
+    const auto held_of = [&](Route route) -> TrackedFragment* {
         const auto place = routes_.find(route);
         return place == routes_.end() ? nullptr : &multiget.pieces[place->second.piece];
     };
-    for (auto& [route, fate] : told.fates) {
+    for (auto& [route, fate] : result.fates) {
         if (auto* held = held_of(route)) held->fate = fate;
     }
-    for (auto& [route, value] : told.values) {
+    for (auto& [route, value] : result.values) {
         auto* held = held_of(route);
-        if (held == nullptr || held->state != Held::State::kOut) continue;
-        held->state = Held::State::kIn;
+        if (held == nullptr || held->state != TrackedFragment::State::kOpen) continue;
+        held->state = TrackedFragment::State::kAnswered;
         held->value = std::move(value);
     }
     for (const auto route : open->second) {
-        if (auto* held = held_of(route); held != nullptr && held->state == Held::State::kOut)
-            held->state = Held::State::kLost;
+        if (auto* held = held_of(route); held != nullptr && held->state == TrackedFragment::State::kOpen)
+            held->state = TrackedFragment::State::kFailed;
         routes_.erase(route);
     }
-    multiget.legs.erase(open);
-    if (told.kind != LegEnd::Kind::kAnswered) {
-        const bool pushed_back = told.kind == LegEnd::Kind::kPushedBack;
+    multiget.rounds.erase(open);
+    if (result.kind != LegEnd::Kind::kAnswered) {
+        const bool pushed_back = result.kind == LegEnd::Kind::kPushedBack;
         (pushed_back ? multiget.any_pushed_back : multiget.any_failed) = true;
-        multiget.wait = std::max(multiget.wait, told.wait);
+        multiget.wait = std::max(multiget.wait, result.wait);
     }
-    settle(now, number);
+    end_if_decided(now, number);
     return std::exchange(actions_, {});
 }
 
-Gatherer::Standing Gatherer::standing(const Multiget& multiget) const {
+Gatherer::SplitWeights Gatherer::weights_of(const Multiget& multiget) const {
     std::vector<bool> lost(multiget.asked.splits.size()), open(lost.size());
     for (const auto& held : multiget.pieces) {
-        lost[held.piece.split] = lost[held.piece.split] || held.state == Held::State::kLost;
-        open[held.piece.split] =
-            open[held.piece.split] || held.state == Held::State::kOut || held.state == Held::State::kWaits;
+        lost[held.piece.split] = lost[held.piece.split] || held.state == TrackedFragment::State::kFailed;
+        open[held.piece.split] = open[held.piece.split] || held.state == TrackedFragment::State::kOpen ||
+                                 held.state == TrackedFragment::State::kWaiting;
     }
-    Standing sum;
+    SplitWeights sum;
     for (std::size_t s = 0; s < lost.size(); ++s) {
         if (lost[s]) continue;
         (open[s] ? sum.may_come : sum.in) += multiget.asked.splits[s].weight;
@@ -293,18 +298,18 @@
 
 // Ends a multiget once nothing is open, or the open splits cannot complete an answer, or the map that it
 // waits for has not arrived in time.
-void Gatherer::settle(Time now, Number number) {
+void Gatherer::end_if_decided(Time now, Number number) {
     auto& multiget = multigets_.at(number);
     const auto least = type_of(multiget).least_share;
-    const auto now_is = standing(multiget);
+    const auto weights = weights_of(multiget);
     bool waits = false;
-    for (const auto& held : multiget.pieces) waits = waits || held.state == Held::State::kWaits;
-    if (!waits && multiget.legs.empty()) return end(number, multiget);
-    if (now_is.in + now_is.may_come < least - kRounding) return end(number, multiget);
-    if (!waits || !multiget.legs.empty()) return;  // the decision module ends each round in time
-    const bool enough = now_is.in >= least - kRounding;
+    for (const auto& held : multiget.pieces) waits = waits || held.state == TrackedFragment::State::kWaiting;
+    if (!waits && multiget.rounds.empty()) return end(number, multiget);
+    if (weights.in + weights.may_come < least - kWeightTolerance) return end(number, multiget);
+    if (!waits || !multiget.rounds.empty()) return;  // the decision module ends each round in time
+    const bool enough = weights.in >= least - kWeightTolerance;
     const Time until = std::min(enough ? multiget.budget_ends : multiget.asked.not_after,
-                                multiget.asked.not_after - terms_.answer_grace);
+                                multiget.asked.not_after - config_.answer_grace);
     if (now >= until) return end(number, multiget);
     actions_.emplace_back(Wake{until});
 }
@@ -312,7 +317,7 @@
 std::vector<std::pair<int, PieceFate>> Gatherer::fates_of(const Multiget& multiget) const {
     std::vector<std::set<PieceFate>> seen(multiget.asked.splits.size());
     for (const auto& held : multiget.pieces) {
-        if (held.state != Held::State::kAgain) seen[held.piece.split].insert(held.fate);
+        if (held.state != TrackedFragment::State::kRepeated) seen[held.piece.split].insert(held.fate);
     }
     std::vector<std::pair<int, PieceFate>> fates;
     for (std::size_t s = 0; s < seen.size(); ++s) {
@@ -324,7 +329,7 @@
 }
 
 void Gatherer::end(Number number, Multiget& multiget) {
-    for (const auto& [leg, routes] : multiget.legs) {
+    for (const auto& [leg, routes] : multiget.rounds) {
         actions_.emplace_back(LeaveLeg{number, leg});
         for (const auto route : routes) routes_.erase(route);
         multiget.any_failed = true;  // its fragments may have run
@@ -337,8 +342,8 @@
         std::vector<std::pair<Key, const std::string*>> found;
         bool all = true;
         for (const auto& held : multiget.pieces) {
-            if (held.piece.split != s || held.state == Held::State::kAgain) continue;
-            all = all && held.state == Held::State::kIn;
+            if (held.piece.split != s || held.state == TrackedFragment::State::kRepeated) continue;
+            all = all && held.state == TrackedFragment::State::kAnswered;
             found.emplace_back(held.piece.first, &held.value);
         }
         if (!all) continue;
@@ -357,9 +362,9 @@
     ending.fates = fates_of(multiget);
     const bool none_ran = std::all_of(ending.fates.begin(), ending.fates.end(),
                                       [](const auto& each) { return each.second == PieceFate::kNeverSent; });
-    if (!ending.values.empty() && in >= type.least_share - kRounding) {
+    if (!ending.values.empty() && in >= type.least_share - kWeightTolerance) {
         ending.kind = LegEnd::Kind::kAnswered;
-        ending.whole = in >= type.whole_share - kRounding;
+        ending.whole = in >= type.whole_share - kWeightTolerance;
     } else {
         ending.values.clear();
         // Pushed back if nothing ran, or if readers may run the op type and a round was pushed back.
@@ -373,11 +378,11 @@
 }
 
 std::vector<int> Gatherer::open_legs(Number number) const {
-    std::vector<int> legs;
+    std::vector<int> rounds;
     const auto at = multigets_.find(number);
-    if (at == multigets_.end()) return legs;
-    for (const auto& [leg, routes] : at->second.legs) legs.push_back(leg);
-    return legs;
+    if (at == multigets_.end()) return rounds;
+    for (const auto& [leg, routes] : at->second.rounds) rounds.push_back(leg);
+    return rounds;
 }
 
 std::vector<std::pair<int, PieceFate>> Gatherer::left(Number number,
@@ -389,7 +394,7 @@
         if (place != routes_.end()) at->second.pieces[place->second.piece].fate = fate;
     }
     auto known = fates_of(at->second);
-    for (const auto& [leg, routes] : at->second.legs) {
+    for (const auto& [leg, routes] : at->second.rounds) {
         for (const auto route : routes) routes_.erase(route);
     }
     multigets_.erase(at);
--- a/src/placement/gatherer.hpp
+++ b/src/placement/gatherer.hpp
@@ -134,7 +134,7 @@
 // Tracks the open multigets. Each member function that returns actions expects the caller to execute them.
 class Gatherer {
 public:
-    explicit Gatherer(GatherTerms terms) : terms_(std::move(terms)) {}
+    explicit Gatherer(GatherTerms terms) : config_(std::move(terms)) {}
     using Actions = std::vector<gathering::Action>;
 
     Actions map_is(Time now, std::shared_ptr<const ShardMap> map);
@@ -169,21 +169,27 @@
 
 private:
     // A fragment and its state.
-    struct Held {
+    struct TrackedFragment {
         Piece piece;
         // Sent and open; answered; replaced by a repeat; waiting for a map or a repeat; failed.
-        enum class State : std::uint8_t { kOut, kIn, kAgain, kWaits, kLost } state = State::kOut;
+        enum class State : std::uint8_t {
+            kOpen,
+            kAnswered,
+            kRepeated,
+            kWaiting,
+            kFailed
+        } state = State::kOpen;
         std::string value;
         PieceFate fate = PieceFate::kNeverSent;
-        Epoch known = 0;      // kWaits: epoch known by the server that refused it
-        Time refused_at = 0;  // kWaits
+        Epoch known = 0;      // kWaiting: epoch known by the server that refused it
+        Time refused_at = 0;  // kWaiting
     };
     struct Multiget {
         GatherAsked asked;
         Time budget_ends = 0;
-        std::vector<Held> pieces;
-        std::map<int, std::vector<Route>> legs;  // open rounds
-        int last_leg = -1;
+        std::vector<TrackedFragment> pieces;
+        std::map<int, std::vector<Route>> rounds;  // open rounds
+        int last_round = -1;
         bool any_pushed_back = false, any_failed = false;  // whether any round ended so
         Time wait = 0;
     };
@@ -193,29 +199,29 @@
         std::size_t piece = 0;
     };
     // Weight of the answered splits and of those that may still be answered.
-    struct Standing {
+    struct SplitWeights {
         double in = 0, may_come = 0;
     };
 
     std::vector<Piece> cut(const Multiget& multiget, std::size_t split, Key first, Key last,
                            double weight) const;
     Route new_route();
-    void ask_leg(Number number, Multiget& multiget, std::vector<Piece> pieces);
+    void send_round(Number number, Multiget& multiget, std::vector<Piece> pieces);
     void ask_again(Time now, Number number, Multiget& multiget);
     Epoch epoch_now(const Piece& piece) const;
-    void note_cold(Time now, const ShardMap& older);
-    bool takes(Time now, const Piece& piece, BoxId box) const;
-    bool map_knows(const Held& held) const;
-    bool may_ask_again(Time now, std::size_t pieces);
-    Standing standing(const Multiget& multiget) const;
-    void settle(Time now, Number number);
+    void mark_cold(Time now, const ShardMap& older);
+    bool may_receive(Time now, const Piece& piece, BoxId box) const;
+    bool map_can_locate(const TrackedFragment& held) const;
+    bool within_repeat_budget(Time now, std::size_t pieces);
+    SplitWeights weights_of(const Multiget& multiget) const;
+    void end_if_decided(Time now, Number number);
     void end(Number number, Multiget& multiget);
     std::vector<std::pair<int, PieceFate>> fates_of(const Multiget& multiget) const;
     const GatheredType& type_of(const Multiget& multiget) const {
-        return terms_.op_types[static_cast<std::size_t>(multiget.asked.op_type)];
+        return config_.op_types[static_cast<std::size_t>(multiget.asked.op_type)];
     }
 
-    const GatherTerms terms_;
+    const GatherTerms config_;
     std::shared_ptr<const ShardMap> map_;
     std::map<Number, Multiget> multigets_;
     std::map<Route, Place> routes_;
@@ -226,7 +232,7 @@
         Time at = 0;
         std::size_t taken = 0, again = 0;
     };
-    std::deque<Sent> sent_;  // within the look-back window of the budget
+    std::deque<Sent> send_history_;  // within the look-back window of the budget
     Counted counted_;
     Actions actions_;
 };
--- a/src/placement/heat.hpp
+++ b/src/placement/heat.hpp
@@ -19,9 +19,9 @@
 // count of at most total / counters.
 class HeavyKeys {
 public:
-    explicit HeavyKeys(std::size_t counters) : most_(counters) {
+    explicit HeavyKeys(std::size_t counters) : counters_(counters) {
         heap_.reserve(counters);
-        at_.reserve(counters);
+        positions_.reserve(counters);
     }
 
     struct Entry {
@@ -35,14 +35,14 @@
     std::size_t bytes() const;
 
 private:
-    void sink(std::size_t at);
-    void rise(std::size_t at);
+    void sift_down(std::size_t at);
+    void sift_up(std::size_t at);
     void swap(std::size_t a, std::size_t b);
 
-    const std::size_t most_;
+    const std::size_t counters_;
     std::uint64_t total_ = 0;
     std::vector<Entry> heap_;  // min-heap by count
-    std::unordered_map<Key, std::size_t> at_;
+    std::unordered_map<Key, std::size_t> positions_;
 };
 
 // Upper bounds of the count of any key: Count-Min (Cormode, Muthukrishnan, 2005) with conservative update.
@@ -51,7 +51,7 @@
 public:
     CountMin(std::size_t width, std::size_t depth) : width_(width), cells_(width * depth), depth_(depth) {}
     void add(Key key, std::uint64_t times = 1);
-    std::uint64_t at_most(Key key) const;
+    std::uint64_t upper_bound_of(Key key) const;
     std::size_t bytes() const { return cells_.capacity() * sizeof(cells_[0]); }
 
 private:
@@ -99,7 +99,7 @@
     std::size_t shards() const { return shards_.size(); }
 
 private:
-    struct Heat {
+    struct ShardLoad {
         std::uint64_t seen = 0;     // parts since the last evaluation
         double load = 0;            // parts per second, smoothed
         int above = 0;              // consecutive evaluations above split_above
@@ -108,12 +108,12 @@
         std::vector<Key> sample;    // uniform sample of recently requested keys
         std::uint64_t sampled = 0;  // number of keys that the sample stands for; reset while the load is low
     };
-    Proposal split_of(const Shard& shard, const Heat& heat) const;
+    Proposal propose_split(const Shard& shard, const ShardLoad& heat) const;
 
-    const HeatTerms terms_;
-    std::mt19937 chance_;
+    const HeatTerms config_;
+    std::mt19937 random_;
     HeavyKeys keys_;
-    std::unordered_map<ShardId, Heat> shards_;
+    std::unordered_map<ShardId, ShardLoad> shards_;
     Time next_look_ = 0;
     Time last_look_ = 0;
     bool looked_ = false;
--- a/src/placement/map_follower.hpp
+++ b/src/placement/map_follower.hpp
@@ -31,16 +31,16 @@
 namespace pinedoor::placement {
 
 struct FollowTerms {
-    Time gap_patience = 1'000;    // wait for missing changes before the whole map is requested
-    Time ask_from = 1'000;        // first delay between two requests for the whole map; doubles each time
-    Time ask_to = 100'000;        // limit of that delay
-    std::size_t most_aside = 64;  // limit on sets of changes that are set aside until their gap is closed
+    Time max_gap_wait = 1'000;       // wait for missing changes before the whole map is requested
+    Time min_backoff = 1'000;        // first delay between two requests for the whole map; doubles each time
+    Time max_backoff = 100'000;      // limit of that delay
+    std::size_t max_set_aside = 64;  // limit on sets of changes that are set aside until their gap is closed
 };
 
 // Applies map updates and decides when the whole map must be requested.
 class MapFollower {
 public:
-    explicit MapFollower(FollowTerms terms) : terms_(terms) {}
+    explicit MapFollower(FollowTerms terms) : config_(terms) {}
 
     enum class Did : std::uint8_t { kTaken, kRepeated, kOlder, kAside, kRefused };
     struct Heard {
@@ -54,11 +54,12 @@
     void epoch_seen(Time now, ShardId shard, Epoch epoch);
 
     // The current map; null until a first map has been accepted.
-    const std::shared_ptr<const ShardMap>& present() const { return present_; }
+    const std::shared_ptr<const ShardMap>& present() const { return current_; }
 
     // Whether the whole map must be requested now. A true result counts as the request.
     bool wants_whole(Time now);
-    Time wake() const { return ask_at_; }  // next time that wants_whole() can be true; kNever if none is set
+    // Next time that wants_whole() can be true; kNever if none is set.
+    Time wake() const { return request_at_; }
     static constexpr Time kNever = INT64_MAX;
 
     struct Counted {
@@ -72,17 +73,17 @@
     Heard take(Time now, WholeMap map);
     Heard take(Time now, MapChanges changes);
     Heard take(Time now, const Unreadable& unreadable);
-    std::string follow(const MapChanges& changes);  // returns an error message, empty if applied
+    std::string apply(const MapChanges& changes);  // returns an error message, empty if applied
     void close_gaps();
-    void want_whole(Time at);
-    void settled();  // resets the backoff after a valid update
+    void schedule_request(Time at);
+    void reset_backoff();  // after a valid update
 
-    const FollowTerms terms_;
-    std::shared_ptr<const ShardMap> present_;
+    const FollowTerms config_;
+    std::shared_ptr<const ShardMap> current_;
     std::map<Version, MapChanges> aside_;  // by MapChanges::after
-    Time ask_at_ = kNever;
-    Time asked_at_ = 0;
-    Time wait_ = 0;  // current backoff; 0: the next request is the first
+    Time request_at_ = kNever;
+    Time requested_at_ = 0;
+    Time backoff_ = 0;  // current backoff; 0: the next request is the first
     Counted counted_;
 };
 
--- a/src/placement/map_text.cpp
+++ b/src/placement/map_text.cpp
@@ -8,71 +8,75 @@
 namespace pinedoor::placement {
 namespace {
 
-constexpr std::size_t kLargestMap = std::size_t{64} << 20U;  // bytes
-constexpr double kMostWhole = 9e15;  // doubles represent all integers up to this value exactly
+constexpr std::size_t kMaxMapBytes = std::size_t{64} << 20U;  // bytes
+constexpr double kMaxExactInteger = 9e15;  // doubles represent all integers up to this value exactly
 
 // Thrown for JSON that is not a valid map or change.
-struct Bad {
+struct InvalidMap {
     std::string why;
 };
 
-const parse::Json& member(const parse::Json& json, const char* name) {
+const parse::Json& require_member(const parse::Json& json, const char* name) {
     const auto* found = json.member(name);
-    if (found == nullptr) throw Bad{std::string(name) + " is missing"};
+    if (found == nullptr) throw InvalidMap{std::string(name) + " is missing"};
     return *found;
 }
-std::uint64_t whole(const parse::Json& json, const char* name) {
-    const auto* number = member(json, name).number();
-    if (number == nullptr || number->value < 0 || number->value > kMostWhole ||
+std::uint64_t require_integer(const parse::Json& json, const char* name) {
+    const auto* number = require_member(json, name).number();
+    if (number == nullptr || number->value < 0 || number->value > kMaxExactInteger ||
         number->value != std::floor(number->value))
-        throw Bad{std::string(name) + " is no whole number"};
+        throw InvalidMap{std::string(name) + " is no whole number"};
     return static_cast<std::uint64_t>(number->value);
 }
-const std::string& text(const parse::Json& json, const char* name) {
-    const auto* found = member(json, name).string();
-    if (found == nullptr) throw Bad{std::string(name) + " is no text"};
+const std::string& require_string(const parse::Json& json, const char* name) {
+    const auto* found = require_member(json, name).string();
+    if (found == nullptr) throw InvalidMap{std::string(name) + " is no text"};
     return *found;
 }
-Key key(const parse::Json& json, const char* name) {
-    const auto found = read_key(text(json, name));
-    if (!found) throw Bad{std::string(name) + " is no key"};
+Key require_key(const parse::Json& json, const char* name) {
+    const auto found = read_key(require_string(json, name));
+    if (!found) throw InvalidMap{std::string(name) + " is no key"};
     return *found;
 }
-BoxId box(const parse::Json& json, BoxNames& names) {
-    const auto& name = text(json, "box");
+BoxId require_server(const parse::Json& json, BoxNames& names) {
+    const auto& name = require_string(json, "box");
     const auto number = name.empty() ? std::nullopt : names.number(name);
-    if (!number) throw Bad{"a box without a name, or one too many"};
+    if (!number) throw InvalidMap{"a box without a name, or one too many"};
     return *number;
 }
-const parse::Json::List& list(const parse::Json& json, const char* name) {
-    const auto* found = member(json, name).list();
-    if (found == nullptr) throw Bad{std::string(name) + " is no list"};
+const parse::Json::List& require_list(const parse::Json& json, const char* name) {
+    const auto* found = require_member(json, name).list();
+    if (found == nullptr) throw InvalidMap{std::string(name) + " is no list"};
     return *found;
 }
 
 Shard read_shard(const parse::Json& json, BoxNames& names) {
     Shard shard;
-    shard.id = whole(json, "id");
-    shard.first = key(json, "first");
-    shard.last = key(json, "last");
-    shard.epoch = whole(json, "epoch");
-    for (const auto& each : list(json, "replicas")) {
-        const auto& role = text(each, "role");
-        if (role != "owner" && role != "reader") throw Bad{"a role is neither owner nor reader"};
-        shard.replicas.push_back({box(each, names), role == "owner" ? Role::kOwner : Role::kReader});
+    shard.id = require_integer(json, "id");
+    shard.first = require_key(json, "first");
+    shard.last = require_key(json, "last");
+    shard.epoch = require_integer(json, "epoch");
+    for (const auto& each : require_list(json, "replicas")) {
+        const auto& role = require_string(each, "role");
+        if (role != "owner" && role != "reader") throw InvalidMap{"a role is neither owner nor reader"};
+        shard.replicas.push_back(
+            {require_server(each, names), role == "owner" ? Role::kOwner : Role::kReader});
     }
     return shard;
 }
 
 Step read_step(const parse::Json& json, BoxNames& names) {
-    const auto& kind = text(json, "step");
+    const auto& kind = require_string(json, "step");
     if (kind == "split")
-        return Split{whole(json, "shard"), key(json, "at"), whole(json, "lower"), whole(json, "upper")};
-    if (kind == "merge") return Merge{whole(json, "lower"), whole(json, "upper"), whole(json, "merged")};
-    if (kind == "add") return AddReader{whole(json, "shard"), box(json, names)};
-    if (kind == "remove") return RemoveReader{whole(json, "shard"), box(json, names)};
-    if (kind == "pass") return PassOwnership{whole(json, "shard"), box(json, names)};
-    throw Bad{"step " + kind.substr(0, 40) + " is unknown"};
+        return Split{require_integer(json, "shard"), require_key(json, "at"), require_integer(json, "lower"),
+                     require_integer(json, "upper")};
+    if (kind == "merge")
+        return Merge{require_integer(json, "lower"), require_integer(json, "upper"),
+                     require_integer(json, "merged")};
+    if (kind == "add") return AddReader{require_integer(json, "shard"), require_server(json, names)};
+    if (kind == "remove") return RemoveReader{require_integer(json, "shard"), require_server(json, names)};
+    if (kind == "pass") return PassOwnership{require_integer(json, "shard"), require_server(json, names)};
+    throw InvalidMap{"step " + kind.substr(0, 40) + " is unknown"};
 }
 
 std::string quoted(const std::string& text) {
@@ -108,7 +112,7 @@
 
 std::optional<BoxId> BoxNames::number(const std::string& name) {
     if (const auto known = find(name)) return known;
-    if (names_.size() > most_) return std::nullopt;
+    if (names_.size() > max_names_) return std::nullopt;
     const auto number = static_cast<BoxId>(names_.size());
     names_.push_back(name);
     numbers_.emplace(name, number);
@@ -137,19 +141,20 @@
 
 MapNews read_map_news(std::string_view line, BoxNames& names) {
     try {
-        const auto json = parse::parse_json(line, {kLargestMap, 8});
-        const auto version = whole(json, "version");
+        const auto json = parse::parse_json(line, {kMaxMapBytes, 8});
+        const auto version = require_integer(json, "version");
         if (json.member("shards") != nullptr) {
             WholeMap map{version, {}};
-            for (const auto& each : list(json, "shards")) map.shards.push_back(read_shard(each, names));
+            for (const auto& each : require_list(json, "shards"))
+                map.shards.push_back(read_shard(each, names));
             return map;
         }
-        MapChanges changes{version, whole(json, "after"), {}};
-        for (const auto& each : list(json, "steps")) changes.steps.push_back(read_step(each, names));
+        MapChanges changes{version, require_integer(json, "after"), {}};
+        for (const auto& each : require_list(json, "steps")) changes.steps.push_back(read_step(each, names));
         return changes;
     } catch (const parse::BadJson& error) {
         return Unreadable{error.what()};
-    } catch (const Bad& bad) {
+    } catch (const InvalidMap& bad) {
         return Unreadable{bad.why};
     }
 }
--- a/src/placement/map_text.hpp
+++ b/src/placement/map_text.hpp
@@ -24,13 +24,13 @@
 // is limited; number() returns nothing beyond the limit.
 class BoxNames {
 public:
-    explicit BoxNames(std::size_t most = 100'000) : most_(most) {}
+    explicit BoxNames(std::size_t most = 100'000) : max_names_(most) {}
     std::optional<BoxId> number(const std::string& name);
     std::optional<BoxId> find(const std::string& name) const;
     const std::string& name(BoxId box) const;  // empty if the number is unknown
 
 private:
-    std::size_t most_;
+    std::size_t max_names_;
     std::map<std::string, BoxId> numbers_;
     std::vector<std::string> names_{""};  // number 0 is not assigned
 };
--- a/src/placement/merge_values.cpp
+++ b/src/placement/merge_values.cpp
@@ -25,13 +25,13 @@
     return std::to_string(all);
 }
 
-struct Line {
+struct RankedLine {
     std::int64_t score = 0;
     std::string_view text;
 };
 
-std::optional<std::vector<Line>> read_ranked(std::string_view text) {
-    std::vector<Line> lines;
+std::optional<std::vector<RankedLine>> read_ranked(std::string_view text) {
+    std::vector<RankedLine> lines;
     while (!text.empty()) {
         const auto line = text.substr(0, text.find('\n'));
         text.remove_prefix(std::min(text.size(), line.size() + 1));
@@ -44,7 +44,7 @@
 }
 
 std::optional<std::string> ranked(const std::vector<std::string>& values) {
-    std::vector<Line> all;
+    std::vector<RankedLine> all;
     std::size_t longest = 0;
     for (const auto& each : values) {
         const auto lines = read_ranked(each);
@@ -53,7 +53,8 @@
         all.insert(all.end(), lines->begin(), lines->end());
     }
     // A stable sort keeps lines of equal score in key order.
-    std::stable_sort(all.begin(), all.end(), [](const Line& a, const Line& b) { return a.score > b.score; });
+    std::stable_sort(all.begin(), all.end(),
+                     [](const RankedLine& a, const RankedLine& b) { return a.score > b.score; });
     // A value with fewer lines than the longest is complete, so no line is missing among the first `longest`.
     all.resize(std::min(all.size(), longest));
     std::string text;
--- a/src/placement/move_desk.cpp
+++ b/src/placement/move_desk.cpp
@@ -20,30 +20,30 @@
     waiting_.insert(behind, wanted);
 }
 
-bool MoveDesk::fits(const WantedMove& wanted) const {
-    if (going_on_.size() >= terms_.at_once) return false;
+bool MoveDesk::within_limits(const WantedMove& wanted) const {
+    if (running_.size() >= config_.at_once) return false;
     std::size_t from = 0, to = 0, zone = 0;
-    for (const auto& [id, other] : going_on_) {
+    for (const auto& [id, other] : running_) {
         if (other.shard == wanted.shard || other.wave < wanted.wave) return false;
         from += other.from == wanted.from ? 1 : 0;
         to += other.to == wanted.to ? 1 : 0;
         zone += other.zone == wanted.zone ? 1 : 0;
     }
-    return from < terms_.at_once_box && to < terms_.at_once_box && zone < terms_.at_once_zone;
+    return from < config_.at_once_box && to < config_.at_once_box && zone < config_.at_once_zone;
 }
 
 std::vector<MoveId> MoveDesk::begin() {
     std::vector<MoveId> begun;
     for (auto at = waiting_.begin(); at != waiting_.end();) {
         // A begun move must continue regardless of limits and pauses, since its fence may be up.
-        const bool may = at->begun || (!paused() && !stopped_ && fits(*at));
+        const bool may = at->begun || (!paused() && !stopped_ && within_limits(*at));
         const bool earlier_waits =
             std::any_of(waiting_.begin(), at, [&](const WantedMove& other) { return other.wave < at->wave; });
         if (!may || (earlier_waits && !at->begun)) {
             ++at;
             continue;
         }
-        going_on_[at->id] = *at;
+        running_[at->id] = *at;
         begun.push_back(at->id);
         at = waiting_.erase(at);
     }
@@ -51,7 +51,7 @@
 }
 
 void MoveDesk::ended(MoveId id, End end) {
-    if (going_on_.erase(id) == 0 || end != End::kUndone) return;
+    if (running_.erase(id) == 0 || end != End::kUndone) return;
     stopped_ = true;
     stopped_by_ = id;
 }
@@ -61,20 +61,20 @@
 }
 
 MoveDesk::Did MoveDesk::look(double pressure) {
-    above_ = pressure > terms_.pause_above ? above_ + 1 : 0;
-    below_ = pressure < terms_.resume_below ? below_ + 1 : 0;
-    if (!paused_ && above_ >= terms_.looks) {
+    samples_above_ = pressure > config_.pause_above ? samples_above_ + 1 : 0;
+    samples_below_ = pressure < config_.resume_below ? samples_below_ + 1 : 0;
+    if (!paused_ && samples_above_ >= config_.looks) {
         paused_ = true;
         return Did::kPaused;
     }
-    if (paused_ && below_ >= terms_.looks) {
+    if (paused_ && samples_below_ >= config_.looks) {
         paused_ = false;
         return Did::kResumed;
     }
     return Did::kNothing;
 }
 
-bool MoveDesk::done() const { return going_on_.empty() && (waiting_.empty() || stopped_); }
+bool MoveDesk::done() const { return running_.empty() && (waiting_.empty() || stopped_); }
 
 std::string MoveDesk::why() const {
     if (stopped_) return "move " + std::to_string(stopped_by_) + " was undone; plan again";
--- a/src/placement/move_desk.hpp
+++ b/src/placement/move_desk.hpp
@@ -38,7 +38,7 @@
 // Schedules moves within the configured limits.
 class MoveDesk {
 public:
-    explicit MoveDesk(DeskTerms terms) : terms_(terms) {}  // expects valid settings
+    explicit MoveDesk(DeskTerms terms) : config_(terms) {}  // expects valid settings
     // Validates the settings. Returns an error message, empty if they are valid.
     static std::string fault_of(const DeskTerms& terms);
 
@@ -58,20 +58,20 @@
 
     bool done() const;        // no move is running and none can begin any more
     std::string why() const;  // why no move begins; empty if moves may begin
-    std::size_t going_on() const { return going_on_.size(); }
+    std::size_t going_on() const { return running_.size(); }
     std::size_t waiting() const { return waiting_.size(); }
 
 private:
-    bool fits(const WantedMove& wanted) const;
+    bool within_limits(const WantedMove& wanted) const;
 
-    const DeskTerms terms_;
+    const DeskTerms config_;
     std::vector<WantedMove> waiting_;  // begun moves first, then by wave, then in order of add()
-    std::map<MoveId, WantedMove> going_on_;
+    std::map<MoveId, WantedMove> running_;
     bool paused_ = false;
     bool paused_by_hand_ = false;
     bool stopped_ = false;
     MoveId stopped_by_ = 0;
-    int above_ = 0, below_ = 0;
+    int samples_above_ = 0, samples_below_ = 0;
 };
 
 }  // namespace pinedoor::placement
--- a/src/placement/mover.cpp
+++ b/src/placement/mover.cpp
@@ -36,9 +36,9 @@
 std::vector<Action> Mover::start(Time now) {
     now_ = now;
     // A saved step is durable. Answers received before a restart are lost, so its requests are sent again.
-    kept_ = move_.step != MoveStep::kPrepare;
-    if (!kept_) actions_.emplace_back(Keep{move_});
-    ask();
+    step_saved_ = move_.step != MoveStep::kPrepare;
+    if (!step_saved_) actions_.emplace_back(Keep{move_});
+    send_requests();
     return std::exchange(actions_, {});
 }
 
@@ -48,23 +48,23 @@
     return std::exchange(actions_, {});
 }
 
-void Mover::go(MoveStep step) {
+void Mover::enter_step(MoveStep step) {
     move_.step = step;
-    kept_ = false;
+    step_saved_ = false;
     actions_.emplace_back(Keep{move_});
 }
 
 // Sends the requests of the current step once the step is durable, and schedules their repetition.
-void Mover::ask() {
-    if (!kept_ || ended()) return;
+void Mover::send_requests() {
+    if (!step_saved_ || ended()) return;
     if (paused_ && move_.step <= MoveStep::kCatchUp) return;
     switch (move_.step) {
         case MoveStep::kPrepare: actions_.emplace_back(AskCopy{}); break;
         case MoveStep::kCatchUp: actions_.emplace_back(AskMissing{}); break;
         case MoveStep::kFence:
-            if (fence_since_ < 0) fence_since_ = now_;
+            if (fence_requested_at_ < 0) fence_requested_at_ = now_;
             if (fenced_)
-                actions_.emplace_back(AskReach{fence_at_});
+                actions_.emplace_back(AskReach{fence_position_});
             else
                 actions_.emplace_back(AskFence{});
             break;
@@ -84,40 +84,40 @@
         case MoveStep::kDone:
         case MoveStep::kUndone: return;
     }
-    asked_at_ = now_;
-    actions_.emplace_back(Wake{now_ + terms_.ask_again});
+    last_request_at_ = now_;
+    actions_.emplace_back(Wake{now_ + config_.request_retry_interval});
 }
 
 void Mover::on(const Kept& kept) {
     if (kept.step != move_.step) return;  // delayed confirmation of an earlier step
-    kept_ = true;
+    step_saved_ = true;
     if (ended()) {
         actions_.emplace_back(Ended{move_.step == MoveStep::kDone});
         return;
     }
-    ask();
+    send_requests();
 }
 
 void Mover::on(const Copied&) {
-    if (move_.step == MoveStep::kPrepare && kept_) go(MoveStep::kCatchUp);
+    if (move_.step == MoveStep::kPrepare && step_saved_) enter_step(MoveStep::kCatchUp);
 }
 
 void Mover::on(const Missing& missing) {
-    if (move_.step != MoveStep::kCatchUp || !kept_ || paused_) return;
-    if (missing.much <= terms_.close_enough) go(MoveStep::kFence);
+    if (move_.step != MoveStep::kCatchUp || !step_saved_ || paused_) return;
+    if (missing.much <= config_.max_lag_at_fence) enter_step(MoveStep::kFence);
 }
 
 void Mover::on(const Fenced& fenced) {
-    if (move_.step != MoveStep::kFence || !kept_ || fenced_) return;
+    if (move_.step != MoveStep::kFence || !step_saved_ || fenced_) return;
     fenced_ = true;
-    fence_at_ = fenced.upto;
-    ask();
+    fence_position_ = fenced.upto;
+    send_requests();
 }
 
 void Mover::on(const Reached& reached) {
-    if (move_.step != MoveStep::kFence || !kept_ || !fenced_) return;
-    if (reached.upto < fence_at_) return;  // answers an earlier request
-    go(MoveStep::kSwitch);
+    if (move_.step != MoveStep::kFence || !step_saved_ || !fenced_) return;
+    if (reached.upto < fence_position_) return;  // answers an earlier request
+    enter_step(MoveStep::kSwitch);
 }
 
 void Mover::on(const Published&) {
@@ -125,58 +125,61 @@
 }
 
 void Mover::on(const Owns&) {
-    if (move_.step == MoveStep::kSwitch && kept_ && published_) go(MoveStep::kDrain);
+    if (move_.step == MoveStep::kSwitch && step_saved_ && published_) enter_step(MoveStep::kDrain);
 }
 
 void Mover::on(const Drained&) {
-    if (move_.step == MoveStep::kDrain && kept_) go(MoveStep::kRetire);
+    if (move_.step == MoveStep::kDrain && step_saved_) enter_step(MoveStep::kRetire);
 }
 
 void Mover::on(const Dropped& dropped) {
-    if (move_.step == MoveStep::kRetire && kept_ && dropped.box == move_.from) return go(MoveStep::kDone);
-    if (move_.step != MoveStep::kUndo || !kept_ || dropped.box != move_.to) return;
+    if (move_.step == MoveStep::kRetire && step_saved_ && dropped.box == move_.from)
+        return enter_step(MoveStep::kDone);
+    if (move_.step != MoveStep::kUndo || !step_saved_ || dropped.box != move_.to) return;
     dropped_ = true;
-    if (unfenced_) go(MoveStep::kUndone);
+    if (unfenced_) enter_step(MoveStep::kUndone);
 }
 
 void Mover::on(const Unfenced&) {
-    if (move_.step != MoveStep::kUndo || !kept_) return;
+    if (move_.step != MoveStep::kUndo || !step_saved_) return;
     unfenced_ = true;
-    if (dropped_) go(MoveStep::kUndone);
+    if (dropped_) enter_step(MoveStep::kUndone);
 }
 
 void Mover::on(const AbortAsked&) {
     if (move_.step == MoveStep::kUndo || ended()) return;
-    if (!may_undo()) {
+    if (!can_undo()) {
         actions_.emplace_back(CannotAbort{});
         return;
     }
-    go(MoveStep::kUndo);
+    enter_step(MoveStep::kUndo);
 }
 
 void Mover::on(const Pause&) { paused_ = true; }
 
 void Mover::on(const Resume&) {
-    if (std::exchange(paused_, false)) ask();
+    if (std::exchange(paused_, false)) send_requests();
 }
 
 void Mover::on(const Tick&) {
-    if (move_.step == MoveStep::kFence && fence_since_ >= 0 && now_ - fence_since_ >= terms_.longest_fence)
-        return go(MoveStep::kUndo);  // no server runs a fenced shard, so its old owner must resume
-    if (kept_ && !ended() && now_ - asked_at_ >= terms_.ask_again) return ask();
+    if (move_.step == MoveStep::kFence && fence_requested_at_ >= 0 &&
+        now_ - fence_requested_at_ >= config_.max_fence_duration)
+        return enter_step(MoveStep::kUndo);  // no server runs a fenced shard, so its old owner must resume
+    if (step_saved_ && !ended() && now_ - last_request_at_ >= config_.request_retry_interval)
+        return send_requests();
     // Repeats the save too, since it may have failed without a report.
-    if (!kept_ && now_ - asked_at_ >= terms_.ask_again) {
+    if (!step_saved_ && now_ - last_request_at_ >= config_.request_retry_interval) {
         actions_.emplace_back(Keep{move_});
-        asked_at_ = now_;
-        actions_.emplace_back(Wake{now_ + terms_.ask_again});
+        last_request_at_ = now_;
+        actions_.emplace_back(Wake{now_ + config_.request_retry_interval});
     }
 }
 
 std::string Mover::state() const {
     std::string text(name_of(move_.step));
-    for (const bool flag : {kept_, paused_, fenced_, published_, unfenced_, dropped_})
+    for (const bool flag : {step_saved_, paused_, fenced_, published_, unfenced_, dropped_})
         text += flag ? '1' : '0';
-    return text + std::to_string(fence_at_);
+    return text + std::to_string(fence_position_);
 }
 
 }  // namespace pinedoor::placement
--- a/src/placement/mover.hpp
+++ b/src/placement/mover.hpp
@@ -85,9 +85,9 @@
 };
 
 struct MoveTerms {
-    Position close_enough = 100;  // fences once `to` lacks at most this many positions
-    Time ask_again = 2'000;       // repeats unanswered requests and saves
-    Time longest_fence = 20'000;  // no server runs the shard during the fence; then the move is undone
+    Position max_lag_at_fence = 100;      // fences once `to` lacks at most this many positions
+    Time request_retry_interval = 2'000;  // repeats unanswered requests and saves
+    Time max_fence_duration = 20'000;  // no server runs the shard during the fence; then the move is undone
 };
 
 namespace moving {
@@ -172,7 +172,7 @@
 
 class Mover {
 public:
-    Mover(Move move, MoveTerms terms) : terms_(terms), move_(move) {}
+    Mover(Move move, MoveTerms terms) : config_(terms), move_(move) {}
 
     // Starts a new move, or resumes a saved one from its step.
     std::vector<moving::Action> start(Time now);
@@ -188,9 +188,9 @@
     std::string state() const;
 
 private:
-    bool may_undo() const { return move_.step <= MoveStep::kFence; }
-    void go(MoveStep step);
-    void ask();
+    bool can_undo() const { return move_.step <= MoveStep::kFence; }
+    void enter_step(MoveStep step);
+    void send_requests();
     void on(const moving::Kept& kept);
     void on(const moving::Copied&);
     void on(const moving::Missing& missing);
@@ -206,17 +206,17 @@
     void on(const moving::Resume&);
     void on(const moving::Tick&);
 
-    MoveTerms terms_;
+    MoveTerms config_;
     Move move_;
     Time now_ = 0;
-    bool kept_ = false;  // the current step is saved durably
+    bool step_saved_ = false;  // the current step is saved durably
     bool paused_ = false;
     bool fenced_ = false;
-    Position fence_at_ = 0;
-    Time fence_since_ = -1;  // time of the first fence request; -1: none was sent
+    Position fence_position_ = 0;
+    Time fence_requested_at_ = -1;  // time of the first fence request; -1: none was sent
     bool published_ = false;
     bool unfenced_ = false, dropped_ = false;  // kUndo: requests that were answered
-    Time asked_at_ = 0;
+    Time last_request_at_ = 0;
     std::uint64_t impossible_ = 0;
     std::vector<moving::Action> actions_;
 };
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -10,29 +10,29 @@
 namespace pinedoor::placement {
 namespace {
 
-using Placed = std::vector<std::vector<Replica>>;
-constexpr std::size_t kNowhere = std::numeric_limits<std::size_t>::max();
+using Placement = std::vector<std::vector<Replica>>;
+constexpr std::size_t kNotFound = std::numeric_limits<std::size_t>::max();
 // Number of least loaded servers that a replica is tried on. Trying all 500 servers of a fleet gives the same
 // highest load and takes ten times as long (docs/placement.md).
-constexpr std::size_t kTried = 24;
-constexpr double kNoGain = 1e-9;
+constexpr std::size_t kMaxCandidates = 24;
+constexpr double kMinGain = 1e-9;
 
 std::string shard_name(ShardId id) { return "shard " + std::to_string(id); }
 std::string box_name(BoxId id) { return "box " + std::to_string(id); }
 
-bool has(const std::vector<BoxId>& boxes, BoxId box) {
+bool contains(const std::vector<BoxId>& boxes, BoxId box) {
     return std::find(boxes.begin(), boxes.end(), box) != boxes.end();
 }
 
 // Position of each server in Fleet::boxes, by id.
-class Index {
+class ServerIndex {
 public:
-    explicit Index(const Fleet& fleet) {
+    explicit ServerIndex(const Fleet& fleet) {
         for (std::size_t i = 0; i < fleet.boxes.size(); ++i) at_[fleet.boxes[i].id] = i;
     }
     std::size_t operator[](BoxId id) const {
         const auto at = at_.find(id);
-        return at == at_.end() ? kNowhere : at->second;
+        return at == at_.end() ? kNotFound : at->second;
     }
 
 private:
@@ -49,18 +49,19 @@
 }
 
 // A placement that is being changed, with the load, used space and shards of each server.
-class Draft {
+class DraftPlacement {
 public:
-    Draft(const Fleet& fleet, const Placed& placed) : fleet_(fleet), index_(fleet), placed_(placed) {
+    DraftPlacement(const Fleet& fleet, const Placement& placed)
+        : fleet_(fleet), index_(fleet), placed_(placed) {
         load_.resize(fleet.boxes.size());
         used_.resize(fleet.boxes.size());
         shards_on_.resize(fleet.boxes.size());
         for (std::size_t s = 0; s < fleet.shards.size(); ++s) count(s, 1);
     }
 
-    const Placed& placed() const { return placed_; }
+    const Placement& placed() const { return placed_; }
     const std::vector<Replica>& of(std::size_t shard) const { return placed_[shard]; }
-    double fullness(std::size_t box) const { return load_[box] / fleet_.boxes[box].capacity; }
+    double relative_load(std::size_t box) const { return load_[box] / fleet_.boxes[box].capacity; }
     const std::set<std::size_t>& shards_on(std::size_t box) const { return shards_on_[box]; }
     std::size_t box(BoxId id) const { return index_[id]; }
 
@@ -77,17 +78,17 @@
     }
 
     // Whether the server may hold a replica of the shard beside the `others`.
-    bool may_hold(std::size_t shard, std::size_t box, const std::vector<Replica>& others) const {
+    bool can_hold(std::size_t shard, std::size_t box, const std::vector<Replica>& others) const {
         const auto& need = fleet_.shards[shard];
         const auto& to = fleet_.boxes[box];
-        if (to.draining || is_on(others, to.id) || has(need.never_on, to.id)) return false;
+        if (to.draining || is_on(others, to.id) || contains(need.never_on, to.id)) return false;
         const double held = is_on(placed_[shard], to.id) ? need.size : 0;
         if (used_[box] - held + need.size > to.space * fleet_.terms.fill) return false;
-        return zone_is_free(others, to.zone);
+        return zone_has_capacity(others, to.zone);
     }
 
     // Whether one more replica in the zone keeps the replicas spread evenly over the zones.
-    bool zone_is_free(const std::vector<Replica>& others, int zone) const {
+    bool zone_has_capacity(const std::vector<Replica>& others, int zone) const {
         std::map<int, std::size_t> in;
         for (const auto& each : others) ++in[fleet_.boxes[index_[each.box]].zone];
         const auto zones = std::max<std::size_t>(1, zones_);
@@ -109,9 +110,9 @@
     }
 
     const Fleet& fleet_;
-    const Index index_;
+    const ServerIndex index_;
     const std::size_t zones_ = zones_of(fleet_);
-    Placed placed_;
+    Placement placed_;
     std::vector<double> load_, used_;
     std::vector<std::set<std::size_t>> shards_on_;
 };
@@ -120,10 +121,10 @@
 class Planner {
 public:
     explicit Planner(const Fleet& fleet) : fleet_(fleet), draft_(fleet, now(fleet)) {
-        for (std::size_t b = 0; b < fleet.boxes.size(); ++b) by_fullness_.insert({draft_.fullness(b), b});
+        for (std::size_t b = 0; b < fleet.boxes.size(); ++b) by_load_.insert({draft_.relative_load(b), b});
     }
 
-    Placed target(std::vector<std::string>& unmet) {
+    Placement target(std::vector<std::string>& unmet) {
         // Places the shards with the highest load first, while there is most space.
         std::vector<std::size_t> order(fleet_.shards.size());
         for (std::size_t s = 0; s < order.size(); ++s) order[s] = s;
@@ -132,14 +133,14 @@
             const auto& y = fleet_.shards[b];
             return x.reads + x.writes > y.reads + y.writes;
         });
-        for (const auto shard : order) repair(shard, unmet);
+        for (const auto shard : order) enforce_constraints(shard, unmet);
         balance();
         return draft_.placed();
     }
 
 private:
-    static Placed now(const Fleet& fleet) {
-        Placed placed;
+    static Placement now(const Fleet& fleet) {
+        Placement placed;
         for (const auto& each : fleet.shards) placed.push_back(each.now);
         return placed;
     }
@@ -148,35 +149,35 @@
         std::set<std::size_t> touched;
         for (const auto& each : draft_.of(shard)) touched.insert(draft_.box(each.box));
         for (const auto& each : replicas) touched.insert(draft_.box(each.box));
-        for (const auto box : touched) by_fullness_.erase({draft_.fullness(box), box});
+        for (const auto box : touched) by_load_.erase({draft_.relative_load(box), box});
         draft_.set(shard, std::move(replicas));
-        for (const auto box : touched) by_fullness_.insert({draft_.fullness(box), box});
+        for (const auto box : touched) by_load_.insert({draft_.relative_load(box), box});
     }
 
     // Enforces the hard constraints of a shard: no replica on draining or forbidden servers, replicas on the
     // pinned servers, even spread over the zones, and the configured number of replicas.
-    void repair(std::size_t shard, std::vector<std::string>& unmet) {
+    void enforce_constraints(std::size_t shard, std::vector<std::string>& unmet) {
         const auto& need = fleet_.shards[shard];
         std::vector<Replica> kept;
         const auto wanted = need.replicas;
         const auto keep = [&](BoxId box) {
             if (kept.size() >= wanted || is_on(kept, box)) return;
             const auto at = draft_.box(box);
-            if (fleet_.boxes[at].draining || has(need.never_on, box)) return;
-            if (!draft_.zone_is_free(kept, fleet_.boxes[at].zone)) return;
+            if (fleet_.boxes[at].draining || contains(need.never_on, box)) return;
+            if (!draft_.zone_has_capacity(kept, fleet_.boxes[at].zone)) return;
             kept.push_back({box, Role::kReader});
         };
         for (const auto box : need.pinned) {
             if (is_on(need.now, box))
                 keep(box);
-            else if (kept.size() < wanted && draft_.may_hold(shard, draft_.box(box), kept))
+            else if (kept.size() < wanted && draft_.can_hold(shard, draft_.box(box), kept))
                 kept.push_back({box, Role::kReader});
         }
         keep(owner_of(need.now));
         for (const auto& each : need.now) keep(each.box);
         while (kept.size() < wanted) {
-            const auto to = emptiest(shard, kept);
-            if (to == kNowhere) break;
+            const auto to = least_loaded(shard, kept);
+            if (to == kNotFound) break;
             kept.push_back({fleet_.boxes[to].id, Role::kReader});
         }
         if (kept.size() < wanted) {
@@ -201,25 +202,25 @@
         set(shard, std::move(kept));
     }
 
-    std::size_t emptiest(std::size_t shard, const std::vector<Replica>& others) const {
-        for (const auto& [fullness, box] : by_fullness_) {
-            if (draft_.may_hold(shard, box, others)) return box;
+    std::size_t least_loaded(std::size_t shard, const std::vector<Replica>& others) const {
+        for (const auto& [relative_load, box] : by_load_) {
+            if (draft_.can_hold(shard, box, others)) return box;
         }
-        return kNowhere;
+        return kNotFound;
     }
 
     double mean() const {
         double load = 0, capacity = 0;
         for (std::size_t b = 0; b < fleet_.boxes.size(); ++b) {
             const auto& box = fleet_.boxes[b];
-            load += draft_.fullness(b) * box.capacity;
+            load += draft_.relative_load(b) * box.capacity;
             capacity += box.draining ? 0 : box.capacity;
         }
         return capacity > 0 ? load / capacity : 0;
     }
 
     struct Change {
-        std::size_t shard = kNowhere;
+        std::size_t shard = kNotFound;
         std::vector<Replica> replicas;
         double fullest = 0;  // higher load of the two servers concerned, after the change
         double size = 0;     // of the moved data
@@ -228,47 +229,47 @@
     // Moves load off the most loaded server while that lowers the higher load of the two servers concerned.
     void balance() {
         const double enough = mean() * (1 + fleet_.terms.near_enough);
-        std::set<std::size_t> given_up;  // servers that no change can relieve
+        std::set<std::size_t> not_improvable;  // servers that no change can relieve
         for (std::size_t copies = 0; copies < fleet_.terms.most_copies;) {
-            auto fullest = by_fullness_.rbegin();
-            while (fullest != by_fullness_.rend() && given_up.contains(fullest->second)) ++fullest;
-            if (fullest == by_fullness_.rend() || fullest->first <= enough) return;
+            auto fullest = by_load_.rbegin();
+            while (fullest != by_load_.rend() && not_improvable.contains(fullest->second)) ++fullest;
+            if (fullest == by_load_.rend() || fullest->first <= enough) return;
             const auto box = fullest->second;
-            auto change = best_off(box);
-            if (change.shard == kNowhere) change = best_swap(box);
-            if (change.shard == kNowhere) {
-                given_up.insert(box);
+            auto change = best_relief(box);
+            if (change.shard == kNotFound) change = best_swap(box);
+            if (change.shard == kNotFound) {
+                not_improvable.insert(box);
                 continue;
             }
             copies += change.size > 0 ? 1 : 0;
             set(change.shard, std::move(change.replicas));
-            if (second_.shard != kNowhere) {
-                set(second_.shard, std::move(second_.replicas));
-                second_.shard = kNowhere;
+            if (swap_second_.shard != kNotFound) {
+                set(swap_second_.shard, std::move(swap_second_.replicas));
+                swap_second_.shard = kNotFound;
                 ++copies;
             }
-            given_up.clear();
+            not_improvable.clear();
         }
     }
 
     bool better(const Change& a, const Change& b) const {
-        if (b.shard == kNowhere) return true;
-        if (a.fullest < b.fullest - kNoGain) return true;
-        return a.fullest < b.fullest + kNoGain && a.size < b.size;
+        if (b.shard == kNotFound) return true;
+        if (a.fullest < b.fullest - kMinGain) return true;
+        return a.fullest < b.fullest + kMinGain && a.size < b.size;
     }
 
     // The change of one shard that minimizes the higher load of the two servers: either passes ownership to
     // another replica, which moves no data, or moves the replica to one of the least loaded servers.
-    Change best_off(std::size_t box) const {
+    Change best_relief(std::size_t box) const {
         Change best;
         const auto id = fleet_.boxes[box].id;
-        const double full = draft_.fullness(box);
+        const double full = draft_.relative_load(box);
         const auto consider = [&](std::size_t shard, std::size_t to, std::vector<Replica> replicas,
                                   double off, double onto, double size) {
             const double here = full - off / fleet_.boxes[box].capacity;
-            const double there = draft_.fullness(to) + onto / fleet_.boxes[to].capacity;
+            const double there = draft_.relative_load(to) + onto / fleet_.boxes[to].capacity;
             Change change{shard, {}, std::max(here, there), size};
-            if (change.fullest >= full - kNoGain || !better(change, best)) return;
+            if (change.fullest >= full - kMinGain || !better(change, best)) return;
             change.replicas = std::move(replicas);
             best = std::move(change);
         };
@@ -284,15 +285,15 @@
                     consider(shard, draft_.box(each.box), std::move(passed), need.writes, need.writes, 0);
                 }
             }
-            if (has(need.pinned, id)) continue;
+            if (contains(need.pinned, id)) continue;
             auto others = replicas;
             std::erase_if(others, [id](const Replica& r) { return r.box == id; });
-            const double share = Draft::share(need, replicas.size(), owner);
+            const double share = DraftPlacement::share(need, replicas.size(), owner);
             if (share <= 0) continue;
             std::size_t tried = 0;
-            for (const auto& [fullness, to] : by_fullness_) {
-                if (tried == kTried || fullness >= full) break;
-                if (!draft_.may_hold(shard, to, others)) continue;
+            for (const auto& [relative_load, to] : by_load_) {
+                if (tried == kMaxCandidates || relative_load >= full) break;
+                if (!draft_.can_hold(shard, to, others)) continue;
                 ++tried;
                 auto moved = others;
                 moved.push_back({fleet_.boxes[to].id, owner ? Role::kOwner : Role::kReader});
@@ -308,20 +309,20 @@
     Change best_swap(std::size_t box) {
         Change best;
         const auto id = fleet_.boxes[box].id;
-        const double full = draft_.fullness(box);
+        const double full = draft_.relative_load(box);
         std::size_t tried = 0;
-        for (const auto& [fullness, other] : by_fullness_) {
-            if (tried++ == kTried || fullness >= full) break;
+        for (const auto& [relative_load, other] : by_load_) {
+            if (tried++ == kMaxCandidates || relative_load >= full) break;
             const auto other_id = fleet_.boxes[other].id;
             if (fleet_.boxes[other].draining) continue;
             for (const auto mine : draft_.shards_on(box)) {
-                if (is_on(draft_.of(mine), other_id) || has(fleet_.shards[mine].pinned, id) ||
-                    has(fleet_.shards[mine].never_on, other_id))
+                if (is_on(draft_.of(mine), other_id) || contains(fleet_.shards[mine].pinned, id) ||
+                    contains(fleet_.shards[mine].never_on, other_id))
                     continue;
                 for (const auto theirs : draft_.shards_on(other)) {
                     const auto& need = fleet_.shards[theirs];
-                    if (is_on(draft_.of(theirs), id) || has(need.pinned, other_id) ||
-                        has(need.never_on, id) || fleet_.boxes[box].draining ||
+                    if (is_on(draft_.of(theirs), id) || contains(need.pinned, other_id) ||
+                        contains(need.never_on, id) || fleet_.boxes[box].draining ||
                         need.size != fleet_.shards[mine].size)
                         continue;
                     consider_swap(best, {box, mine}, {other, theirs}, full);
@@ -335,16 +336,17 @@
                        std::pair<std::size_t, std::size_t> theirs, double full) {
         const auto share = [this](const std::pair<std::size_t, std::size_t>& one) {
             const auto& replicas = draft_.of(one.second);
-            return Draft::share(fleet_.shards[one.second], replicas.size(),
-                                owner_of(replicas) == fleet_.boxes[one.first].id);
+            return DraftPlacement::share(fleet_.shards[one.second], replicas.size(),
+                                         owner_of(replicas) == fleet_.boxes[one.first].id);
         };
         const double off = share(mine) - share(theirs);
-        if (off <= kNoGain) return;
+        if (off <= kMinGain) return;
         const auto& a = fleet_.boxes[mine.first];
         const auto& b = fleet_.boxes[theirs.first];
         Change change{mine.second, {}, 0, 2 * fleet_.shards[mine.second].size};
-        change.fullest = std::max(full - off / a.capacity, draft_.fullness(theirs.first) + off / b.capacity);
-        if (change.fullest >= full - kNoGain || !better(change, best)) return;
+        change.fullest =
+            std::max(full - off / a.capacity, draft_.relative_load(theirs.first) + off / b.capacity);
+        if (change.fullest >= full - kMinGain || !better(change, best)) return;
         const auto swapped = [this](std::size_t shard, const Box& from,
                                     const Box& to) -> std::vector<Replica> {
             auto replicas = draft_.of(shard);
@@ -352,7 +354,7 @@
             for (const auto& each : replicas) {
                 if (each.box != from.id) others.push_back(each);
             }
-            if (!draft_.zone_is_free(others, to.zone)) return {};
+            if (!draft_.zone_has_capacity(others, to.zone)) return {};
             for (auto& each : replicas) {
                 if (each.box == from.id) each.box = to.id;
             }
@@ -362,13 +364,13 @@
         Change second{theirs.second, swapped(theirs.second, b, a), 0, 0};
         if (change.replicas.empty() || second.replicas.empty()) return;
         best = std::move(change);
-        second_ = std::move(second);
+        swap_second_ = std::move(second);
     }
 
     const Fleet& fleet_;
-    Draft draft_;
-    std::set<std::pair<double, std::size_t>> by_fullness_;
-    Change second_;  // second half of a swap
+    DraftPlacement draft_;
+    std::set<std::pair<double, std::size_t>> by_load_;
+    Change swap_second_;  // second half of a swap
 };
 
 // Applies steps to the current placement and tracks the replicas, the used space and the steps of the current
@@ -380,42 +382,43 @@
             const auto& need = fleet.shards[s];
             at_[need.shard] = s;
             placed_.push_back(need.now);
-            least_.push_back(std::min(need.now.size(), fleet.terms.sound));
+            min_replicas_.push_back(std::min(need.now.size(), fleet.terms.sound));
             for (const auto& each : need.now) used_[index_[each.box]] += need.size;
         }
         begin_wave();
     }
 
     void begin_wave() {
-        in_ = out_ = std::vector<std::size_t>(fleet_.boxes.size());
+        copies_in_ = copies_out_ = std::vector<std::size_t>(fleet_.boxes.size());
         copies_ = 0;
         touched_.clear();
     }
 
-    const Placed& placed() const { return placed_; }
+    const Placement& placed() const { return placed_; }
     std::size_t shard(ShardId id) const {
         const auto at = at_.find(id);
-        return at == at_.end() ? kNowhere : at->second;
+        return at == at_.end() ? kNotFound : at->second;
     }
 
     // Why the step is not allowed in this wave; empty if it is allowed.
-    std::string hinders(const PlanStep& step) const {
+    std::string violation_of(const PlanStep& step) const {
         const auto s = shard(step.shard);
-        if (s == kNowhere) return "there is no " + shard_name(step.shard);
+        if (s == kNotFound) return "there is no " + shard_name(step.shard);
         const auto& need = fleet_.shards[s];
         const auto& replicas = placed_[s];
         const auto from = index_[step.from], to = index_[step.to];
-        if (from == kNowhere || !is_on(replicas, step.from))
+        if (from == kNotFound || !is_on(replicas, step.from))
             return shard_name(step.shard) + " is not on " + box_name(step.from);
         if (touched_.contains(s)) return shard_name(step.shard) + " has a step in this wave already";
         switch (step.kind) {
             case PlanStep::Kind::kCopy:
-                if (to == kNowhere) return "there is no " + box_name(step.to);
+                if (to == kNotFound) return "there is no " + box_name(step.to);
                 if (is_on(replicas, step.to)) return shard_name(step.shard) + " is on " + box_name(step.to);
                 if (used_[to] + need.size > fleet_.boxes[to].space * fleet_.terms.fill)
                     return box_name(step.to) + " has no room for " + shard_name(step.shard);
                 if (copies_ >= fleet_.terms.at_once) return "too many copies at once";
-                if (in_[to] >= fleet_.terms.at_once_box || out_[from] >= fleet_.terms.at_once_box)
+                if (copies_in_[to] >= fleet_.terms.at_once_box ||
+                    copies_out_[from] >= fleet_.terms.at_once_box)
                     return "too many copies at once at one box";
                 return {};
             case PlanStep::Kind::kPass:
@@ -426,14 +429,14 @@
             case PlanStep::Kind::kRemove:
                 if (owner_of(replicas) == step.from)
                     return box_name(step.from) + " owns " + shard_name(step.shard);
-                if (replicas.size() <= std::max<std::size_t>(1, least_[s]))
+                if (replicas.size() <= std::max<std::size_t>(1, min_replicas_[s]))
                     return shard_name(step.shard) + " would fall below its sound replicas";
                 return {};
         }
         return {};
     }
 
-    void take(const PlanStep& step) {
+    void apply(const PlanStep& step) {
         const auto s = shard(step.shard);
         auto& replicas = placed_[s];
         touched_.insert(s);
@@ -442,8 +445,8 @@
             case PlanStep::Kind::kCopy:
                 replicas.push_back({step.to, Role::kReader});
                 used_[index_[step.to]] += size;
-                ++in_[index_[step.to]];
-                ++out_[index_[step.from]];
+                ++copies_in_[index_[step.to]];
+                ++copies_out_[index_[step.from]];
                 ++copies_;
                 return;
             case PlanStep::Kind::kPass:
@@ -465,12 +468,12 @@
 
 private:
     const Fleet& fleet_;
-    const Index index_;
+    const ServerIndex index_;
     std::unordered_map<ShardId, std::size_t> at_;
-    Placed placed_;
-    std::vector<std::size_t> least_;
+    Placement placed_;
+    std::vector<std::size_t> min_replicas_;
     std::vector<double> used_;
-    std::vector<std::size_t> in_, out_;
+    std::vector<std::size_t> copies_in_, copies_out_;
     std::size_t copies_ = 0;
     std::set<std::size_t> touched_;
     std::vector<std::pair<std::size_t, double>> freed_;
@@ -512,14 +515,14 @@
 }
 
 std::vector<double> loads(const Fleet& fleet, const std::vector<std::vector<Replica>>& placed) {
-    const Draft draft(fleet, placed);
+    const DraftPlacement draft(fleet, placed);
     std::vector<double> all;
-    for (std::size_t b = 0; b < fleet.boxes.size(); ++b) all.push_back(draft.fullness(b));
+    for (std::size_t b = 0; b < fleet.boxes.size(); ++b) all.push_back(draft.relative_load(b));
     return all;
 }
 
 std::string fault_of(const Fleet& fleet) {
-    const Index index(fleet);
+    const ServerIndex index(fleet);
     std::set<BoxId> boxes;
     bool any = false;
     for (const auto& box : fleet.boxes) {
@@ -538,23 +541,24 @@
         std::set<BoxId> on_boxes;
         int owners = 0;
         for (const auto& each : need.now) {
-            if (index[each.box] == kNowhere)
+            if (index[each.box] == kNotFound)
                 return name + " is on " + box_name(each.box) + ", which is not there";
             if (!on_boxes.insert(each.box).second) return name + " is twice on " + box_name(each.box);
             owners += each.role == Role::kOwner ? 1 : 0;
         }
         if (owners != 1) return name + (owners == 0 ? " has no owner" : " has two owners");
         for (const auto box : need.pinned) {
-            if (index[box] == kNowhere)
+            if (index[box] == kNotFound)
                 return name + " is pinned to " + box_name(box) + ", which is not there";
-            if (has(need.never_on, box)) return name + " is pinned to " + box_name(box) + " and kept off it";
+            if (contains(need.never_on, box))
+                return name + " is pinned to " + box_name(box) + " and kept off it";
         }
     }
     return {};
 }
 
-std::string fault_of_target(const Fleet& fleet, const std::vector<std::vector<Replica>>& placed) {
-    const Index index(fleet);
+std::string violation_of_target(const Fleet& fleet, const std::vector<std::vector<Replica>>& placed) {
+    const ServerIndex index(fleet);
     const auto zones = std::max<std::size_t>(1, zones_of(fleet));
     std::vector<double> used(fleet.boxes.size());
     for (std::size_t s = 0; s < fleet.shards.size(); ++s) {
@@ -569,7 +573,7 @@
         for (const auto& each : placed[s]) {
             const auto& box = fleet.boxes[index[each.box]];
             if (box.draining) return name + " is on " + box_name(box.id) + ", which is draining";
-            if (has(need.never_on, box.id))
+            if (contains(need.never_on, box.id))
                 return name + " is on " + box_name(box.id) + ", where it must not be";
             if (!boxes.insert(box.id).second) return name + " is twice on " + box_name(box.id);
             if (++in_zone[box.zone] > (need.replicas + zones - 1) / zones)
@@ -591,7 +595,7 @@
 
 Plan order_steps(const Fleet& fleet, std::vector<std::vector<Replica>> target) {
     Plan made;
-    const auto fullest = [&](const Placed& placed) {
+    const auto fullest = [&](const Placement& placed) {
         const auto all = loads(fleet, placed);
         return all.empty() ? 0 : *std::max_element(all.begin(), all.end());
     };
@@ -609,9 +613,9 @@
         for (const bool copies : {false, true}) {
             for (const auto s : open) {
                 for (const auto& step : next_steps(fleet.shards[s], replay.placed()[s], target[s])) {
-                    if ((step.kind == PlanStep::Kind::kCopy) != copies || !replay.hinders(step).empty())
+                    if ((step.kind == PlanStep::Kind::kCopy) != copies || !replay.violation_of(step).empty())
                         continue;
-                    replay.take(step);
+                    replay.apply(step);
                     wave.push_back(step);
                     if (copies) {
                         ++made.copies;
@@ -630,7 +634,7 @@
     }
     for (const auto s : open) {
         const auto steps = next_steps(fleet.shards[s], replay.placed()[s], target[s]);
-        made.unmet.push_back(print(steps.front()) + ": " + replay.hinders(steps.front()));
+        made.unmet.push_back(print(steps.front()) + ": " + replay.violation_of(steps.front()));
         target[s] = replay.placed()[s];
     }
     if (!open.empty()) made.fullest_after = fullest(target);
@@ -651,9 +655,9 @@
     Replay replay(fleet);
     for (std::size_t w = 0; w < plan.waves.size(); ++w) {
         for (const auto& step : plan.waves[w]) {
-            if (const auto why = replay.hinders(step); !why.empty())
+            if (const auto why = replay.violation_of(step); !why.empty())
                 return "wave " + std::to_string(w + 1) + ", " + print(step) + ": " + why;
-            replay.take(step);
+            replay.apply(step);
         }
         replay.end_wave();
     }
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -83,7 +83,7 @@
 std::string fault_of(const Fleet& fleet);
 
 // Checks the hard constraints of a placement. Returns the first violation, empty if there is none.
-std::string fault_of_target(const Fleet& fleet, const std::vector<std::vector<Replica>>& placed);
+std::string violation_of_target(const Fleet& fleet, const std::vector<std::vector<Replica>>& placed);
 
 // Computes target and steps. Throws std::invalid_argument if the fleet is invalid.
 Plan plan(const Fleet& fleet);
--- a/tests/placement/explore_test.cpp
+++ b/tests/placement/explore_test.cpp
@@ -56,10 +56,10 @@
 };
 
 // Injected defects, which the exploration must find.
-struct Faults {
-    bool no_fence = false;    // `from` confirms the fence and continues to run parts
-    bool no_numbers = false;  // servers accept delayed requests of a move that has ended
-    bool own_early = false;   // the mover sends the own request during the fence
+struct InjectedDefects {
+    bool no_fence = false;     // `from` confirms the fence and continues to run parts
+    bool no_move_ids = false;  // servers accept delayed requests of a move that has ended
+    bool own_early = false;    // the mover sends the own request during the fence
 };
 
 // A state of the whole system.
@@ -100,24 +100,24 @@
 class Explorer {
 public:
     // How often each event may happen in one run, and the number of front nodes that send a part.
-    struct May {
+    struct Limits {
         int nodes = 2, crashes = 0, repeats = 0, aborts = 0, losses = 0;
     };
-    Explorer(Faults faults, May may) : faults_(faults), may_(may) {}
+    Explorer(InjectedDefects defects, Limits limits) : defects_(defects), limits_(limits) {}
 
     // Returns a violated invariant, empty if there is none.
     std::string run(std::size_t most) {
         State first;
-        first.crashes = may_.crashes;
-        first.repeats = may_.repeats;
-        first.aborts = may_.aborts;
-        first.losses = may_.losses;
-        if (may_.nodes < 2) first.nodes[1].sends = 0;
-        play(first, first.mover.start(0));
+        first.crashes = limits_.crashes;
+        first.repeats = limits_.repeats;
+        first.aborts = limits_.aborts;
+        first.losses = limits_.losses;
+        if (limits_.nodes < 2) first.nodes[1].sends = 0;
+        execute(first, first.mover.start(0));
         add(std::move(first), -1);
         for (std::size_t at = 0; at < states_.size(); ++at) {
             if (states_.size() > most) return "too many states";
-            if (const auto what = broken(states_[at]); !what.empty()) return what;
+            if (const auto what = violated(states_[at]); !what.empty()) return what;
             next(static_cast<int>(at));
         }
         // The move can end from every reachable state, so no step waits forever.
@@ -149,7 +149,7 @@
         const bool from_runs = s.from.owns() && !s.from.fenced(), to_runs = s.to.owns() && !s.to.fenced();
         return from_runs != to_runs;
     }
-    std::string broken(const State& s) {
+    std::string violated(const State& s) {
         for (const auto& node : s.nodes) {
             if (node.runs > 1) return "a part ran twice";
         }
@@ -180,7 +180,7 @@
         if (from >= 0) before_[static_cast<std::size_t>(found->second)].push_back(from);
     }
 
-    void play(State& s, const std::vector<m::Action>& actions) const {
+    void execute(State& s, const std::vector<m::Action>& actions) const {
         for (const auto& action : actions) {
             if (const auto* keep = std::get_if<m::Keep>(&action))
                 s.messages.insert({Kind::kKeep, std::uint8_t(keep->move.step), 0});
@@ -188,7 +188,7 @@
             if (std::holds_alternative<m::AskMissing>(action)) s.messages.insert({Kind::kMissing});
             if (std::holds_alternative<m::AskFence>(action)) {
                 s.messages.insert({Kind::kFence});
-                if (faults_.own_early) s.messages.insert({Kind::kOwn});
+                if (defects_.own_early) s.messages.insert({Kind::kOwn});
             }
             if (const auto* reach = std::get_if<m::AskReach>(&action))
                 s.messages.insert({Kind::kReach, std::uint8_t(reach->upto)});
@@ -200,13 +200,13 @@
             if (std::holds_alternative<m::AskUnfence>(action)) s.messages.insert({Kind::kUnfence});
         }
     }
-    void tell(State& s, const m::Event& event) const {
-        if (s.mover_up) play(s, s.mover.take(0, event));
+    void report(State& s, const m::Event& event) const {
+        if (s.mover_up) execute(s, s.mover.take(0, event));
     }
 
     // Delivers a message. Returns false, leaving the message pending, if its receiver is down.
     bool deliver(State& s, const Message& what) const {
-        const MoveId move = faults_.no_numbers ? 8 : 7;
+        const MoveId move = defects_.no_move_ids ? 8 : 7;
         const auto reply = [&s](Kind kind, int a = 0, int b = 0) {
             s.messages.insert({kind, std::uint8_t(a), std::uint8_t(b)});
         };
@@ -239,43 +239,43 @@
                 s.kept.step = static_cast<MoveStep>(what.a);
                 reply(Kind::kKept, what.a);
                 break;
-            case Kind::kKept: tell(s, m::Kept{static_cast<MoveStep>(what.a)}); break;
+            case Kind::kKept: report(s, m::Kept{static_cast<MoveStep>(what.a)}); break;
             case Kind::kCopy:
                 if (!s.from_up || !s.to.copy(move)) break;
                 s.data_to |= s.data_from;
                 reply(Kind::kCopied);
                 break;
-            case Kind::kCopied: tell(s, m::Copied{}); break;
+            case Kind::kCopied: report(s, m::Copied{}); break;
             case Kind::kMissing:
                 if (!s.from_up || !s.to.has_copy()) break;
                 reply(Kind::kMissingIs, std::popcount(std::uint8_t(s.data_from & ~s.data_to)));
                 s.data_to |= s.data_from;
                 break;
-            case Kind::kMissingIs: tell(s, m::Missing{what.a}); break;
+            case Kind::kMissingIs: report(s, m::Missing{what.a}); break;
             case Kind::kFence:
-                if (!faults_.no_fence && !s.from.fence(move, kBefore)) break;
+                if (!defects_.no_fence && !s.from.fence(move, kBefore)) break;
                 reply(Kind::kFenced, std::popcount(s.data_from));
                 break;
-            case Kind::kFenced: tell(s, m::Fenced{what.a}); break;
+            case Kind::kFenced: report(s, m::Fenced{what.a}); break;
             case Kind::kReach:
                 if (!s.from_up || !s.to.has_copy()) break;
                 s.data_to |= s.data_from;
                 reply(Kind::kReached, what.a);
                 break;
-            case Kind::kReached: tell(s, m::Reached{what.a}); break;
+            case Kind::kReached: report(s, m::Reached{what.a}); break;
             case Kind::kPublish:
                 s.published = true;
                 reply(Kind::kPublished);
                 break;
-            case Kind::kPublished: tell(s, m::Published{}); break;
+            case Kind::kPublished: report(s, m::Published{}); break;
             case Kind::kOwn:
                 if (s.to.own(move, kBefore + 1)) reply(Kind::kOwns);
                 break;
-            case Kind::kOwns: tell(s, m::Owns{}); break;
+            case Kind::kOwns: report(s, m::Owns{}); break;
             case Kind::kDrained: reply(Kind::kDrainedIs); break;
-            case Kind::kDrainedIs: tell(s, m::Drained{}); break;
+            case Kind::kDrainedIs: report(s, m::Drained{}); break;
             case Kind::kDropFrom:
-                if (!s.from.drop(faults_.no_fence ? 100 : move, kBefore + 1) && !faults_.no_fence) break;
+                if (!s.from.drop(defects_.no_fence ? 100 : move, kBefore + 1) && !defects_.no_fence) break;
                 s.data_from = 0;
                 reply(Kind::kDroppedFrom);
                 break;
@@ -284,14 +284,14 @@
                 s.data_to = 0;
                 reply(Kind::kDroppedTo);
                 break;
-            case Kind::kDroppedFrom: tell(s, m::Dropped{kFrom}); break;
-            case Kind::kDroppedTo: tell(s, m::Dropped{kTo}); break;
+            case Kind::kDroppedFrom: report(s, m::Dropped{kFrom}); break;
+            case Kind::kDroppedTo: report(s, m::Dropped{kTo}); break;
             case Kind::kUnfence:
                 s.from.unfence(7);
-                if (faults_.no_numbers) s.from.unfence(8), s.from = BoxGuard(true, kBefore);
+                if (defects_.no_move_ids) s.from.unfence(8), s.from = BoxGuard(true, kBefore);
                 reply(Kind::kUnfenced);
                 break;
-            case Kind::kUnfenced: tell(s, m::Unfenced{}); break;
+            case Kind::kUnfenced: report(s, m::Unfenced{}); break;
             case Kind::kPart: {
                 auto& node = s.nodes[what.a];
                 auto& guard = what.b == kBefore ? s.from : s.to;
@@ -355,14 +355,14 @@
                                        [](const Message& each) { return each.kind >= Kind::kPart; });
         if (quiet && here.mover_up && !here.mover.ended()) {
             auto later = here;
-            play(later, later.mover.take(1'000'000, m::Tick{}));
+            execute(later, later.mover.take(1'000'000, m::Tick{}));
             later.mover.take(0, m::Resume{});
             add(std::move(later), at);
         }
         if (here.aborts > 0 && here.mover_up) {
             auto aborted = here;
             --aborted.aborts;
-            tell(aborted, m::AbortAsked{});
+            report(aborted, m::AbortAsked{});
             add(std::move(aborted), at);
         }
         for (int who = 0; who < 3 && here.crashes > 0; ++who) {
@@ -384,7 +384,7 @@
             if (!here.mover_up) {
                 back.mover = Mover(here.kept, {0, 1, INT64_MAX});
                 back.mover_up = true;
-                play(back, back.mover.start(0));
+                execute(back, back.mover.start(0));
             }
             back.from_up = back.to_up = true;
             add(std::move(back), at);
@@ -406,8 +406,8 @@
         }
     }
 
-    const Faults faults_;
-    const May may_;
+    const InjectedDefects defects_;
+    const Limits limits_;
     std::vector<State> states_;
     std::vector<std::vector<int>> before_;
     std::unordered_map<std::string, int> index_;
@@ -418,12 +418,12 @@
     "end") {
     int done = 0, undone = 0;
     std::size_t states = 0;
-    for (const auto& may :
-         {Explorer::May{2, 0, 0, 1, 0}, {1, 0, 0, 0, 1}, {1, 1, 0, 0, 0}, {1, 0, 1, 1, 0}}) {
-        Explorer explorer({}, may);
-        CAPTURE(may.nodes);
-        CAPTURE(may.crashes);
-        CAPTURE(may.repeats);
+    for (const auto& limits :
+         {Explorer::Limits{2, 0, 0, 1, 0}, {1, 0, 0, 0, 1}, {1, 1, 0, 0, 0}, {1, 0, 1, 1, 0}}) {
+        Explorer explorer({}, limits);
+        CAPTURE(limits.nodes);
+        CAPTURE(limits.crashes);
+        CAPTURE(limits.repeats);
         CHECK(explorer.run(400'000) == "");
         MESSAGE("states: " << explorer.states());
         done += explorer.done;
--- a/tests/placement/follow_test.cpp
+++ b/tests/placement/follow_test.cpp
@@ -15,7 +15,7 @@
 using Did = MapFollower::Did;
 constexpr Key kLast = std::numeric_limits<Key>::max();
 
-ShardMap good(std::variant<ShardMap, ShardMap::Refused> result) {
+ShardMap require_map(std::variant<ShardMap, ShardMap::Refused> result) {
     REQUIRE(std::holds_alternative<ShardMap>(result));
     return std::get<ShardMap>(result);
 }
@@ -41,7 +41,7 @@
                 step = Split{one.id, one.first + (one.last - one.first) / 2, next, next + 1};
             next += 2;
             steps.push_back(step);
-            maps.push_back(good(maps.back().after(step)));
+            maps.push_back(require_map(maps.back().after(step)));
         }
     }
     MapNews whole(Version version) const { return WholeMap{version, maps[version - 1].shards()}; }
@@ -98,8 +98,8 @@
         MapFollower follower({});
         Time now = 0;
         Version held = 0;
-        const int told = *rc::gen::inRange(1, 60);
-        for (int i = 0; i < told; ++i) {
+        const int updates = *rc::gen::inRange(1, 60);
+        for (int i = 0; i < updates; ++i) {
             now += *rc::gen::inRange(0, 2'000);
             const auto version = static_cast<Version>(*rc::gen::inRange(1, length + 2));
             if (*rc::gen::inRange(0, 4) == 0 || version == 1) {
--- a/tests/placement/front_test.cpp
+++ b/tests/placement/front_test.cpp
@@ -23,7 +23,7 @@
     explicit Fleet(std::size_t count, std::size_t shards, std::size_t replicas = 2)
         : boxes(count), map(ShardMap::even(shards, ids(count), replicas)) {
         for (std::size_t b = 1; b <= count; ++b) names.number("s-" + std::to_string(b));
-        boxes.know(map);
+        boxes.use_map(map);
         discovery.list(boxes.listed());
         discovery.map(print_map(map, names));
         program = std::make_unique<Program>(boxes.listed(), discovery.at());
@@ -34,7 +34,7 @@
         for (std::size_t b = 1; b <= count; ++b) all.push_back(static_cast<BoxId>(b));
         return all;
     }
-    void go() {
+    void start() {
         client = program->start().client();
         CHECK(program->counter_at("map_version", map.version()) == map.version());
     }
@@ -45,26 +45,27 @@
     void say(const std::string& op_type, const std::string& name, const std::vector<int>& splits) {
         client.say(post(op_type, name, asks(splits, op_type == "once" ? "once" : "sum")));
     }
-    // Applies a step at the index servers and to discovery's whole map; tell() sends it to the front node.
+    // Applies a step at the index servers and to discovery's whole map; send_steps() sends it to the front
+    // node.
     void step(const Step& step) {
         auto made = map.after(step);
         if (auto* refused = std::get_if<ShardMap::Refused>(&made)) FAIL(refused->why);
-        untold.push_back(step);
+        unsent_steps.push_back(step);
         map = std::get<ShardMap>(made);
-        boxes.know(map);
+        boxes.use_map(map);
         discovery.map(print_map(map, names));
     }
-    void tell() {
-        discovery.say(print_changes(map.version() - untold.size(), untold, names));
-        untold.clear();
+    void send_steps() {
+        discovery.say(print_changes(map.version() - unsent_steps.size(), unsent_steps, names));
+        unsent_steps.clear();
     }
     ShardId id() { return next_id++; }
 
-    Boxes boxes;
+    TestServers boxes;
     MapDiscovery discovery;
     BoxNames names;
     ShardMap map;
-    std::vector<Step> untold;
+    std::vector<Step> unsent_steps;
     ShardId next_id = 1'000;
     std::unique_ptr<Program> program;
     Peer client;
@@ -72,11 +73,11 @@
 
 TEST_CASE("parts are sent by the map, cut into fragments at shard bounds, and merged into one value") {
     Fleet fleet(3, 5);  // some of the 12 splits lie in two of the 5 shards
-    fleet.go();
+    fleet.start();
     CHECK(fleet.ask("again", "t1", {0, 2, 3}) == whole_answer({0, 2, 3}));
     CHECK(fleet.ask("once", "t2", {2}) == whole_answer({2}));
     CHECK(fleet.program->counter("parts_divided") == 2);
-    CHECK(fleet.boxes.run_twice("once") == 0);
+    CHECK(fleet.boxes.count_repeated_runs("once") == 0);
     // Non-repeatable parts went only to owners.
     for (const auto& run : fleet.boxes.runs()) {
         if (run.query == "once") CHECK(fleet.map.at(run.first).owner() == run.box + 1);
@@ -87,7 +88,7 @@
 
 TEST_CASE("a node whose map is three versions old requests the map after a refusal and answers whole") {
     Fleet fleet(2, 3);
-    fleet.go();
+    fleet.start();
     const auto first = Gatherer::keys_of(5, kSplits).first;
     fleet.step(Split{fleet.map.at(first).id, first + 1'000'000, fleet.id(), fleet.id()});
     fleet.step(PassOwnership{fleet.map.at(first).id, fleet.map.at(first).owner() == 1 ? 2U : 1U});
@@ -96,7 +97,7 @@
     CHECK(fleet.ask("again", "t2", {4, 5, 6}) == whole_answer({4, 5, 6}));
     CHECK(fleet.program->counter("pieces_refused") >= 1);
     CHECK(fleet.program->counter("map_version") == 4);
-    CHECK(fleet.boxes.run_twice("once") == 0);
+    CHECK(fleet.boxes.count_repeated_runs("once") == 0);
 }
 
 TEST_CASE(
@@ -104,10 +105,10 @@
     "answer") {
     Fleet fleet(4, 2, 4);
     fleet.program->with("\"max_open\":40", "\"max_open\":400");
-    fleet.go();
+    fleet.start();
     // Warms up the node: a new node limits its open parts per server, and short usual latencies would make it
     // time parts out early.
-    fleet.boxes.answers_after(40);
+    fleet.boxes.set_reply_delay(40);
     for (int i = 0; i < 40; ++i)
         CHECK(fleet.ask("again", "w" + std::to_string(i), {0, 1, 2, 3, 4, 5}) ==
               whole_answer({0, 1, 2, 3, 4, 5}));
@@ -123,7 +124,7 @@
     CHECK(at_boxes == 102);
     const auto middle = Gatherer::keys_of(2, kSplits).first + 77;
     fleet.step(Split{fleet.map.at(middle).id, middle, fleet.id(), fleet.id()});
-    fleet.tell();
+    fleet.send_steps();
     CHECK(fleet.program->counter_at("map_version", 2) == 2);
     fleet.boxes.hold(false);
     for (auto& client : clients) CHECK(client.answer() == whole_answer({0, 1, 2, 3, 4, 5}));
@@ -135,21 +136,21 @@
 
 TEST_CASE("two shards are merged under a multiget: its parts go to the merged shard and stay two values") {
     Fleet fleet(1, 6, 1);
-    fleet.go();
+    fleet.start();
     fleet.boxes.hold(true);
     fleet.say("once", "t1", {0, 2});  // one split in each of the first two shards
     for (int tries = 0; tries < 800 && fleet.boxes.waiting() < 2; ++tries) usleep(5'000);
     fleet.step(Merge{fleet.map.at(0).id, fleet.map.at(Gatherer::keys_of(2, kSplits).first).id, fleet.id()});
-    fleet.tell();
+    fleet.send_steps();
     fleet.boxes.hold(false);
     CHECK(fleet.client.answer() == whole_answer({0, 2}));
-    CHECK(fleet.boxes.run_twice("once") == 0);
+    CHECK(fleet.boxes.count_repeated_runs("once") == 0);
     CHECK(fleet.program->counter("map_shards") == 5);
 }
 
 TEST_CASE("an invalid map is refused with a message and the old one stays in use") {
     Fleet fleet(2, 4);
-    fleet.go();
+    fleet.start();
     const auto refused = [&](std::vector<Shard> shards, const std::string& words, std::uint64_t count) {
         std::string text = "{\"version\":9,\"shards\":[";
         for (const auto& shard : shards) {
@@ -186,7 +187,7 @@
     "discovery is down during a change: nothing runs twice, parts are refused, and service resumes "
     "afterwards") {
     Fleet fleet(2, 3);
-    fleet.go();
+    fleet.start();
     const auto first = Gatherer::keys_of(1, kSplits).first;
     fleet.discovery.down(true);
     const auto& shard = fleet.map.at(first);
@@ -197,13 +198,13 @@
     fleet.discovery.down(false);
     CHECK(fleet.program->counter_at("map_version", 2) == 2);
     CHECK(fleet.ask("once", "t2", {1}) == whole_answer({1}));
-    CHECK(fleet.boxes.run_twice("once") == 0);
+    CHECK(fleet.boxes.count_repeated_runs("once") == 0);
 }
 
 TEST_CASE("steady load under continuous map changes: every value is that of the complete data set") {
     Fleet fleet(3, 4);
     fleet.program->with("\"max_open\":40", "\"max_open\":400");
-    fleet.go();
+    fleet.start();
     std::atomic<bool> done = false;
     std::vector<std::string> wrong;
     int wholes = 0, refusals = 0;
@@ -258,7 +259,7 @@
         }
         fleet.step(step);
         usleep(static_cast<useconds_t>(chance() % 20'000));
-        if (change % 4 != 2) fleet.tell();
+        if (change % 4 != 2) fleet.send_steps();
         usleep(static_cast<useconds_t>(chance() % 20'000));
     }
     done = true;
@@ -266,7 +267,7 @@
     CHECK(wrong == std::vector<std::string>{});
     CHECK(wholes > 30);
     CHECK(wholes > 20 * refusals);
-    CHECK(fleet.boxes.run_twice("once") == 0);
+    CHECK(fleet.boxes.count_repeated_runs("once") == 0);
     CHECK(fleet.program->counter("pieces_refused") > 0);
     CHECK(fleet.program->counter("invariants_broken") == 0);
     MESSAGE("whole " << wholes << ", refused or failed " << refusals << ", pieces refused "
--- a/tests/placement/gather_test.cpp
+++ b/tests/placement/gather_test.cpp
@@ -137,7 +137,8 @@
 }
 
 TEST_CASE(
-    "a shard is split under a multiget: the refused fragment is cut for the children once the map is known") {
+    "a shard is split under a multiget: the refused fragment is cut for the children once the map is "
+    "known") {
     Gatherer gatherer(terms());
     const auto map = ShardMap::even(4, {1, 2}, 2);
     Trace trace;
@@ -376,26 +377,26 @@
         made.most_legs = 8;
         Gatherer gatherer(made);
         std::mt19937_64 chance(*rc::gen::arbitrary<std::uint64_t>());
-        auto truth = ShardMap::even(3, {1, 2}, 2);
-        auto known = truth;
-        gatherer.map_is(0, share(known));
+        auto newest_map = ShardMap::even(3, {1, 2}, 2);
+        auto node_map = newest_map;
+        gatherer.map_is(0, share(node_map));
         ShardId next = 100;
         Time now = 0;
         Number number = 0;
         std::map<Number, std::map<int, g::AskLeg>> open;
         std::map<std::pair<Number, int>, std::map<Route, std::string>> in;
-        std::map<std::pair<Number, int>, std::set<Route>> undecided;
+        std::map<std::pair<Number, int>, std::set<Route>> pending_routes;
         std::size_t ended = 0, whole = 0;
-        const auto take = [&](const Gatherer::Actions& actions) {
+        const auto handle = [&](const Gatherer::Actions& actions) {
             for (const auto& action : actions) {
                 if (const auto* leg = std::get_if<g::AskLeg>(&action)) {
                     open[leg->number][leg->leg] = *leg;
                     for (const auto& piece : leg->pieces)
-                        undecided[{leg->number, leg->leg}].insert(piece.route);
+                        pending_routes[{leg->number, leg->leg}].insert(piece.route);
                 }
                 if (const auto* leave = std::get_if<g::LeaveLeg>(&action)) {
                     open[leave->number].erase(leave->leg);
-                    undecided.erase({leave->number, leave->leg});
+                    pending_routes.erase({leave->number, leave->leg});
                 }
                 if (const auto* end = std::get_if<g::End>(&action)) {
                     ++ended;
@@ -413,7 +414,7 @@
             now += 10;
             switch (chance() % 8) {
                 case 0: {  // the fleet's map changes; the node has not received it yet
-                    const auto all = truth.shards();
+                    const auto all = newest_map.shards();
                     const auto at = chance() % all.size();
                     const auto& one = all[at];
                     Step change = PassOwnership{one.id, one.owner() == 1 ? BoxId{2} : BoxId{1}};
@@ -423,58 +424,59 @@
                     else if (chance() % 2 == 0 && at + 1 < all.size())
                         change = Merge{one.id, all[at + 1].id, next};
                     next += 2;
-                    if (auto made_map = truth.after(change); std::holds_alternative<ShardMap>(made_map))
-                        truth = std::get<ShardMap>(made_map);
+                    if (auto made_map = newest_map.after(change); std::holds_alternative<ShardMap>(made_map))
+                        newest_map = std::get<ShardMap>(made_map);
                     break;
                 }
                 case 1:  // the node receives the map
-                    known = truth;
-                    take(gatherer.map_is(now, share(known)));
+                    node_map = newest_map;
+                    handle(gatherer.map_is(now, share(node_map)));
                     break;
-                case 2: take(gatherer.tick(now)); break;
+                case 2: handle(gatherer.tick(now)); break;
                 case 3: {
                     GatherAsked asked{static_cast<int>(chance() % 2), now + 2'000, {}};
                     for (int split = 0; split < 4; ++split) asked.splits.push_back({split, 0.25, 0, 0});
-                    take(gatherer.ask(now, ++number, asked));
+                    handle(gatherer.ask(now, ++number, asked));
                     break;
                 }
                 default: {  // an index server runs or refuses a fragment by the newest map
-                    if (undecided.empty()) break;
-                    auto at = undecided.begin();
-                    std::advance(at, static_cast<std::ptrdiff_t>(chance() % undecided.size()));
+                    if (pending_routes.empty()) break;
+                    auto at = pending_routes.begin();
+                    std::advance(at, static_cast<std::ptrdiff_t>(chance() % pending_routes.size()));
                     const auto key = at->first;
                     if (at->second.empty()) {
                         const auto leg = open.at(key.first).at(key.second);
                         open.at(key.first).erase(key.second);
-                        undecided.erase(at);
-                        take(gatherer.leg_ended(now, key.first, key.second, answered(leg, in[key])));
+                        pending_routes.erase(at);
+                        handle(gatherer.leg_ended(now, key.first, key.second, answered(leg, in[key])));
                         break;
                     }
                     const auto route = *at->second.begin();
                     at->second.erase(at->second.begin());
                     const auto* piece = gatherer.piece(route);
                     RC_ASSERT(piece != nullptr);
-                    const auto& shard = truth.at(piece->first);
+                    const auto& shard = newest_map.at(piece->first);
                     const bool owned =
                         shard.id == piece->shard && shard.epoch == piece->epoch && shard.holds(piece->last);
                     if (owned) {
                         in[key][route] = points_in(piece->first, piece->last);
                     } else {
-                        const auto* same = truth.find(piece->shard);
-                        take(gatherer.refused(now, route, same == nullptr ? piece->epoch + 1 : same->epoch));
+                        const auto* same = newest_map.find(piece->shard);
+                        handle(
+                            gatherer.refused(now, route, same == nullptr ? piece->epoch + 1 : same->epoch));
                     }
                 }
             }
         }
         now += 100'000;
-        take(gatherer.map_is(now, share(truth)));
+        handle(gatherer.map_is(now, share(newest_map)));
         for (auto& [n, legs] : std::map(open)) {
             for (auto& [leg, asked] : legs)
-                take(gatherer.leg_ended(now, n, leg, answered(asked, in[{n, leg}])));
+                handle(gatherer.leg_ended(now, n, leg, answered(asked, in[{n, leg}])));
         }
-        take(gatherer.tick(now));
+        handle(gatherer.tick(now));
         for (auto& [n, legs] : std::map(open)) {
-            for (auto& [leg, asked] : legs) take(gatherer.leg_ended(now, n, leg, LegEnd{}));
+            for (auto& [leg, asked] : legs) handle(gatherer.leg_ended(now, n, leg, LegEnd{}));
         }
         RC_ASSERT(ended == number);
         RC_ASSERT(gatherer.routes() == 0U);
--- a/tests/placement/heat_test.cpp
+++ b/tests/placement/heat_test.cpp
@@ -20,7 +20,7 @@
     CHECK(rc::check("heavy keys", [] {
         const auto counters = *rc::gen::inRange<std::size_t>(4, 64);
         HeavyKeys sketch(counters);
-        CountMin other(256, 4);
+        CountMin count_min(256, 4);
         std::map<Key, std::uint64_t> exact;
         std::mt19937_64 chance(*rc::gen::arbitrary<std::uint64_t>());
         const double skew = *rc::gen::element(0.5, 1.0, 2.0);
@@ -29,27 +29,27 @@
             const auto rank = std::pow(std::uniform_real_distribution<double>(0, 1)(chance), 1 + skew);
             const auto key = static_cast<Key>(rank * 500);
             sketch.add(key);
-            other.add(key);
+            count_min.add(key);
             ++exact[key];
         }
-        const auto told = sketch.heaviest(counters);
+        const auto entries = sketch.heaviest(counters);
         std::map<Key, HeavyKeys::Entry> held;
-        for (const auto& each : told) held[each.key] = each;
+        for (const auto& each : entries) held[each.key] = each;
         for (const auto& [key, entry] : held) {
             RC_ASSERT(entry.count >= exact[key]);
             RC_ASSERT(entry.count - entry.error <= exact[key]);
         }
         for (const auto& [key, count] : exact) {
-            RC_ASSERT(other.at_most(key) >= count);
+            RC_ASSERT(count_min.upper_bound_of(key) >= count);
             if (count * counters > static_cast<std::uint64_t>(length)) RC_ASSERT(held.contains(key));
         }
-        for (std::size_t i = 1; i < told.size(); ++i) RC_ASSERT(told[i - 1].count >= told[i].count);
+        for (std::size_t i = 1; i < entries.size(); ++i) RC_ASSERT(entries[i - 1].count >= entries[i].count);
     }));
 }
 
 // A map and a HeatBook under a simulated load.
-struct World {
-    explicit World(double scale = 1) : terms(scaled(scale)) {}
+struct LoadSimulation {
+    explicit LoadSimulation(double scale = 1) : terms(scaled(scale)) {}
     static HeatTerms scaled(double scale) {
         HeatTerms made;
         made.split_above *= scale;
@@ -78,16 +78,16 @@
 };
 
 TEST_CASE("a hot shard is split at the median of its load, after its rest period") {
-    World world;
-    world.book.look(world.map, 0);
+    LoadSimulation simulation;
+    simulation.book.look(simulation.map, 0);
     int proposed = 0;
     for (int second = 0; second < 300; ++second) {
-        for (const auto& each : world.second({{2, 1'500}, {1, 300}, {3, 300}, {4, 300}})) {
+        for (const auto& each : simulation.second({{2, 1'500}, {1, 300}, {3, 300}, {4, 300}})) {
             ++proposed;
             CHECK(each.kind == Proposal::Kind::kSplit);
             CHECK(each.shard == 2);
             CHECK(second >= 59);  // no proposals during the rest period
-            const auto& shard = *world.map.find(2);
+            const auto& shard = *simulation.map.find(2);
             const double into =
                 static_cast<double>(each.at - shard.first) / static_cast<double>(shard.last - shard.first);
             CHECK(into > 0.02);  // about the middle of the lowest tenth
@@ -95,38 +95,39 @@
         }
     }
     CHECK(proposed > 0);
-    CHECK(world.book.load(2) == doctest::Approx(1'500).epsilon(0.01));
-    CHECK(world.book.hottest(1).front().first == 2);
+    CHECK(simulation.book.load(2) == doctest::Approx(1'500).epsilon(0.01));
+    CHECK(simulation.book.hottest(1).front().first == 2);
 }
 
 TEST_CASE("a shard with one hot key is reported and not split") {
-    World world;
-    world.book.look(world.map, 0);
-    bool told = false;
+    LoadSimulation simulation;
+    simulation.book.look(simulation.map, 0);
+    bool reported = false;
     for (int second = 0; second < 100; ++second) {
         for (int i = 0; i < 1'500; ++i)
-            world.book.asked(*world.map.find(2), world.map.find(2)->first + 77, 0);
-        for (const auto& each : world.second({{1, 300}, {3, 300}, {4, 300}})) {
+            simulation.book.asked(*simulation.map.find(2), simulation.map.find(2)->first + 77, 0);
+        for (const auto& each : simulation.second({{1, 300}, {3, 300}, {4, 300}})) {
             CHECK(each.kind == Proposal::Kind::kOneKey);
-            CHECK(each.at == world.map.find(2)->first + 77);
-            told = true;
+            CHECK(each.at == simulation.map.find(2)->first + 77);
+            reported = true;
         }
     }
-    CHECK(told);
-    CHECK(world.book.heavy_keys(1).front().key == world.map.find(2)->first + 77);
+    CHECK(reported);
+    CHECK(simulation.book.heavy_keys(1).front().key == simulation.map.find(2)->first + 77);
 }
 
 TEST_CASE("two adjacent cold shards on the same servers are merged") {
-    World world;
+    LoadSimulation simulation;
     const std::vector<Replica> same{{1, Role::kOwner}, {2, Role::kReader}};
-    auto shards = world.map.shards();
+    auto shards = simulation.map.shards();
     for (auto& each : shards) each.replicas = same;
     shards[3].replicas = {{2, Role::kOwner}, {1, Role::kReader}};
-    world.map = ShardMap::of(shards);
-    world.book.look(world.map, 0);
+    simulation.map = ShardMap::of(shards);
+    simulation.book.look(simulation.map, 0);
     std::vector<Proposal> all;
     for (int second = 0; second < 70; ++second) {
-        for (const auto& each : world.second({{1, 600}, {2, 150}, {3, 150}, {4, 50}})) all.push_back(each);
+        for (const auto& each : simulation.second({{1, 600}, {2, 150}, {3, 150}, {4, 50}}))
+            all.push_back(each);
     }
     REQUIRE(!all.empty());
     for (const auto& each : all) {
@@ -138,36 +139,36 @@
 
 TEST_CASE("a load near the thresholds does not cause alternating splits and merges") {
     CHECK(rc::check("hovering", [] {
-        World world(0.1);
-        auto shards = world.map.shards();
+        LoadSimulation simulation(0.1);
+        auto shards = simulation.map.shards();
         for (auto& each : shards) each.replicas = {{1, Role::kOwner}, {2, Role::kReader}};
-        world.map = ShardMap::of(shards);
+        simulation.map = ShardMap::of(shards);
         std::mt19937 chance(*rc::gen::arbitrary<std::uint32_t>());
         const double about = *rc::gen::element(40.0, 50.0, 100.0);
         const double by = *rc::gen::element(0.05, 0.2, 0.3);
-        world.book.look(world.map, 0);
+        simulation.book.look(simulation.map, 0);
         std::vector<Proposal::Kind> changes;
         ShardId next = 100;
         for (int second = 0; second < 300; ++second) {
             // The first quarter of the keys has the load, in whatever shards it lies.
             std::map<ShardId, double> load;
             std::vector<const Shard*> hot;
-            const auto all = world.map.shards();
+            const auto all = simulation.map.shards();
             for (const auto& each : all) {
                 if (each.first < (Key{1} << 62U) - 2) hot.push_back(&each);
                 load[each.id] = 45;
             }
             const double swing = std::uniform_real_distribution<double>(1 - by, 1 + by)(chance);
             for (const auto* each : hot) load[each->id] = about * swing / static_cast<double>(hot.size());
-            for (const auto& each : world.second(load)) {
+            for (const auto& each : simulation.second(load)) {
                 if (each.kind == Proposal::Kind::kOneKey) continue;
                 const Step step = each.kind == Proposal::Kind::kSplit
                                       ? Step(Split{each.shard, each.at, next, next + 1})
                                       : Step(Merge{each.shard, each.other, next});
                 next += 2;
-                auto made = world.map.after(step);
+                auto made = simulation.map.after(step);
                 if (std::holds_alternative<ShardMap>(made)) {
-                    world.map = std::get<ShardMap>(made);
+                    simulation.map = std::get<ShardMap>(made);
                     changes.push_back(each.kind);
                 }
             }
--- a/tests/placement/map_test.cpp
+++ b/tests/placement/map_test.cpp
@@ -18,11 +18,11 @@
 namespace m = pinedoor::placement::moving;
 constexpr Key kLast = std::numeric_limits<Key>::max();
 
-ShardMap good(const std::variant<ShardMap, ShardMap::Refused>& result) {
+ShardMap require_map(const std::variant<ShardMap, ShardMap::Refused>& result) {
     if (const auto* refused = std::get_if<ShardMap::Refused>(&result)) FAIL(refused->why);
     return std::get<ShardMap>(result);
 }
-std::string why(const std::variant<ShardMap, ShardMap::Refused>& result) {
+std::string refusal_of(const std::variant<ShardMap, ShardMap::Refused>& result) {
     const auto* refused = std::get_if<ShardMap::Refused>(&result);
     return refused == nullptr ? "" : refused->why;
 }
@@ -51,7 +51,7 @@
     const auto& shard = map.at(0);
     CHECK(shard.id == 1);
     CHECK(map.at(kLast).id == 4);
-    const auto split = good(map.after(Split{1, 1'000, 11, 12}));
+    const auto split = require_map(map.after(Split{1, 1'000, 11, 12}));
     CHECK(split.version() == 2);
     CHECK(split.size() == 5);
     CHECK(split.at(999).id == 11);
@@ -59,20 +59,20 @@
     CHECK(split.at(1'000).epoch == 2);
     CHECK(split.at(1'000).replicas == shard.replicas);
     CHECK(map.at(1'000).id == 1);  // the old version is unchanged
-    const auto merged = good(split.after(Merge{11, 12, 1}));
+    const auto merged = require_map(split.after(Merge{11, 12, 1}));
     CHECK(merged.at(5).id == 1);
     CHECK(merged.at(5).epoch == 3);
-    const auto moved = good(good(merged.after(AddReader{1, 3})).after(PassOwnership{1, 3}));
+    const auto moved = require_map(require_map(merged.after(AddReader{1, 3})).after(PassOwnership{1, 3}));
     CHECK(moved.at(5).owner() == 3);
-    CHECK(good(moved.after(RemoveReader{1, 1})).at(5).replicas.size() == 2);
-    CHECK(why(map.after(Split{1, 0, 11, 12})) == "key 0 does not lie within shard 1");
-    CHECK(why(map.after(Split{1, 1'000, 2, 12})) == "shard 2 is there already");
-    CHECK(why(map.after(Split{9, 1'000, 11, 12})) == "there is no shard 9");
-    CHECK(why(map.after(Merge{1, 3, 11})) == "shard 1 does not end where shard 3 begins");
-    CHECK(why(map.after(Merge{1, 2, 11})) == "shard 1 and 2 are on unlike boxes; move them first");
-    CHECK(why(map.after(PassOwnership{1, 3})) == "shard 1 is not on box 3; add it first");
-    CHECK(why(map.after(RemoveReader{1, 1})) == "box 1 owns shard 1; pass it on first");
-    CHECK(why(map.after(AddReader{1, 2})) == "shard 1 is on box 2 already");
+    CHECK(require_map(moved.after(RemoveReader{1, 1})).at(5).replicas.size() == 2);
+    CHECK(refusal_of(map.after(Split{1, 0, 11, 12})) == "key 0 does not lie within shard 1");
+    CHECK(refusal_of(map.after(Split{1, 1'000, 2, 12})) == "shard 2 is there already");
+    CHECK(refusal_of(map.after(Split{9, 1'000, 11, 12})) == "there is no shard 9");
+    CHECK(refusal_of(map.after(Merge{1, 3, 11})) == "shard 1 does not end where shard 3 begins");
+    CHECK(refusal_of(map.after(Merge{1, 2, 11})) == "shard 1 and 2 are on unlike boxes; move them first");
+    CHECK(refusal_of(map.after(PassOwnership{1, 3})) == "shard 1 is not on box 3; add it first");
+    CHECK(refusal_of(map.after(RemoveReader{1, 1})) == "box 1 owns shard 1; pass it on first");
+    CHECK(refusal_of(map.after(AddReader{1, 2})) == "shard 1 is on box 2 already");
 }
 
 TEST_CASE("under random steps the map equals a simple list, and old versions stay unchanged") {
@@ -154,7 +154,7 @@
 TEST_CASE("versions share unchanged chunks, and an old version lives as long as it is referenced") {
     auto map = std::make_shared<const ShardMap>(ShardMap::even(100'000, {1, 2, 3}, 3));
     const auto before = map;
-    const auto next = good(map->after(PassOwnership{50'000, map->find(50'000)->replicas.back().box}));
+    const auto next = require_map(map->after(PassOwnership{50'000, map->find(50'000)->replicas.back().box}));
     CHECK(next.own_bytes() < next.bytes() / 200);
     map = std::make_shared<const ShardMap>(next);
     CHECK(before->version() == 1);
--- a/tests/placement/mover_test.cpp
+++ b/tests/placement/mover_test.cpp
@@ -22,22 +22,22 @@
 
 constexpr int kSplits = 12;
 
-struct Folder {
-    Folder() { path = mkdtemp(path.data()); }
-    ~Folder() { std::filesystem::remove_all(path); }
+struct TempFolder {
+    TempFolder() { path = mkdtemp(path.data()); }
+    ~TempFolder() { std::filesystem::remove_all(path); }
     std::string path = scratch() + "/pinedoor-shards-XXXXXX";
 };
 
-struct Said {
+struct CommandResult {
     std::string text;
     int code = 0;
 };
 
 // Two shards on three index servers, a front node, and the `pinedoor shards` command line.
-struct Yard {
-    Yard() : map(two_shards()) {
+struct ShardsFixture {
+    ShardsFixture() : map(two_shards()) {
         for (const char* name : {"s-1", "s-2", "s-3"}) names.number(name);
-        boxes.know(map);
+        boxes.use_map(map);
         discovery.list(boxes.listed());
         discovery.keep(map, names);
         program = std::make_unique<Program>(boxes.listed(), discovery.at());
@@ -54,19 +54,20 @@
         shards[1].replicas = {{1, Role::kOwner}};
         return ShardMap::of(shards);
     }
-    Said shards(const std::string& words, const std::string& crash_at = "") const {
+    CommandResult shards(const std::string& words, const std::string& crash_at = "") const {
         const auto command = (crash_at.empty() ? "" : "PINEDOOR_CRASH_AT=" + crash_at + ' ') +
                              PINEDOOR_PROGRAM + " shards --sqlite " + folder.path +
                              "/journal.db --discovery " + pinedoor::net::to_text(discovery.at()) + ' ' +
                              words + " 2>&1";
-        Said said;
+        CommandResult result;
         auto* const pipe = popen(command.c_str(), "r");
         for (char bytes[4096]; const auto count = fread(bytes, 1, sizeof bytes, pipe);)
-            said.text.append(bytes, count);
+            result.text.append(bytes, count);
         const int status = pclose(pipe);
-        said.code = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
-        if (said.code > 128) said.code = 128 - said.code;  // the shell reports a signal as 128 + its number
-        return said;
+        result.code = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
+        if (result.code > 128)
+            result.code = 128 - result.code;  // the shell reports a signal as 128 + its number
+        return result;
     }
     // A fleet file in which server 1 is draining.
     std::string fleet() const {
@@ -106,14 +107,14 @@
         return client.answer();
     }
     // Runs `apply` until the lease of the killed process has expired.
-    Said go_on() const {
-        Said said;
+    CommandResult resume_apply() const {
+        CommandResult result;
         for (int tries = 0; tries < 100; ++tries) {
             usleep(20'000);
-            said = shards("apply --lease-ms 100");
-            if (said.code != 1) break;
+            result = shards("apply --lease-ms 100");
+            if (result.code != 1) break;
         }
-        return said;
+        return result;
     }
     void check_emptied() {
         const auto now = discovery.kept();
@@ -131,12 +132,12 @@
         CHECK(program->counter_at("map_version", now.version()) == now.version());
         CHECK(ask("once", "after", {1}) == whole_answer({1}));
         CHECK(ask("again", "after2", {0, 5, 11}) == whole_answer({0, 5, 11}));
-        CHECK(boxes.run_twice("once") == 0);
+        CHECK(boxes.count_repeated_runs("once") == 0);
         CHECK(program->counter("invariants_broken") == 0);
     }
 
-    Folder folder;
-    Boxes boxes{3};
+    TempFolder folder;
+    TestServers boxes{3};
     MapDiscovery discovery;
     BoxNames names;
     ShardMap map;
@@ -145,28 +146,28 @@
 };
 
 TEST_CASE("applying a plan drains an index server, and the journal records the moves") {
-    Yard yard;
-    const auto file = yard.fleet();
-    CHECK(yard.shards("check " + file).text == file + ": good, 3 boxes, 2 shards\n");
-    const auto planned = yard.shards("plan " + file);
+    ShardsFixture fixture;
+    const auto file = fixture.fleet();
+    CHECK(fixture.shards("check " + file).text == file + ": good, 3 boxes, 2 shards\n");
+    const auto planned = fixture.shards("plan " + file);
     CHECK(planned.code == 0);
     CHECK(planned.text.find("wave 1: copy shard") != std::string::npos);
-    CHECK(yard.shards("show").text.find("version 1, 2 shards") == 0);
-    const auto dry = yard.shards("apply --dry-run " + file);
+    CHECK(fixture.shards("show").text.find("version 1, 2 shards") == 0);
+    const auto dry = fixture.shards("apply --dry-run " + file);
     CHECK(dry.text.find("owner of shard 2  s-1 -> ") != std::string::npos);
-    CHECK(yard.discovery.kept().version() == 1);
-    yard.boxes.copy_takes(250);  // the copy request is repeated until the copy is complete
-    const auto applied = yard.shards("apply " + file);
+    CHECK(fixture.discovery.kept().version() == 1);
+    fixture.boxes.set_copy_duration(250);  // the copy request is repeated until the copy is complete
+    const auto applied = fixture.shards("apply " + file);
     CHECK_MESSAGE(applied.code == 0, applied.text);
-    yard.check_emptied();
-    const auto history = yard.shards("history").text;
+    fixture.check_emptied();
+    const auto history = fixture.shards("history").text;
     CHECK(history.find("nobody carries moves") == 0);
     CHECK(history.find("owner    shard 2        s-1 -> ") != std::string::npos);
-    CHECK(yard.shards("history --open").text == "nobody carries moves\n");
+    CHECK(fixture.shards("history --open").text == "nobody carries moves\n");
     // The fleet file describes the placement before the moves, so it is refused.
-    CHECK(yard.shards("apply " + file).code == 1);
-    CHECK(yard.shards("abort 1").code == 3);
-    CHECK(yard.shards("heat --node " + pinedoor::net::to_text(yard.program->at())).code == 0);
+    CHECK(fixture.shards("apply " + file).code == 1);
+    CHECK(fixture.shards("abort 1").code == 3);
+    CHECK(fixture.shards("heat --node " + pinedoor::net::to_text(fixture.program->at())).code == 0);
 }
 
 TEST_CASE(
@@ -176,19 +177,19 @@
           "asked-fence", "asked-reach", "keep-switch", "kept-switch", "published", "asked-own", "keep-drain",
           "kept-drain", "asked-drained", "kept-retire", "asked-drop", "keep-done", "kept-done"}) {
         CAPTURE(std::string(point));
-        Yard yard;
-        const auto file = yard.fleet();
-        yard.boxes.hold(true);  // the part waits at its index server until the process was killed
-        yard.client.say(post("once", "flight", asks({2}, "once")));
-        for (int tries = 0; tries < 800 && yard.boxes.waiting() < 1; ++tries) usleep(2'000);
-        CHECK(yard.shards("apply --lease-ms 100 " + file, point).code == -SIGKILL);
-        yard.boxes.hold(false);
-        const auto said = yard.go_on();
-        CHECK_MESSAGE(said.code == 0, said.text);
-        const auto answer = yard.client.answer();
+        ShardsFixture fixture;
+        const auto file = fixture.fleet();
+        fixture.boxes.hold(true);  // the part waits at its index server until the process was killed
+        fixture.client.say(post("once", "flight", asks({2}, "once")));
+        for (int tries = 0; tries < 800 && fixture.boxes.waiting() < 1; ++tries) usleep(2'000);
+        CHECK(fixture.shards("apply --lease-ms 100 " + file, point).code == -SIGKILL);
+        fixture.boxes.hold(false);
+        const auto result = fixture.resume_apply();
+        CHECK_MESSAGE(result.code == 0, result.text);
+        const auto answer = fixture.client.answer();
         // On a slow machine the deadline may have passed; in any case the part ran at most once.
         CHECK((answer == whole_answer({2}) || answer.starts_with("50")));
-        yard.check_emptied();
+        fixture.check_emptied();
     }
 }
 
@@ -196,51 +197,51 @@
     for (const char* point : {"kept-prepare", "asked-fence", "keep-switch", "kept-switch", "published",
                               "asked-copy", "asked-own", "kept-drain", "kept-retire", "asked-drop"}) {
         CAPTURE(std::string(point));
-        Yard yard;
+        ShardsFixture fixture;
         const auto key = print_key(Gatherer::keys_of(2, kSplits).first + 12'345);
-        CHECK(yard.shards("split 1 0").code == 1);
-        CHECK(yard.shards("split 1 " + key).text.find("move 1: split shard 1 at") == 0);
-        yard.boxes.hold(true);
-        yard.client.say(post("once", "flight", asks({2}, "once")));
-        for (int tries = 0; tries < 800 && yard.boxes.waiting() < 1; ++tries) usleep(2'000);
-        CHECK(yard.shards("apply --lease-ms 100", point).code == -SIGKILL);
-        yard.boxes.hold(false);
-        const auto said = yard.go_on();
-        CHECK_MESSAGE(said.code == 0, said.text);
-        const auto answer = yard.client.answer();
+        CHECK(fixture.shards("split 1 0").code == 1);
+        CHECK(fixture.shards("split 1 " + key).text.find("move 1: split shard 1 at") == 0);
+        fixture.boxes.hold(true);
+        fixture.client.say(post("once", "flight", asks({2}, "once")));
+        for (int tries = 0; tries < 800 && fixture.boxes.waiting() < 1; ++tries) usleep(2'000);
+        CHECK(fixture.shards("apply --lease-ms 100", point).code == -SIGKILL);
+        fixture.boxes.hold(false);
+        const auto result = fixture.resume_apply();
+        CHECK_MESSAGE(result.code == 0, result.text);
+        const auto answer = fixture.client.answer();
         // On a slow machine the deadline may have passed; in any case the part ran at most once.
         CHECK((answer == whole_answer({2}) || answer.starts_with("50")));
-        auto map = yard.discovery.kept();
+        auto map = fixture.discovery.kept();
         CHECK(map.size() == 3);
-        CHECK(yard.program->counter_at("map_version", map.version()) == map.version());
-        CHECK(yard.ask("once", "t", {2}) == whole_answer({2}));
-        CHECK(yard.ask("again", "u", {0, 2, 5}) == whole_answer({0, 2, 5}));
+        CHECK(fixture.program->counter_at("map_version", map.version()) == map.version());
+        CHECK(fixture.ask("once", "t", {2}) == whole_answer({2}));
+        CHECK(fixture.ask("again", "u", {0, 2, 5}) == whole_answer({0, 2, 5}));
         const auto lower = map.shards()[0].id, upper = map.shards()[1].id;
-        CHECK(yard.shards("merge " + std::to_string(lower) + ' ' + std::to_string(upper)).code == 0);
-        CHECK(yard.shards("apply").code == 0);
-        map = yard.discovery.kept();
+        CHECK(fixture.shards("merge " + std::to_string(lower) + ' ' + std::to_string(upper)).code == 0);
+        CHECK(fixture.shards("apply").code == 0);
+        map = fixture.discovery.kept();
         CHECK(map.size() == 2);
-        CHECK(yard.program->counter_at("map_version", map.version()) == map.version());
-        CHECK(yard.ask("once", "v", {2}) == whole_answer({2}));
-        CHECK(yard.ask("again", "w", {0, 2, 5}) == whole_answer({0, 2, 5}));
-        CHECK(!yard.boxes.guard(1, 1).owns());
-        CHECK(yard.boxes.run_twice("once") == 0);
+        CHECK(fixture.program->counter_at("map_version", map.version()) == map.version());
+        CHECK(fixture.ask("once", "v", {2}) == whole_answer({2}));
+        CHECK(fixture.ask("again", "w", {0, 2, 5}) == whole_answer({0, 2, 5}));
+        CHECK(!fixture.boxes.guard(1, 1).owns());
+        CHECK(fixture.boxes.count_repeated_runs("once") == 0);
     }
 }
 
 TEST_CASE("a split is undone after its fence: the old owner runs the shard again") {
-    Yard yard;
-    yard.shards("split 1 " + print_key(Gatherer::keys_of(2, kSplits).first + 12'345));
-    CHECK(yard.shards("apply --lease-ms 100", "asked-fence").code == -SIGKILL);
-    CHECK(yard.boxes.guard(1, 1).fenced());
-    yard.client.say(post("once", "t1", asks({2}, "once"), 300));
-    CHECK(yard.client.answer().starts_with("503"));
-    yard.shards("abort 1");
+    ShardsFixture fixture;
+    fixture.shards("split 1 " + print_key(Gatherer::keys_of(2, kSplits).first + 12'345));
+    CHECK(fixture.shards("apply --lease-ms 100", "asked-fence").code == -SIGKILL);
+    CHECK(fixture.boxes.guard(1, 1).fenced());
+    fixture.client.say(post("once", "t1", asks({2}, "once"), 300));
+    CHECK(fixture.client.answer().starts_with("503"));
+    fixture.shards("abort 1");
     usleep(150'000);
-    CHECK(yard.shards("apply").code == 3);
-    CHECK(yard.discovery.kept() == yard.map);
-    CHECK(!yard.boxes.guard(1, 1).fenced());
-    CHECK(yard.ask("once", "t2", {2}) == whole_answer({2}));
+    CHECK(fixture.shards("apply").code == 3);
+    CHECK(fixture.discovery.kept() == fixture.map);
+    CHECK(!fixture.boxes.guard(1, 1).fenced());
+    CHECK(fixture.ask("once", "t2", {2}) == whole_answer({2}));
 }
 
 TEST_CASE("the new owner fails right after the map is published: the move waits, nothing runs twice") {
@@ -248,31 +249,31 @@
         for (const std::size_t box : {2U, 3U}) {
             CAPTURE(published);
             CAPTURE(box);
-            Yard yard;
+            ShardsFixture fixture;
             const auto point = "published:" + std::to_string(published);
-            CHECK(yard.shards("apply --lease-ms 100 " + yard.fleet(), point).code == -SIGKILL);
-            yard.boxes.dead(box, true);
+            CHECK(fixture.shards("apply --lease-ms 100 " + fixture.fleet(), point).code == -SIGKILL);
+            fixture.boxes.set_down(box, true);
             usleep(150'000);
             std::thread revives([&] {
                 usleep(400'000);
-                yard.boxes.dead(box, false);
+                fixture.boxes.set_down(box, false);
             });
-            const auto said = yard.shards("apply");
+            const auto result = fixture.shards("apply");
             revives.join();
-            CHECK_MESSAGE(said.code == 0, said.text);
-            yard.check_emptied();
+            CHECK_MESSAGE(result.code == 0, result.text);
+            fixture.check_emptied();
         }
     }
 }
 
 TEST_CASE("a second process reports the lease holder; a step is not saved after the lease is lost") {
-    Yard yard;
-    const auto file = yard.fleet();
-    CHECK(yard.shards("apply --lease-ms 60000 " + file, "kept-fence").code == -SIGKILL);
-    const auto other = yard.shards("apply");
+    ShardsFixture fixture;
+    const auto file = fixture.fleet();
+    CHECK(fixture.shards("apply --lease-ms 60000 " + file, "kept-fence").code == -SIGKILL);
+    const auto other = fixture.shards("apply");
     CHECK(other.code == 1);
     CHECK(other.text.find("moves are carried by ") != std::string::npos);
-    store::SqliteDb db(yard.folder.path + "/journal.db", "", 1'000);
+    store::SqliteDb db(fixture.folder.path + "/journal.db", "", 1'000);
     store::MoveJournal journal(db);
     const auto holder = journal.holder();
     CHECK(!holder.empty());
@@ -287,8 +288,8 @@
     journal.leave_lease(holder);
     CHECK(journal.take_lease("somebody else", 1));
     usleep(5'000);
-    CHECK(yard.shards("apply").code == 0);
-    yard.check_emptied();
+    CHECK(fixture.shards("apply").code == 0);
+    fixture.check_emptied();
 }
 
 TEST_CASE("the journal works over PostgreSQL, and a broken connection saves no partial step") {
@@ -343,48 +344,48 @@
 TEST_CASE("a move can be undone at each step before the switch and not after it") {
     for (const char* point : {"kept-prepare", "kept-catch-up", "kept-fence", "asked-fence", "asked-reach"}) {
         CAPTURE(std::string(point));
-        Yard yard;
-        CHECK(yard.shards("apply --lease-ms 100 " + yard.fleet(), point).code == -SIGKILL);
-        for (const int move : {1, 2, 3, 4}) yard.shards("abort " + std::to_string(move));
-        const auto said = yard.go_on();
-        CHECK(said.code == 3);
+        ShardsFixture fixture;
+        CHECK(fixture.shards("apply --lease-ms 100 " + fixture.fleet(), point).code == -SIGKILL);
+        for (const int move : {1, 2, 3, 4}) fixture.shards("abort " + std::to_string(move));
+        const auto result = fixture.resume_apply();
+        CHECK(result.code == 3);
         // Readers added by completed moves stay. Ownership is unchanged and no fence is up.
         const bool asked = std::string(point).starts_with("asked");
-        if (!asked) CHECK(yard.discovery.kept() == yard.map);
-        for (const auto& shard : yard.discovery.kept().shards()) {
+        if (!asked) CHECK(fixture.discovery.kept() == fixture.map);
+        for (const auto& shard : fixture.discovery.kept().shards()) {
             CHECK(shard.owner() == 1);
-            CHECK(yard.boxes.guard(1, shard.id).owns());
-            CHECK(!yard.boxes.guard(1, shard.id).fenced());
+            CHECK(fixture.boxes.guard(1, shard.id).owns());
+            CHECK(!fixture.boxes.guard(1, shard.id).fenced());
         }
-        CHECK(yard.ask("once", "t", {1}) == whole_answer({1}));
-        CHECK(yard.ask("once", "u", {8}) == whole_answer({8}));
-        for (const std::size_t box : {2U, 3U}) CHECK(!yard.boxes.guard(box, 2).has_copy());
-        if (!asked) CHECK(!yard.boxes.guard(3, 1).has_copy());
-        CHECK(yard.shards("history").text.find("undone") != std::string::npos);
+        CHECK(fixture.ask("once", "t", {1}) == whole_answer({1}));
+        CHECK(fixture.ask("once", "u", {8}) == whole_answer({8}));
+        for (const std::size_t box : {2U, 3U}) CHECK(!fixture.boxes.guard(box, 2).has_copy());
+        if (!asked) CHECK(!fixture.boxes.guard(3, 1).has_copy());
+        CHECK(fixture.shards("history").text.find("undone") != std::string::npos);
     }
-    Yard yard;
-    CHECK(yard.shards("apply --lease-ms 100 " + yard.fleet(), "kept-switch").code == -SIGKILL);
-    yard.shards("abort 1");
+    ShardsFixture fixture;
+    CHECK(fixture.shards("apply --lease-ms 100 " + fixture.fleet(), "kept-switch").code == -SIGKILL);
+    fixture.shards("abort 1");
     usleep(150'000);
-    const auto said = yard.shards("apply");
-    CHECK(said.text.find("cannot be aborted any more") != std::string::npos);
-    CHECK(said.code == 0);
-    yard.check_emptied();
+    const auto result = fixture.shards("apply");
+    CHECK(result.text.find("cannot be aborted any more") != std::string::npos);
+    CHECK(result.code == 0);
+    fixture.check_emptied();
 }
 
 TEST_CASE("no move begins while paused; moves begin after resume") {
-    Yard yard;
-    CHECK(yard.shards("apply --lease-ms 100 " + yard.fleet(), "keep-prepare").code == -SIGKILL);
-    CHECK(yard.shards("pause").text == "paused\n");
+    ShardsFixture fixture;
+    CHECK(fixture.shards("apply --lease-ms 100 " + fixture.fleet(), "keep-prepare").code == -SIGKILL);
+    CHECK(fixture.shards("pause").text == "paused\n");
     usleep(150'000);
-    std::thread resumes([&yard] {
+    std::thread resumes([&fixture] {
         usleep(300'000);
-        CHECK(yard.boxes.guard(3, 1).has_copy() == false);
-        yard.shards("resume");
+        CHECK(fixture.boxes.guard(3, 1).has_copy() == false);
+        fixture.shards("resume");
     });
-    CHECK(yard.shards("apply").code == 0);
+    CHECK(fixture.shards("apply").code == 0);
     resumes.join();
-    yard.check_emptied();
+    fixture.check_emptied();
 }
 
 TEST_CASE("the move queue limits moves in total, per server, shard and zone; pauses with hysteresis") {
--- a/tests/placement/planner_test.cpp
+++ b/tests/placement/planner_test.cpp
@@ -35,7 +35,7 @@
         const auto made = plan(fleet);
         RC_ASSERT(check_plan(fleet, made) == "");
         if (!made.unmet.empty()) return;
-        RC_ASSERT(fault_of_target(fleet, made.target) == "");
+        RC_ASSERT(violation_of_target(fleet, made.target) == "");
     }));
 }
 
@@ -47,7 +47,7 @@
     fleet.shards[7].now.resize(1);
     const auto made = plan(fleet);
     CHECK(made.unmet.empty());
-    CHECK(fault_of_target(fleet, made.target) == "");
+    CHECK(violation_of_target(fleet, made.target) == "");
     CHECK(check_plan(fleet, made) == "");
     CHECK(made.fullest_after < made.fullest_before);
     for (const auto& replicas : made.target) {
@@ -128,7 +128,7 @@
         std::string why;
         const auto best = exact_target(fleet, 10, why);
         REQUIRE_MESSAGE(best.has_value(), why);
-        CHECK(fault_of_target(fleet, best->target) == "");
+        CHECK(violation_of_target(fleet, best->target) == "");
         const auto made = plan(fleet);
         CHECK(made.unmet.empty());
         if (!best->proven) continue;
--- a/tests/stand_ins/boxes.hpp
+++ b/tests/stand_ins/boxes.hpp
@@ -54,12 +54,12 @@
 };
 
 // The index servers, served by one thread. Server numbers count from 1.
-class Boxes {
+class TestServers {
 public:
-    explicit Boxes(std::size_t count) : boxes_(count) {
+    explicit TestServers(std::size_t count) : boxes_(count) {
         thread_ = std::thread([this] { run(); });
     }
-    ~Boxes() {
+    ~TestServers() {
         stop_ = true;
         thread_.join();
     }
@@ -71,10 +71,10 @@
     }
 
     // Makes all servers, or one, own and read shards by this map.
-    void know(const placement::ShardMap& map) {
-        for (std::size_t b = 1; b <= boxes_.size(); ++b) know(map, b);
+    void use_map(const placement::ShardMap& map) {
+        for (std::size_t b = 1; b <= boxes_.size(); ++b) use_map(map, b);
     }
-    void know(const placement::ShardMap& map, std::size_t box) {
+    void use_map(const placement::ShardMap& map, std::size_t box) {
         const std::lock_guard lock(mutex_);
         auto& mine = boxes_[box - 1].shards;
         std::set<placement::ShardId> here;
@@ -101,11 +101,11 @@
         return at == boxes_[box - 1].shards.end() ? placement::BoxGuard{} : at->second.guard;
     }
     // Servers refuse `copy` requests until the copy has lasted this long.
-    void copy_takes(int ms) { copy_ms_ = ms; }
-    void answers_after(int ms) { answer_ms_ = ms; }
+    void set_copy_duration(int ms) { copy_ms_ = ms; }
+    void set_reply_delay(int ms) { answer_ms_ = ms; }
     // Takes a server down: it closes its connections and refuses new ones. It comes back with its saved
     // state.
-    void dead(std::size_t box, bool is) { dead_ = is ? box : 0; }
+    void set_down(std::size_t box, bool is) { down_server_ = is ? box : 0; }
     // Holds back all parts at the servers; they are decided on after release.
     void hold(bool held) { held_ = held; }
     std::size_t waiting() const {
@@ -117,7 +117,7 @@
         return runs_;
     }
     // Number of pairs of runs with common keys, among the runs of one multiget with this query.
-    std::size_t run_twice(const std::string& query) const {
+    std::size_t count_repeated_runs(const std::string& query) const {
         const std::lock_guard lock(mutex_);
         std::map<std::string, std::vector<const Run*>> by_name;
         std::size_t twice = 0;
@@ -131,48 +131,48 @@
     }
 
 private:
-    struct Held {
+    struct ShardState {
         placement::Key first = 0, last = 0;
         placement::BoxGuard guard;
     };
     struct Box {
         Listener listener;
-        std::map<placement::ShardId, Held> shards;
+        std::map<placement::ShardId, ShardState> shards;
     };
     struct Part {
         std::string id, query;
         placement::ShardId shard = 0;
         placement::Epoch epoch = 0;
         placement::Key first = 0, last = 0;
-        std::chrono::steady_clock::time_point came;
+        std::chrono::steady_clock::time_point received_at;
     };
-    struct Link {
+    struct Connection {
         std::size_t box = 0;
         Peer peer;
         std::vector<Part> parts;
     };
 
     void run() {
-        std::vector<Link> links;
+        std::vector<Connection> connections;
         while (!stop_) {
             std::vector<pollfd> polled;
             for (const auto& box : boxes_) polled.push_back({box.listener.fd(), POLLIN, 0});
-            for (const auto& link : links) polled.push_back({link.peer.fd(), POLLIN, 0});
+            for (const auto& connection : connections) polled.push_back({connection.peer.fd(), POLLIN, 0});
             poll(polled.data(), polled.size(), 2);
-            for (std::size_t i = links.size(); i-- > 0;) {
-                bool open = links[i].box + 1 != dead_;
+            for (std::size_t i = connections.size(); i-- > 0;) {
+                bool open = connections[i].box + 1 != down_server_;
                 if (open && polled[boxes_.size() + i].revents != 0) {
-                    do open = read(links[i]);
-                    while (open && links[i].peer.holds_more());
+                    do open = read(connections[i]);
+                    while (open && connections[i].peer.holds_more());
                 }
                 if (!open) {
-                    links.erase(links.begin() + static_cast<std::ptrdiff_t>(i));
+                    connections.erase(connections.begin() + static_cast<std::ptrdiff_t>(i));
                     continue;
                 }
-                if (!held_) answer(links[i]);
+                if (!held_) answer(connections[i]);
             }
             std::size_t waiting = 0;
-            for (const auto& link : links) waiting += link.parts.size();
+            for (const auto& connection : connections) waiting += connection.parts.size();
             {
                 const std::lock_guard lock(mutex_);
                 waiting_ = waiting;
@@ -180,18 +180,18 @@
             for (std::size_t b = 0; b < boxes_.size(); ++b) {
                 if (polled[b].revents == 0) continue;
                 auto peer = boxes_[b].listener.accept();
-                if (b + 1 != dead_) links.push_back({b, std::move(peer), {}});
+                if (b + 1 != down_server_) connections.push_back({b, std::move(peer), {}});
             }
         }
     }
 
     // Answers a request of a move (docs/placement.md).
-    std::string moved(std::size_t box, std::istringstream& in) {
+    std::string answer_move(std::size_t box, std::istringstream& in) {
         std::string number, verb, first, last;
         placement::MoveId move = 0;
         placement::ShardId shard = 0;
         placement::Epoch epoch = 0;
-        std::uint64_t upto = 0, told = 0;
+        std::uint64_t upto = 0, position = 0;
         in >> number >> verb >> move >> shard >> epoch >> first >> last >> upto;
         const std::lock_guard lock(mutex_);
         auto& held = boxes_[box].shards[shard];
@@ -205,9 +205,9 @@
             held.last = placement::read_key(last).value_or(0);
         } else if (verb == "fence") {
             yes = held.guard.fence(move, epoch);
-            told = runs_.size();
+            position = runs_.size();
         } else if (verb == "reach") {
-            told = upto;
+            position = upto;
         } else if (verb == "own") {
             yes = held.guard.own(move, epoch);
         } else if (verb == "read") {
@@ -218,21 +218,21 @@
             yes = held.guard.unfence(move);
         }
         ++asked_;
-        return 'M' + number + (yes ? " yes " : " no ") + std::to_string(told);
+        return 'M' + number + (yes ? " yes " : " no ") + std::to_string(position);
     }
 
-    bool read(Link& link) {
-        const auto frame = link.peer.frame();
+    bool read(Connection& connection) {
+        const auto frame = connection.peer.frame();
         if (frame == "nothing") return false;
         std::istringstream in(frame.substr(1));
         if (frame[0] == 'M') {
-            link.peer.say_frame(moved(link.box, in));
+            connection.peer.say_frame(answer_move(connection.box, in));
             return true;
         }
         if (frame[0] == 'C') {
             std::string id;
             in >> id;
-            std::erase_if(link.parts, [&id](const Part& part) { return part.id == id; });
+            std::erase_if(connection.parts, [&id](const Part& part) { return part.id == id; });
             return true;
         }
         Part part;
@@ -248,34 +248,35 @@
             std::getline(head, part.query);
             part.first = placement::read_key(first).value_or(1);
             part.last = placement::read_key(last).value_or(0);
-            part.came = std::chrono::steady_clock::now();
-            link.parts.push_back(part);
+            part.received_at = std::chrono::steady_clock::now();
+            connection.parts.push_back(part);
         }
         return true;
     }
 
-    void answer(Link& link) {
+    void answer(Connection& connection) {
         const std::lock_guard lock(mutex_);
         const auto until = std::chrono::steady_clock::now() - std::chrono::milliseconds(answer_ms_);
-        for (const auto& part : std::exchange(link.parts, {})) {
-            if (part.came > until) {
-                link.parts.push_back(part);
+        for (const auto& part : std::exchange(connection.parts, {})) {
+            if (part.received_at > until) {
+                connection.parts.push_back(part);
                 continue;
             }
-            const auto at = boxes_[link.box].shards.find(part.shard);
+            const auto at = boxes_[connection.box].shards.find(part.shard);
             placement::BoxGuard::Verdict verdict;
-            if (at != boxes_[link.box].shards.end() && at->second.first <= part.first &&
+            if (at != boxes_[connection.box].shards.end() && at->second.first <= part.first &&
                 part.last <= at->second.last) {
                 const auto& guard = at->second.guard;
                 verdict = part.query == "once" ? guard.may_run(part.epoch) : guard.may_read(part.epoch);
             }
             if (!verdict.run) {
-                link.peer.reply(part.id, "moved", std::to_string(verdict.known));
+                connection.peer.reply(part.id, "moved", std::to_string(verdict.known));
                 continue;
             }
             auto name = part.id.substr(0, part.id.find('.'));
-            runs_.push_back({link.box, name.substr(0, name.find('~')), part.first, part.last, part.query});
-            link.peer.reply(part.id, "done", std::to_string(points_in(part.first, part.last)));
+            runs_.push_back(
+                {connection.box, name.substr(0, name.find('~')), part.first, part.last, part.query});
+            connection.peer.reply(part.id, "done", std::to_string(points_in(part.first, part.last)));
         }
     }
 
@@ -287,7 +288,7 @@
     std::map<std::pair<std::size_t, placement::MoveId>, std::chrono::steady_clock::time_point> copies_;
     std::atomic<int> copy_ms_ = 0;
     std::atomic<int> answer_ms_ = 0;
-    std::atomic<std::size_t> dead_ = 0;
+    std::atomic<std::size_t> down_server_ = 0;
     std::atomic<bool> held_ = false;
     std::atomic<bool> stop_ = false;
     std::thread thread_;
@@ -326,7 +327,7 @@
     }
     void say(const std::string& line) {  // sent to all open streams of the map
         const std::lock_guard lock(mutex_);
-        say_.push_back(line);
+        pending_lines_.push_back(line);
     }
     void down(bool is_down) { down_ = is_down; }  // refuses requests and closes streams
     std::size_t asked() const { return asked_; }  // number of requests for the map
@@ -366,7 +367,7 @@
                 maps.clear();
             }
             const std::lock_guard lock(mutex_);
-            for (const auto& line : std::exchange(say_, {})) {
+            for (const auto& line : std::exchange(pending_lines_, {})) {
                 for (auto& peer : maps) peer.say(chunk(line + '\n'));
             }
             if (turn % 100 != 0) continue;
@@ -391,7 +392,7 @@
         }
         *kept_ = map;
         whole_ = print_map(map, names_);
-        say_.push_back(body);
+        pending_lines_.push_back(body);
         return true;
     }
 
@@ -401,7 +402,7 @@
     std::unique_ptr<placement::ShardMap> kept_;
     std::vector<Listed> members_;
     std::string whole_;
-    std::vector<std::string> say_;
+    std::vector<std::string> pending_lines_;
     std::atomic<std::size_t> asked_ = 0;
     std::atomic<bool> down_ = false;
     std::atomic<bool> stop_ = false;
--- a/tests/stand_ins/witness.hpp
+++ b/tests/stand_ins/witness.hpp
@@ -33,7 +33,8 @@
 // The recording index servers, served by one thread.
 class Witness {
 public:
-    Witness(int servers, int work_ms) : listeners_(static_cast<std::size_t>(servers)), work_(work_ms / 1e3) {
+    Witness(int servers, int work_ms)
+        : listeners_(static_cast<std::size_t>(servers)), reply_delay_(work_ms / 1e3) {
         thread_ = std::thread([this] { run(); });
     }
     ~Witness() {
@@ -47,36 +48,37 @@
     }
 
 private:
-    struct Line {
+    struct Connection {
         std::size_t server = 0;
         Peer peer;
-        std::multimap<double, std::pair<std::string, const char*>> due;
+        std::multimap<double, std::pair<std::string, const char*>> pending_replies;
     };
 
     void run() {
         while (!stop_) {
             std::vector<pollfd> polled;
             for (const auto& listener : listeners_) polled.push_back({listener.fd(), POLLIN, 0});
-            for (const auto& line : lines_) polled.push_back({line.peer.fd(), POLLIN, 0});
+            for (const auto& connection : connections_) polled.push_back({connection.peer.fd(), POLLIN, 0});
             poll(polled.data(), polled.size(), 2);
-            for (std::size_t i = lines_.size(); i-- > 0;) {
-                auto& line = lines_[i];
-                bool open = polled[listeners_.size() + i].revents == 0 || serve(line);
-                while (open && line.peer.holds_more()) open = serve(line);
-                for (; !line.due.empty() && line.due.begin()->first <= seconds_now();
-                     line.due.erase(line.due.begin())) {
-                    const auto& [id, end] = line.due.begin()->second;
-                    line.peer.reply(id, end, end == std::string("done") ? "of " + id : "");
+            for (std::size_t i = connections_.size(); i-- > 0;) {
+                auto& connection = connections_[i];
+                bool open = polled[listeners_.size() + i].revents == 0 || serve(connection);
+                while (open && connection.peer.holds_more()) open = serve(connection);
+                for (; !connection.pending_replies.empty() &&
+                       connection.pending_replies.begin()->first <= seconds_now();
+                     connection.pending_replies.erase(connection.pending_replies.begin())) {
+                    const auto& [id, end] = connection.pending_replies.begin()->second;
+                    connection.peer.reply(id, end, end == std::string("done") ? "of " + id : "");
                 }
-                if (!open) lines_.erase(lines_.begin() + static_cast<std::ptrdiff_t>(i));
+                if (!open) connections_.erase(connections_.begin() + static_cast<std::ptrdiff_t>(i));
             }
             for (std::size_t i = 0; i < listeners_.size(); ++i) {
-                if (polled[i].revents != 0) lines_.push_back({i, listeners_[i].accept(), {}});
+                if (polled[i].revents != 0) connections_.push_back({i, listeners_[i].accept(), {}});
             }
         }
     }
-    bool serve(Line& line) {
-        const auto frame = line.peer.frame();
+    bool serve(Connection& connection) {
+        const auto frame = connection.peer.frame();
         if (frame == "nothing") return false;
         if (frame[0] != 'S') return true;
         const std::lock_guard lock(mutex_);
@@ -84,22 +86,23 @@
         std::string id, shard;
         for (std::size_t size = 0; parts >> id >> shard >> size;) {
             parts.ignore(static_cast<std::streamsize>(size) + 1);
-            const auto how = chance_() % 100;
-            seen_.push_back({seconds_now(), line.server, id, how >= 4});
-            if (how < 4) line.peer.reply(id, "full");
-            if (how >= 4 && how < 18) line.peer.reply(id, "failed");
-            if (how >= 20)
-                line.due.emplace(seconds_now() + work_, std::pair(id, "done"));  // otherwise no reply
+            const auto outcome = random_() % 100;
+            seen_.push_back({seconds_now(), connection.server, id, outcome >= 4});
+            if (outcome < 4) connection.peer.reply(id, "full");
+            if (outcome >= 4 && outcome < 18) connection.peer.reply(id, "failed");
+            // Outcomes 18 and 19 get no reply.
+            if (outcome >= 20)
+                connection.pending_replies.emplace(seconds_now() + reply_delay_, std::pair(id, "done"));
         }
         return true;
     }
 
     std::vector<Listener> listeners_;
-    const double work_;  // delay of a reply in seconds
-    std::vector<Line> lines_;
+    const double reply_delay_;  // delay of a reply in seconds
+    std::vector<Connection> connections_;
     std::vector<SeenPart> seen_;
     mutable std::mutex mutex_;
-    std::mt19937 chance_{11};
+    std::mt19937 random_{11};
     std::atomic<bool> stop_ = false;
     std::thread thread_;
 };
