--- a/bench/moves.cpp
+++ b/bench/moves.cpp
@@ -34,7 +34,7 @@
         const auto map = ShardMap::even(shards, ids, 2);
         boxes.use_map(map);
         discovery.list(boxes.listed());
-        discovery.keep(map, names);
+        discovery.set_map(map, names);
         for (std::size_t n = 0; n < nodes; ++n) {
             programs.push_back(std::make_unique<Program>(boxes.listed(), discovery.at()));
             programs.back()->with("\"max_open\":40", "\"max_open\":2000");
@@ -180,7 +180,7 @@
         if (moves) {
             mover = std::thread([&] {
                 while (!done) {
-                    fleet.execute(some_moves(fleet.discovery.kept(), fleet.names, chance, next, 4));
+                    fleet.execute(some_moves(fleet.discovery.current_map(), fleet.names, chance, next, 4));
                     ++executed;
                     usleep(20'000);
                 }
@@ -203,7 +203,7 @@
     Fleet fleet(20, 3, 4);
     std::vector<double> latency;
     for (int i = 0; i < 20; ++i) {
-        const auto map = fleet.discovery.kept();
+        const auto map = fleet.discovery.current_map();
         const auto one = map.shards()[0];
         BoxId reader = 0;
         for (const auto& each : one.replicas) reader = each.role == Role::kReader ? each.box : reader;
@@ -229,7 +229,7 @@
         fleet.boxes.set_copy_duration(500);
         fleet.terms.desk.at_once = fleet.terms.desk.at_once_box = at_once;
         std::vector<store::JournalMove> moves;
-        const auto map = fleet.discovery.kept();
+        const auto map = fleet.discovery.current_map();
         for (const auto& shard : map.shards()) {
             const auto held = is_on(shard.replicas, 1);
             if (!held) continue;
--- a/tests/placement/front_test.cpp
+++ b/tests/placement/front_test.cpp
@@ -56,7 +56,7 @@
         discovery.map(print_map(map, names));
     }
     void send_steps() {
-        discovery.say(print_changes(map.version() - unsent_steps.size(), unsent_steps, names));
+        discovery.broadcast(print_changes(map.version() - unsent_steps.size(), unsent_steps, names));
         unsent_steps.clear();
     }
     ShardId id() { return next_id++; }
@@ -162,7 +162,7 @@
             object.replace(object.find("ffffffffffffffff"), 16, print_key(shard.last));
             text += (text.back() == '[' ? "" : ",") + object;
         }
-        fleet.discovery.say(text + "]}");
+        fleet.discovery.broadcast(text + "]}");
         CHECK(fleet.program->counter_at("maps_refused", count) == count);
         CHECK(fleet.program->log().find(words) != std::string::npos);
     };
@@ -176,7 +176,7 @@
     auto two = print_map(fleet.map, fleet.names);
     two.replace(two.find("\"reader\""), 8, "\"owner\"");
     two.replace(two.find("\"version\":1"), 11, "\"version\":9");
-    fleet.discovery.say(two);
+    fleet.discovery.broadcast(two);
     CHECK(fleet.program->counter_at("maps_refused", 3) == 3);
     CHECK(fleet.program->log().find("has 2 owners") != std::string::npos);
     CHECK(fleet.program->counter("map_version") == 1);
@@ -189,13 +189,13 @@
     Fleet fleet(2, 3);
     fleet.start();
     const auto first = Gatherer::keys_of(1, kSplits).first;
-    fleet.discovery.down(true);
+    fleet.discovery.set_down(true);
     const auto& shard = fleet.map.at(first);
     fleet.step(PassOwnership{shard.id, shard.owner() == 1 ? 2U : 1U});
     fleet.client.say(post("once", "t1", asks({1}, "once"), 600));
     CHECK(fleet.client.answer().starts_with("503"));  // refused without running; the new owner is unknown
     CHECK(fleet.boxes.runs().empty());
-    fleet.discovery.down(false);
+    fleet.discovery.set_down(false);
     CHECK(fleet.program->counter_at("map_version", 2) == 2);
     CHECK(fleet.ask("once", "t2", {1}) == whole_answer({1}));
     CHECK(fleet.boxes.count_repeated_runs("once") == 0);
@@ -281,7 +281,7 @@
     fleet.client.say(post("once", "t1", asks({1}, "once")));
     CHECK(fleet.client.answer() == "500");
     CHECK(fleet.program->counter("bad_frames") == 1);
-    CHECK(fleet.discovery.asked() == 0);
+    CHECK(fleet.discovery.map_request_count() == 0);
     CHECK(fleet.program->counter("map_version") == 999'999);
 }
 
--- a/tests/placement/mover_test.cpp
+++ b/tests/placement/mover_test.cpp
@@ -39,7 +39,7 @@
         for (const char* name : {"s-1", "s-2", "s-3"}) names.number(name);
         boxes.use_map(map);
         discovery.list(boxes.listed());
-        discovery.keep(map, names);
+        discovery.set_map(map, names);
         program = std::make_unique<Program>(boxes.listed(), discovery.at());
         program->with_settings(
             "[placement]\non = true\nask_again_ms = 5\nmost_legs = 60\n[placement.merge]\nagain = "
@@ -117,7 +117,7 @@
         return result;
     }
     void check_emptied() {
-        const auto now = discovery.kept();
+        const auto now = discovery.current_map();
         for (const auto& shard : now.shards()) {
             for (const auto& each : shard.replicas) {
                 CHECK(each.box != 1);
@@ -155,7 +155,7 @@
     CHECK(fixture.shards("show").text.find("version 1, 2 shards") == 0);
     const auto dry = fixture.shards("apply --dry-run " + file);
     CHECK(dry.text.find("owner of shard 2  s-1 -> ") != std::string::npos);
-    CHECK(fixture.discovery.kept().version() == 1);
+    CHECK(fixture.discovery.current_map().version() == 1);
     fixture.boxes.set_copy_duration(250);  // the copy request is repeated until the copy is complete
     const auto applied = fixture.shards("apply " + file);
     CHECK_MESSAGE(applied.code == 0, applied.text);
@@ -211,7 +211,7 @@
         const auto answer = fixture.client.answer();
         // On a slow machine the deadline may have passed; in any case the part ran at most once.
         CHECK((answer == whole_answer({2}) || answer.starts_with("50")));
-        auto map = fixture.discovery.kept();
+        auto map = fixture.discovery.current_map();
         CHECK(map.size() == 3);
         CHECK(fixture.program->counter_at("map_version", map.version()) == map.version());
         CHECK(fixture.ask("once", "t", {2}) == whole_answer({2}));
@@ -219,7 +219,7 @@
         const auto lower = map.shards()[0].id, upper = map.shards()[1].id;
         CHECK(fixture.shards("merge " + std::to_string(lower) + ' ' + std::to_string(upper)).code == 0);
         CHECK(fixture.shards("apply").code == 0);
-        map = fixture.discovery.kept();
+        map = fixture.discovery.current_map();
         CHECK(map.size() == 2);
         CHECK(fixture.program->counter_at("map_version", map.version()) == map.version());
         CHECK(fixture.ask("once", "v", {2}) == whole_answer({2}));
@@ -239,7 +239,7 @@
     fixture.shards("abort 1");
     usleep(150'000);
     CHECK(fixture.shards("apply").code == 3);
-    CHECK(fixture.discovery.kept() == fixture.map);
+    CHECK(fixture.discovery.current_map() == fixture.map);
     CHECK(!fixture.boxes.guard(1, 1).fenced());
     CHECK(fixture.ask("once", "t2", {2}) == whole_answer({2}));
 }
@@ -351,8 +351,8 @@
         CHECK(result.code == 3);
         // Readers added by completed moves stay. Ownership is unchanged and no fence is up.
         const bool asked = std::string(point).starts_with("asked");
-        if (!asked) CHECK(fixture.discovery.kept() == fixture.map);
-        for (const auto& shard : fixture.discovery.kept().shards()) {
+        if (!asked) CHECK(fixture.discovery.current_map() == fixture.map);
+        for (const auto& shard : fixture.discovery.current_map().shards()) {
             CHECK(shard.owner() == 1);
             CHECK(fixture.boxes.guard(1, shard.id).owns());
             CHECK(!fixture.boxes.guard(1, shard.id).fenced());
--- a/tests/stand_ins/boxes.hpp
+++ b/tests/stand_ins/boxes.hpp
@@ -315,22 +315,22 @@
         whole_ = whole;
     }
     // Sets the authoritative map, which clients can change by posted steps.
-    void keep(const placement::ShardMap& map, const placement::BoxNames& names) {
+    void set_map(const placement::ShardMap& map, const placement::BoxNames& names) {
         const std::lock_guard lock(mutex_);
         names_ = names;
-        kept_ = std::make_unique<placement::ShardMap>(map);
+        current_map_ = std::make_unique<placement::ShardMap>(map);
         whole_ = print_map(map, names_);
     }
-    placement::ShardMap kept() const {
+    placement::ShardMap current_map() const {
         const std::lock_guard lock(mutex_);
-        return *kept_;
+        return *current_map_;
     }
-    void say(const std::string& line) {  // sent to all open streams of the map
+    void broadcast(const std::string& line) {  // sent to all open streams of the map
         const std::lock_guard lock(mutex_);
         pending_lines_.push_back(line);
     }
-    void down(bool is_down) { down_ = is_down; }  // refuses requests and closes streams
-    std::size_t asked() const { return asked_; }  // number of requests for the map
+    void set_down(bool is_down) { down_ = is_down; }                 // refuses requests and closes streams
+    std::size_t map_request_count() const { return map_requests_; }  // number of requests for the map
 
 private:
     void run() {
@@ -344,15 +344,15 @@
                 const auto body = posted ? peer.read_bytes(length_in(head)) : "";
                 const std::lock_guard lock(mutex_);
                 if (posted) {
-                    const bool good = !down_ && change(body);
-                    peer.say(std::string("HTTP/1.1 ") + (good ? "200 OK" : "409 Conflict") +
+                    const bool accepted = !down_ && apply_changes(body);
+                    peer.say(std::string("HTTP/1.1 ") + (accepted ? "200 OK" : "409 Conflict") +
                              "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
                     continue;
                 }
                 const bool shards = head.find("/discovery/shards") != std::string::npos;
                 const bool stream = head.find("stream=1") != std::string::npos;
                 const auto text = shards ? whole_ : list_object(1, true, members_);
-                if (shards) ++asked_;
+                if (shards) ++map_requests_;
                 if (down_) continue;
                 if (!stream) {
                     peer.say("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(text.size()) +
@@ -380,17 +380,17 @@
         const auto at = head.find("Content-Length: ");
         return at == std::string::npos ? 0 : std::strtoul(head.c_str() + at + 16, nullptr, 10);
     }
-    bool change(const std::string& body) {
+    bool apply_changes(const std::string& body) {
         const auto news = placement::read_map_news(body, names_);
         const auto* changes = std::get_if<placement::MapChanges>(&news);
-        if (changes == nullptr || !kept_ || changes->after != kept_->version()) return false;
-        auto map = *kept_;
+        if (changes == nullptr || !current_map_ || changes->after != current_map_->version()) return false;
+        auto map = *current_map_;
         for (const auto& step : changes->steps) {
             auto next = map.after(step);
             if (!std::holds_alternative<placement::ShardMap>(next)) return false;
             map = std::get<placement::ShardMap>(next);
         }
-        *kept_ = map;
+        *current_map_ = map;
         whole_ = print_map(map, names_);
         pending_lines_.push_back(body);
         return true;
@@ -399,11 +399,11 @@
     Listener listener_;
     mutable std::mutex mutex_;
     placement::BoxNames names_;
-    std::unique_ptr<placement::ShardMap> kept_;
+    std::unique_ptr<placement::ShardMap> current_map_;
     std::vector<Listed> members_;
     std::string whole_;
     std::vector<std::string> pending_lines_;
-    std::atomic<std::size_t> asked_ = 0;
+    std::atomic<std::size_t> map_requests_ = 0;
     std::atomic<bool> down_ = false;
     std::atomic<bool> stop_ = false;
     std::thread thread_;
