--- a/src/placement/exact.cpp
+++ b/src/placement/exact.cpp
@@ -12,7 +12,7 @@
 namespace pinedoor::placement {
 namespace {
 
-// libglpk is loaded when it is asked for: the front node must not carry it.
+// GLPK functions, loaded at run time so that the front node does not link against libglpk.
 class Glpk {
 public:
     Glpk() : library_(dlopen("libglpk.so.40", RTLD_NOW | RTLD_LOCAL | RTLD_NODELETE)) {
@@ -60,6 +60,7 @@
     void* library_;
 };
 
+// A mixed integer program with a minimized objective.
 class Model {
 public:
     explicit Model(const Glpk& glpk) : glpk_(glpk), problem_(glpk.create(), glpk.erase) {
@@ -79,7 +80,7 @@
         glpk_.cost(problem_.get(), col, cost);
         return col;
     }
-    // GLP_FX: the sum is `low`; GLP_UP: at most `high`.
+    // Constrains a weighted sum of columns. GLP_FX: it equals `low`; GLP_UP: it is at most `high`.
     void add_row(int kind, double low, double high, const std::vector<std::pair<int, double>>& terms) {
         const int row = glpk_.add_rows(problem_.get(), 1);
         glpk_.row_bounds(problem_.get(), row, kind, low, high);
@@ -89,15 +90,16 @@
             factors_.push_back(factor);
         }
     }
-    // GLP_OPT, GLP_FEAS, or another: there is no answer.
-    int solve(int most_seconds) {
+    // Returns GLP_OPT (optimal), GLP_FEAS (feasible, found within the time limit) or a status without
+    // solution.
+    int solve(int time_limit_s) {
         glpk_.matrix(problem_.get(), static_cast<int>(rows_.size()) - 1, rows_.data(), cols_.data(),
                      factors_.data());
-        glp_iocp words;
-        glpk_.init(&words);
-        words.presolve = GLP_ON;
-        words.tm_lim = most_seconds * 1'000;
-        glpk_.solve(problem_.get(), &words);
+        glp_iocp parameters;
+        glpk_.init(&parameters);
+        parameters.presolve = GLP_ON;
+        parameters.tm_lim = time_limit_s * 1'000;
+        glpk_.solve(problem_.get(), &parameters);
         return glpk_.status(problem_.get());
     }
     double value(int col) const { return glpk_.value(problem_.get(), col); }
@@ -105,13 +107,13 @@
 private:
     const Glpk& glpk_;
     std::unique_ptr<glp_prob, decltype(&glp_delete_prob)> problem_;
-    std::vector<int> rows_{0}, cols_{0};  // GLPK counts from 1
+    std::vector<int> rows_{0}, cols_{0};  // element 0 is unused, since GLPK indexes from 1
     std::vector<double> factors_{0};
 };
 
 }  // namespace
 
-std::optional<Exact> exact_target(const Fleet& fleet, int most_seconds, std::string& why) {
+std::optional<ExactTarget> exact_target(const Fleet& fleet, int time_limit_s, std::string& why) {
     if (why = fault_of(fleet); !why.empty()) return std::nullopt;
     std::unique_ptr<Glpk> glpk;
     try {
@@ -148,13 +150,13 @@
                 why = "shard " + std::to_string(need.shard) + " is pinned to a box that may not hold it";
                 return std::nullopt;
             }
-            // What moves weighs so little that it never costs fullness that can be told.
+            // The cost of moving data is low enough not to outweigh a noticeable difference in load.
             h.push_back(model.add_yes_or_no(there ? 0 : 1e-4 * need.size / all, low, high));
             o.push_back(model.add_yes_or_no(0, 0, high));
             replicas.emplace_back(h.back(), 1);
             owners.emplace_back(o.back(), 1);
             in_zone[box.zone].emplace_back(h.back(), 1);
-            model.add_row(GLP_UP, 0, 0, {{o.back(), 1}, {h.back(), -1}});  // who owns holds
+            model.add_row(GLP_UP, 0, 0, {{o.back(), 1}, {h.back(), -1}});  // the owner holds a replica
             load[b].emplace_back(h.back(), need.reads / static_cast<double>(need.replicas) / box.capacity);
             load[b].emplace_back(o.back(), need.writes / box.capacity);
             space[b].emplace_back(h.back(), need.size);
@@ -170,12 +172,12 @@
         model.add_row(GLP_UP, 0, 0, load[b]);
         model.add_row(GLP_UP, 0, fleet.boxes[b].space * fleet.terms.fill, space[b]);
     }
-    const int status = model.solve(most_seconds);
+    const int status = model.solve(time_limit_s);
     if (status != GLP_OPT && status != GLP_FEAS) {
         why = "no placement keeps what is asked, or none was found in the time";
         return std::nullopt;
     }
-    Exact found;
+    ExactTarget found;
     found.proven = status == GLP_OPT;
     for (std::size_t s = 0; s < holds.size(); ++s) {
         auto& replicas = found.target.emplace_back();
--- a/tests/stand_ins/boxes.hpp
+++ b/tests/stand_ins/boxes.hpp
@@ -1,8 +1,9 @@
-// Boxes that hold shards of a small data set and answer by it, and a discovery that tells the list and the
-// map. What a box owns is set by the test; each part is run only under the epoch that it owns, and every run
-// is noted, so that a test can say that nothing ran twice.
+// Test servers for placement: index servers that hold shards of a small data set, and a discovery that sends
+// the server list and the shard map. The test sets which shards a server owns. A part is run only under the
+// epoch of an owned shard, and every run is recorded, so that tests can check that no part ran twice.
 //
-// The data set: 1,200 points spread evenly over all keys. A part's value is how many lie in its keys.
+// The data set has 1,200 points spread evenly over all keys. A part's value is the number of points in its
+// keys.
 #pragma once
 
 #include <poll.h>
@@ -33,7 +34,7 @@
     return upto >= from ? upto - from + 1 : 0;
 }
 
-// What all of the data set says of some of so many count splits, as a client is told.
+// The expected response of the front node for these of `count` splits.
 inline std::string whole_answer(const std::vector<int>& splits, std::uint64_t count = 12) {
     std::string text = "200 {\"whole\":true,\"results\":[";
     for (const int split : splits) {
@@ -44,19 +45,21 @@
     return text + "]}";
 }
 
+// A part that was run.
 struct Run {
-    std::size_t box = 0;
-    std::string multiget;  // as the client named it
+    std::size_t box = 0;   // index from 0
+    std::string multiget;  // the client's name for it
     placement::Key first = 0, last = 0;
     std::string query;
 };
 
-class Boxes {
+// The index servers, served by one thread. Server numbers count from 1.
+class TestServers {
 public:
-    explicit Boxes(std::size_t count) : boxes_(count) {
+    explicit TestServers(std::size_t count) : boxes_(count) {
         thread_ = std::thread([this] { run(); });
     }
-    ~Boxes() {
+    ~TestServers() {
         stop_ = true;
         thread_.join();
     }
@@ -67,11 +70,11 @@
         return all;
     }
 
-    // All boxes, or one (from 1), own and read by this map from now on.
-    void know(const placement::ShardMap& map) {
-        for (std::size_t b = 1; b <= boxes_.size(); ++b) know(map, b);
+    // Makes all servers, or one, own and read shards by this map.
+    void use_map(const placement::ShardMap& map) {
+        for (std::size_t b = 1; b <= boxes_.size(); ++b) use_map(map, b);
     }
-    void know(const placement::ShardMap& map, std::size_t box) {
+    void use_map(const placement::ShardMap& map, std::size_t box) {
         const std::lock_guard lock(mutex_);
         auto& mine = boxes_[box - 1].shards;
         std::set<placement::ShardId> here;
@@ -85,24 +88,25 @@
                     held = {shard.first, shard.last, placement::BoxGuard(owner, shard.epoch, !owner)};
             }
         }
-        for (auto& [id, held] : mine) {  // what it held once it knows to be elsewhere by now
+        for (auto& [id, held] : mine) {  // shards that this server no longer holds by the new map
             if (here.contains(id) || !(held.guard.owns() || held.guard.reads())) continue;
             const auto* now = map.find(id);
             held.guard = placement::BoxGuard(false, now == nullptr ? held.guard.epoch() + 1 : now->epoch);
         }
     }
-    // What a box (from 1) is of a shard.
+    // The state of a shard at a server.
     placement::BoxGuard guard(std::size_t box, placement::ShardId shard) const {
         const std::lock_guard lock(mutex_);
         const auto at = boxes_[box - 1].shards.find(shard);
         return at == boxes_[box - 1].shards.end() ? placement::BoxGuard{} : at->second.guard;
     }
-    // A box says no to `copy` until it has taken so long.
-    void copy_takes(int ms) { copy_ms_ = ms; }
-    void answers_after(int ms) { answer_ms_ = ms; }
-    // A box (from 1) is dead: connections end, and new ones at once. It comes back with what it kept.
-    void dead(std::size_t box, bool is) { dead_ = is ? box : 0; }
-    // Parts wait at the boxes until they are let go; then they are looked at.
+    // Servers refuse `copy` requests until the copy has lasted this long.
+    void set_copy_duration(int ms) { copy_ms_ = ms; }
+    void set_reply_delay(int ms) { answer_ms_ = ms; }
+    // Takes a server down: it closes its connections and refuses new ones. It comes back with its saved
+    // state.
+    void set_down(std::size_t box, bool is) { down_server_ = is ? box : 0; }
+    // Holds back all parts at the servers; they are decided on after release.
     void hold(bool held) { held_ = held; }
     std::size_t waiting() const {
         const std::lock_guard lock(mutex_);
@@ -112,8 +116,8 @@
         const std::lock_guard lock(mutex_);
         return runs_;
     }
-    // Of one query: pairs of runs of one multiget with keys in common.
-    std::size_t run_twice(const std::string& query) const {
+    // Number of pairs of runs with common keys, among the runs of one multiget with this query.
+    std::size_t count_repeated_runs(const std::string& query) const {
         const std::lock_guard lock(mutex_);
         std::map<std::string, std::vector<const Run*>> by_name;
         std::size_t twice = 0;
@@ -127,48 +131,48 @@
     }
 
 private:
-    struct Held {
+    struct ShardState {
         placement::Key first = 0, last = 0;
         placement::BoxGuard guard;
     };
     struct Box {
         Listener listener;
-        std::map<placement::ShardId, Held> shards;
+        std::map<placement::ShardId, ShardState> shards;
     };
     struct Part {
         std::string id, query;
         placement::ShardId shard = 0;
         placement::Epoch epoch = 0;
         placement::Key first = 0, last = 0;
-        std::chrono::steady_clock::time_point came;
+        std::chrono::steady_clock::time_point received_at;
     };
-    struct Link {
+    struct Connection {
         std::size_t box = 0;
         Peer peer;
         std::vector<Part> parts;
     };
 
     void run() {
-        std::vector<Link> links;
+        std::vector<Connection> connections;
         while (!stop_) {
             std::vector<pollfd> polled;
             for (const auto& box : boxes_) polled.push_back({box.listener.fd(), POLLIN, 0});
-            for (const auto& link : links) polled.push_back({link.peer.fd(), POLLIN, 0});
+            for (const auto& connection : connections) polled.push_back({connection.peer.fd(), POLLIN, 0});
             poll(polled.data(), polled.size(), 2);
-            for (std::size_t i = links.size(); i-- > 0;) {
-                bool open = links[i].box + 1 != dead_;
+            for (std::size_t i = connections.size(); i-- > 0;) {
+                bool open = connections[i].box + 1 != down_server_;
                 if (open && polled[boxes_.size() + i].revents != 0) {
-                    do open = read(links[i]);
-                    while (open && links[i].peer.holds_more());
+                    do open = read(connections[i]);
+                    while (open && connections[i].peer.holds_more());
                 }
                 if (!open) {
-                    links.erase(links.begin() + static_cast<std::ptrdiff_t>(i));
+                    connections.erase(connections.begin() + static_cast<std::ptrdiff_t>(i));
                     continue;
                 }
-                if (!held_) answer(links[i]);
+                if (!held_) answer(connections[i]);
             }
             std::size_t waiting = 0;
-            for (const auto& link : links) waiting += link.parts.size();
+            for (const auto& connection : connections) waiting += connection.parts.size();
             {
                 const std::lock_guard lock(mutex_);
                 waiting_ = waiting;
@@ -176,18 +180,18 @@
             for (std::size_t b = 0; b < boxes_.size(); ++b) {
                 if (polled[b].revents == 0) continue;
                 auto peer = boxes_[b].listener.accept();
-                if (b + 1 != dead_) links.push_back({b, std::move(peer), {}});
+                if (b + 1 != down_server_) connections.push_back({b, std::move(peer), {}});
             }
         }
     }
 
-    // What a mover asks (docs/placement.md).
-    std::string moved(std::size_t box, std::istringstream& in) {
+    // Answers a request of a move (docs/placement.md).
+    std::string answer_move(std::size_t box, std::istringstream& in) {
         std::string number, verb, first, last;
         placement::MoveId move = 0;
         placement::ShardId shard = 0;
         placement::Epoch epoch = 0;
-        std::uint64_t upto = 0, told = 0;
+        std::uint64_t upto = 0, position = 0;
         in >> number >> verb >> move >> shard >> epoch >> first >> last >> upto;
         const std::lock_guard lock(mutex_);
         auto& held = boxes_[box].shards[shard];
@@ -201,9 +205,9 @@
             held.last = placement::read_key(last).value_or(0);
         } else if (verb == "fence") {
             yes = held.guard.fence(move, epoch);
-            told = runs_.size();
+            position = runs_.size();
         } else if (verb == "reach") {
-            told = upto;
+            position = upto;
         } else if (verb == "own") {
             yes = held.guard.own(move, epoch);
         } else if (verb == "read") {
@@ -214,21 +218,21 @@
             yes = held.guard.unfence(move);
         }
         ++asked_;
-        return 'M' + number + (yes ? " yes " : " no ") + std::to_string(told);
+        return 'M' + number + (yes ? " yes " : " no ") + std::to_string(position);
     }
 
-    bool read(Link& link) {
-        const auto frame = link.peer.frame();
+    bool read(Connection& connection) {
+        const auto frame = connection.peer.frame();
         if (frame == "nothing") return false;
         std::istringstream in(frame.substr(1));
         if (frame[0] == 'M') {
-            link.peer.say_frame(moved(link.box, in));
+            connection.peer.say_frame(answer_move(connection.box, in));
             return true;
         }
         if (frame[0] == 'C') {
             std::string id;
             in >> id;
-            std::erase_if(link.parts, [&id](const Part& part) { return part.id == id; });
+            std::erase_if(connection.parts, [&id](const Part& part) { return part.id == id; });
             return true;
         }
         Part part;
@@ -244,34 +248,35 @@
             std::getline(head, part.query);
             part.first = placement::read_key(first).value_or(1);
             part.last = placement::read_key(last).value_or(0);
-            part.came = std::chrono::steady_clock::now();
-            link.parts.push_back(part);
+            part.received_at = std::chrono::steady_clock::now();
+            connection.parts.push_back(part);
         }
         return true;
     }
 
-    void answer(Link& link) {
+    void answer(Connection& connection) {
         const std::lock_guard lock(mutex_);
         const auto until = std::chrono::steady_clock::now() - std::chrono::milliseconds(answer_ms_);
-        for (const auto& part : std::exchange(link.parts, {})) {
-            if (part.came > until) {
-                link.parts.push_back(part);
+        for (const auto& part : std::exchange(connection.parts, {})) {
+            if (part.received_at > until) {
+                connection.parts.push_back(part);
                 continue;
             }
-            const auto at = boxes_[link.box].shards.find(part.shard);
+            const auto at = boxes_[connection.box].shards.find(part.shard);
             placement::BoxGuard::Verdict verdict;
-            if (at != boxes_[link.box].shards.end() && at->second.first <= part.first &&
+            if (at != boxes_[connection.box].shards.end() && at->second.first <= part.first &&
                 part.last <= at->second.last) {
                 const auto& guard = at->second.guard;
                 verdict = part.query == "once" ? guard.may_run(part.epoch) : guard.may_read(part.epoch);
             }
             if (!verdict.run) {
-                link.peer.reply(part.id, "moved", std::to_string(verdict.known));
+                connection.peer.reply(part.id, "moved", std::to_string(verdict.known));
                 continue;
             }
             auto name = part.id.substr(0, part.id.find('.'));
-            runs_.push_back({link.box, name.substr(0, name.find('~')), part.first, part.last, part.query});
-            link.peer.reply(part.id, "done", std::to_string(points_in(part.first, part.last)));
+            runs_.push_back(
+                {connection.box, name.substr(0, name.find('~')), part.first, part.last, part.query});
+            connection.peer.reply(part.id, "done", std::to_string(points_in(part.first, part.last)));
         }
     }
 
@@ -279,16 +284,17 @@
     mutable std::mutex mutex_;
     std::vector<Run> runs_;
     std::size_t waiting_ = 0;
-    std::size_t asked_ = 0;  // by movers
+    std::size_t asked_ = 0;  // number of requests of moves
     std::map<std::pair<std::size_t, placement::MoveId>, std::chrono::steady_clock::time_point> copies_;
     std::atomic<int> copy_ms_ = 0;
     std::atomic<int> answer_ms_ = 0;
-    std::atomic<std::size_t> dead_ = 0;
+    std::atomic<std::size_t> down_server_ = 0;
     std::atomic<bool> held_ = false;
     std::atomic<bool> stop_ = false;
     std::thread thread_;
 };
 
+// A discovery server for the server list and the shard map.
 class MapDiscovery {
 public:
     MapDiscovery() {
@@ -304,27 +310,27 @@
         const std::lock_guard lock(mutex_);
         members_ = std::move(members);
     }
-    void map(const std::string& whole) {  // told to whoever asks from now on
+    void map(const std::string& whole) {  // the response to requests for the map
         const std::lock_guard lock(mutex_);
         whole_ = whole;
     }
-    // The map itself, which whoever moves shards may change by steps.
-    void keep(const placement::ShardMap& map, const placement::BoxNames& names) {
+    // Sets the authoritative map, which clients can change by posted steps.
+    void set_map(const placement::ShardMap& map, const placement::BoxNames& names) {
         const std::lock_guard lock(mutex_);
         names_ = names;
-        kept_ = std::make_unique<placement::ShardMap>(map);
+        current_map_ = std::make_unique<placement::ShardMap>(map);
         whole_ = print_map(map, names_);
     }
-    placement::ShardMap kept() const {
+    placement::ShardMap current_map() const {
         const std::lock_guard lock(mutex_);
-        return *kept_;
+        return *current_map_;
     }
-    void say(const std::string& line) {  // to all who watch
+    void broadcast(const std::string& line) {  // sent to all open streams of the map
         const std::lock_guard lock(mutex_);
-        say_.push_back(line);
+        pending_lines_.push_back(line);
     }
-    void down(bool is_down) { down_ = is_down; }  // who asks is turned away, and watches end
-    std::size_t asked() const { return asked_; }  // for the map
+    void set_down(bool is_down) { down_ = is_down; }                 // refuses requests and closes streams
+    std::size_t map_request_count() const { return map_requests_; }  // number of requests for the map
 
 private:
     void run() {
@@ -338,15 +344,15 @@
                 const auto body = posted ? peer.read_bytes(length_in(head)) : "";
                 const std::lock_guard lock(mutex_);
                 if (posted) {
-                    const bool good = !down_ && change(body);
-                    peer.say(std::string("HTTP/1.1 ") + (good ? "200 OK" : "409 Conflict") +
+                    const bool accepted = !down_ && apply_changes(body);
+                    peer.say(std::string("HTTP/1.1 ") + (accepted ? "200 OK" : "409 Conflict") +
                              "\r\nContent-Length: 0\r\nConnection: close\r\n\r\n");
                     continue;
                 }
                 const bool shards = head.find("/discovery/shards") != std::string::npos;
                 const bool stream = head.find("stream=1") != std::string::npos;
                 const auto text = shards ? whole_ : list_object(1, true, members_);
-                if (shards) ++asked_;
+                if (shards) ++map_requests_;
                 if (down_) continue;
                 if (!stream) {
                     peer.say("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(text.size()) +
@@ -361,7 +367,7 @@
                 maps.clear();
             }
             const std::lock_guard lock(mutex_);
-            for (const auto& line : std::exchange(say_, {})) {
+            for (const auto& line : std::exchange(pending_lines_, {})) {
                 for (auto& peer : maps) peer.say(chunk(line + '\n'));
             }
             if (turn % 100 != 0) continue;
@@ -374,30 +380,30 @@
         const auto at = head.find("Content-Length: ");
         return at == std::string::npos ? 0 : std::strtoul(head.c_str() + at + 16, nullptr, 10);
     }
-    bool change(const std::string& body) {
+    bool apply_changes(const std::string& body) {
         const auto news = placement::read_map_news(body, names_);
         const auto* changes = std::get_if<placement::MapChanges>(&news);
-        if (changes == nullptr || !kept_ || changes->after != kept_->version()) return false;
-        auto map = *kept_;
+        if (changes == nullptr || !current_map_ || changes->after != current_map_->version()) return false;
+        auto map = *current_map_;
         for (const auto& step : changes->steps) {
             auto next = map.after(step);
             if (!std::holds_alternative<placement::ShardMap>(next)) return false;
             map = std::get<placement::ShardMap>(next);
         }
-        *kept_ = map;
+        *current_map_ = map;
         whole_ = print_map(map, names_);
-        say_.push_back(body);
+        pending_lines_.push_back(body);
         return true;
     }
 
     Listener listener_;
     mutable std::mutex mutex_;
     placement::BoxNames names_;
-    std::unique_ptr<placement::ShardMap> kept_;
+    std::unique_ptr<placement::ShardMap> current_map_;
     std::vector<Listed> members_;
     std::string whole_;
-    std::vector<std::string> say_;
-    std::atomic<std::size_t> asked_ = 0;
+    std::vector<std::string> pending_lines_;
+    std::atomic<std::size_t> map_requests_ = 0;
     std::atomic<bool> down_ = false;
     std::atomic<bool> stop_ = false;
     std::thread thread_;
