--- a/src/lab/fleet/rig.cpp
+++ b/src/lab/fleet/rig.cpp
@@ -486,7 +486,7 @@
         }
     }
 
-    void befall(const Trouble& trouble, int index, bool begins) {
+    void apply_fault(const Trouble& trouble, int index, bool begins) {
         using Of = Trouble::Kind;
         auto& server = *servers_[static_cast<std::size_t>(index)];
         book_.say(agenda_.now(), "server " + std::to_string(index) + ' ' + name_of(trouble.kind) +
@@ -498,7 +498,7 @@
         const bool silently = trouble.kind == Of::kVanish || trouble.kind == Of::kZoneLost;
         const bool down = silently || trouble.kind == Of::kCrash || trouble.kind == Of::kFlapping ||
                           trouble.kind == Of::kRolling;
-        if (!down) return server.befall(trouble, begins);
+        if (!down) return server.apply_fault(trouble, begins);
         if (begins)
             server.take_down(silently);
         else
@@ -520,12 +520,12 @@
             case Of::kShift: clients_->shift(begins ? Shift{told.zone, told.share} : Shift{}); return;
             case Of::kBadClients: clients_->misbehave(begins ? told.factor : 0); return;
             case Of::kReload:
-                for (const auto which : struck(book_.world, index)) {
+                for (const auto which : affected_by(book_.world, index)) {
                     if (begins) nodes_[which]->process.signal(SIGHUP);
                 }
                 return;
             case Of::kNodeRestarted:
-                for (const auto which : struck(book_.world, index)) {
+                for (const auto which : affected_by(book_.world, index)) {
                     if (!begins) continue;
                     nodes_[which]->process.signal(SIGTERM);
                     start_again_once_ended(static_cast<int>(which));
@@ -535,14 +535,14 @@
             case Of::kDiscoveryDown: discovery_down(begins); return;
             case Of::kNodeKilled:
                 if (!begins) return;
-                for (const auto which : struck(book_.world, index)) {
+                for (const auto which : affected_by(book_.world, index)) {
                     kill(static_cast<int>(which));
                     start_node(static_cast<int>(which));
                 }
                 return;
             default: break;
         }
-        const auto servers = struck(book_.world, index);
+        const auto servers = affected_by(book_.world, index);
         if (told.kind == Of::kPauses || told.kind == Of::kFlapping || told.kind == Of::kRolling) {
             if (!begins) return;
             auto first = agenda_.now();
@@ -555,7 +555,7 @@
             }
             return;
         }
-        for (const auto server : servers) befall(told, static_cast<int>(server), begins);
+        for (const auto server : servers) apply_fault(told, static_cast<int>(server), begins);
     }
 
     // The front nodes' own logs, so that one replay shows a node from all sides; no verdict is read from
@@ -635,7 +635,7 @@
         const auto struck = struck_nodes(told_, index);
         if (told.between == Fault::Between::kPeers) return part(told, struck, begins);
         if (told.kind == Of::kKillForeign && !begins) return give_folders(struck);
-        for (const int which : struck) befall(told, which, begins);
+        for (const int which : struck) apply_fault(told, which, begins);
     }
 
     // A part brought it down; it is started again.
@@ -708,7 +708,7 @@
         }
     }
 
-    void befall(const Fault& told, int which, bool begins) {
+    void apply_fault(const Fault& told, int which, bool begins) {
         using Of = Fault::Kind;
         auto& mine = node(which);
         switch (told.kind) {
@@ -795,7 +795,7 @@
             agenda_.at(agenda_.now() + after, [this, index, server, end] { spell(index, server, end); });
         };
         if (ends) {
-            befall(told, server, false);
+            apply_fault(told, server, false);
             const Time until_next = told.every - told.for_time;
             if (!rolling && agenda_.now() - book_.start + until_next < told.until) next(until_next, false);
             return;
@@ -807,7 +807,7 @@
             spread(server);
             return next(kDrain, false);
         }
-        befall(told, server, true);
+        apply_fault(told, server, true);
         next(told.for_time, true);
     }
 
--- a/src/lab/live/live_clients.cpp
+++ b/src/lab/live/live_clients.cpp
@@ -33,7 +33,7 @@
 
 void LiveClients::arrive(std::uint32_t kind) {
     const auto& clients = book_.world.clients[kind];
-    const double most = busiest(book_.world, clients);
+    const double most = max_rate_factor(book_.world, clients);
     const double wait = -std::log1p(-book_.chance.one()) / (clients.per_second * most) * kSecond;
     // Each from when the last was due, not from now: what the loop is late by delays nobody.
     const auto due = std::make_shared<double>(static_cast<double>(agenda_.now()) + wait);
@@ -42,7 +42,7 @@
         const auto& mine = book_.world.clients[kind];
         const auto now = static_cast<net::Moment>(*due);
         if (now - book_.start >= book_.world.length) return;
-        if (book_.chance.one() < busier(mine, now - book_.start, surge_) / most) {
+        if (book_.chance.one() < rate_factor(mine, now - book_.start, surge_) / most) {
             auto asking = std::make_unique<Asking>();
             asking->request = draw_request(book_.world, kind, now, book_.chance);
             auto& totals = book_.totals.clients[kind];
--- a/src/lab/live/live_server.cpp
+++ b/src/lab/live/live_server.cpp
@@ -257,8 +257,8 @@
     });
 }
 
-void LiveServer::befall(const Trouble& trouble, bool begins) {
-    condition_.befall(trouble, begins);
+void LiveServer::apply_fault(const Trouble& trouble, bool begins) {
+    condition_.apply_fault(trouble, begins);
     if (condition_.hung > 0) return;
     for (const Job job : std::exchange(held_, {})) arrive(job);
 }
--- a/src/lab/live/live_server.hpp
+++ b/src/lab/live/live_server.hpp
@@ -55,7 +55,7 @@
 
     net::Endpoint at(int zone) const { return ports_[static_cast<std::size_t>(zone)].at(); }
     const Condition& condition() const { return condition_; }
-    void befall(const Trouble& trouble, bool begins);  // of those that do not take it down
+    void apply_fault(const Trouble& trouble, bool begins);  // of those that do not take it down
     void take_down(bool silently);  // it dies, or vanishes: then it says nothing, and resets nothing
     void bring_up(bool silently);   // it is started, cold
     void drain() { condition_.draining = true; }
--- a/src/lab/sim/event_wheel.hpp
+++ b/src/lab/sim/event_wheel.hpp
@@ -1,9 +1,9 @@
-// What is to happen in simulated time, in the order of its time, and of its coming where times are equal.
+// A timing wheel: the event queue of the simulation, ordered by time and, for equal times, by insertion.
 //
-// A wheel of one slot a tick for what is near, an ordered map for the rest: pushing and popping take constant
-// time wherever most things lie within the wheel's span, and a slot's memory is used again each time round.
-// What is far off enters its slot as soon as the span reaches it, before anything can be pushed there
-// directly, so equal times stay in order. Measured against std::priority_queue in docs/lab.md.
+// Events within the wheel's span have a slot per tick; later ones are in an ordered map. Push and pop take
+// constant time while most events are within the span, and slots reuse their memory. An event moves from the
+// map to its slot as soon as the span reaches its time, before a push can reach that slot directly, so events
+// with equal times stay in order. docs/lab.md compares it with std::priority_queue.
 #pragma once
 
 #include <bit>
@@ -17,80 +17,80 @@
 
 namespace pinedoor::lab {
 
-template <class What>
+template <class Value>
 class EventWheel {
 public:
-    EventWheel() : slots_(kSpan), marks_(kSpan / 64) {}
+    EventWheel() : slots_(kSpan), occupied_(kSpan / 64) {}
 
-    // What lies in the past happens now.
-    void push(Time at, What what) {
-        at = at < now_ ? now_ : at;
+    // Adds an event; a time in the past counts as now.
+    void push(Time time, Value value) {
+        time = time < now_ ? now_ : time;
         ++size_;
-        if (at >= now_ + kSpan) {
-            far_[at].push_back(std::move(what));
+        if (time >= now_ + kSpan) {
+            overflow_[time].push_back(std::move(value));
             return;
         }
-        put(at, std::move(what));
+        insert(time, std::move(value));
     }
     bool empty() const { return size_ == 0; }
     std::size_t size() const { return size_; }
     Time now() const { return now_; }
-    // When the next thing happens; there must be one.
-    Time next() const { return near_ > 0 ? next_near() : far_.begin()->first; }
-    // Takes the next thing, and makes its time now; there must be one.
-    What pop() {
-        const Time at = next();
-        if (at != now_) advance(at);
-        auto& slot = slots_[index(at)];
-        What what = std::move(slot[head_++]);
-        --near_;
+    // The time of the next event. The queue must not be empty.
+    Time next() const { return near_count_ > 0 ? next_in_wheel() : overflow_.begin()->first; }
+    // Removes the next event and advances now() to its time. The queue must not be empty.
+    Value pop() {
+        const Time time = next();
+        if (time != now_) advance(time);
+        auto& slot = slots_[slot_index(time)];
+        Value value = std::move(slot[consumed_++]);
+        --near_count_;
         --size_;
-        if (head_ == slot.size()) {
+        if (consumed_ == slot.size()) {
             slot.clear();
-            head_ = 0;
-            marks_[index(at) / 64] &= ~(std::uint64_t{1} << index(at) % 64);
+            consumed_ = 0;
+            occupied_[slot_index(time) / 64] &= ~(std::uint64_t{1} << slot_index(time) % 64);
         }
-        return what;
+        return value;
     }
 
 private:
     static constexpr Time kSpan = 1 << 14;  // ticks
-    static std::size_t index(Time at) {
-        return static_cast<std::size_t>(at) & static_cast<std::size_t>(kSpan - 1);
+    static std::size_t slot_index(Time time) {
+        return static_cast<std::size_t>(time) & static_cast<std::size_t>(kSpan - 1);
     }
 
-    void put(Time at, What what) {
-        slots_[index(at)].push_back(std::move(what));
-        marks_[index(at) / 64] |= std::uint64_t{1} << index(at) % 64;
-        ++near_;
+    void insert(Time time, Value value) {
+        slots_[slot_index(time)].push_back(std::move(value));
+        occupied_[slot_index(time) / 64] |= std::uint64_t{1} << slot_index(time) % 64;
+        ++near_count_;
     }
     void advance(Time to) {
         now_ = to;
-        while (!far_.empty() && far_.begin()->first < now_ + kSpan) {
-            const auto first = far_.begin();
-            for (auto& what : first->second) put(first->first, std::move(what));
-            far_.erase(first);
+        while (!overflow_.empty() && overflow_.begin()->first < now_ + kSpan) {
+            const auto first = overflow_.begin();
+            for (auto& value : first->second) insert(first->first, std::move(value));
+            overflow_.erase(first);
         }
     }
-    Time next_near() const {
-        const auto from = index(now_);
+    Time next_in_wheel() const {
+        const auto from = slot_index(now_);
         auto word = from / 64;
-        auto bits = marks_[word] & (~std::uint64_t{0} << from % 64);
-        for (std::size_t seen = 0; bits == 0 && seen <= marks_.size(); ++seen) {
-            word = (word + 1) % marks_.size();
-            bits = marks_[word];
+        auto bits = occupied_[word] & (~std::uint64_t{0} << from % 64);
+        for (std::size_t seen = 0; bits == 0 && seen <= occupied_.size(); ++seen) {
+            word = (word + 1) % occupied_.size();
+            bits = occupied_[word];
         }
-        const auto at = word * 64 + static_cast<std::size_t>(std::countr_zero(bits));
-        return now_ + static_cast<Time>((at + static_cast<std::size_t>(kSpan) - from) %
+        const auto time = word * 64 + static_cast<std::size_t>(std::countr_zero(bits));
+        return now_ + static_cast<Time>((time + static_cast<std::size_t>(kSpan) - from) %
                                         static_cast<std::size_t>(kSpan));
     }
 
-    std::vector<std::vector<What>> slots_;
-    std::vector<std::uint64_t> marks_;  // a bit for each slot that holds anything
-    std::map<Time, std::vector<What>> far_;
+    std::vector<std::vector<Value>> slots_;
+    std::vector<std::uint64_t> occupied_;  // bitmap of the non-empty slots
+    std::map<Time, std::vector<Value>> overflow_;
     Time now_ = 0;
-    std::size_t head_ = 0;  // taken of the slot of now
-    std::size_t near_ = 0;
+    std::size_t consumed_ = 0;  // events already popped from the slot of now()
+    std::size_t near_count_ = 0;
     std::size_t size_ = 0;
 };
 
--- a/src/lab/sim/policy.hpp
+++ b/src/lab/sim/policy.hpp
@@ -1,5 +1,5 @@
-// Who decides at a front node of a simulated world: pinedoor's module, or one of the plain ways that it is
-// measured against. None of the latter is meant for service.
+// The policies that a simulated front node can use: pinedoor's decision module and the baselines it is
+// compared with. The baselines are not meant for production.
 #pragma once
 
 #include <memory>
@@ -17,17 +17,18 @@
 std::string_view name_of(PolicyKind kind);
 const std::vector<std::string>& policy_names();
 
-// What is true of the world now; for the policy that sees all.
+// The actual state of the simulated world, as seen by the omniscient policy.
 class Truth {
 public:
     virtual ~Truth() = default;
     static constexpr Time kNever = INT64_MAX;
-    // How long a part sent there now will take until its answer is back, as is to be expected; kNever: it
-    // would fail.
-    virtual Time completes(int node, ServerId server) const = 0;
+    // The expected time, in ticks, until the answer to a part sent to the server now; kNever if it would
+    // fail.
+    virtual Time expected_latency(int node, ServerId server) const = 0;
 };
 
-struct NodeTerms {  // what a FrontNode is told at its start
+// The configuration of a front node at its start.
+struct NodeTerms {
     std::uint64_t seed = 0;
     NodePlace place;
     std::vector<OpType> op_types;
@@ -40,10 +41,11 @@
     const Truth* truth = nullptr;
 };
 
+// Decides what a front node does.
 class Policy {
 public:
     virtual ~Policy() = default;
-    virtual std::vector<Action> turn(Time now, const std::vector<Event>& events) = 0;  // as FrontNode's
+    virtual std::vector<Action> turn(Time now, const std::vector<Event>& events) = 0;  // like FrontNode::turn
 };
 
 std::unique_ptr<Policy> make_policy(PolicyKind kind, const NodeTerms& terms);
--- a/src/lab/sim/simulation.cpp
+++ b/src/lab/sim/simulation.cpp
@@ -9,10 +9,10 @@
 namespace {
 
 constexpr Time kSecond = 10'000;
-constexpr Time kStopWithin = 2'500;  // after a front node is told that a server is gone
-constexpr Time kGrace = 200;         // an answer's way to the client
-constexpr Time kDrain = 5'000;       // a server that is replaced is told draining for so long
-constexpr Time kIdle = 300'000;      // a connection that is unused for longer is closed
+constexpr Time kStopSendingWithin = 2'500;  // from receiving that a server was removed to the last send to it
+constexpr Time kGrace = 200;                // allowance for an answer to reach the client
+constexpr Time kDrainTime = 5'000;          // how long a replaced server is listed as draining
+constexpr Time kIdleTimeout = 300'000;      // idle connections are closed after this
 
 std::string name_of(Repeat repeat) {
     return repeat == Repeat::kRetriable ? "retriable"
@@ -26,20 +26,23 @@
     return kNames[static_cast<std::size_t>(outcome)];
 }
 
+// A part of a multiget that a front node is processing.
 struct OpenPart {
     Id multiget = 0;
     int shard = 0;
     double weight = 0;
     std::uint64_t key = 0;
     bool in = false;
-    std::vector<std::uint32_t> sends;  // slots, in their order; kEnded once told
+    std::vector<std::uint32_t>
+        sends;  // slots of its sends, in order; kEndedSend after the outcome was delivered
 };
 std::string part_name(std::uint64_t part) {
     return std::to_string(part >> 20U) + '.' + std::to_string(part & 0xfffffU);
 }
 
-constexpr std::uint32_t kEnded = UINT32_MAX;
+constexpr std::uint32_t kEndedSend = UINT32_MAX;
 
+// A multiget that a front node is processing.
 struct OpenMultiget {
     std::uint64_t world_number = 0;
     std::uint32_t request = 0;
@@ -48,25 +51,26 @@
 };
 
 struct Link {  // a front node's connection to a server
-    std::uint32_t era = UINT32_MAX;
+    std::uint32_t generation = UINT32_MAX;
     Time used = 0;
 };
 
 }  // namespace
 
+// The state of an emulated front node.
 struct Simulation::Node {
     std::unique_ptr<Policy> front;
-    std::uint32_t era = 0;
-    bool leaving = false;  // told to end: takes nothing new, and is started anew once all is answered
+    std::uint32_t generation = 0;
+    bool restarting = false;  // gets no new requests, and restarts once all open ones are answered
     std::vector<Event> events;
-    std::multimap<Time, std::uint32_t> bells;
-    Time last_turn = -1'000, turn_at = -1;  // -1: none is due
+    std::multimap<Time, std::uint32_t> timers;
+    Time last_turn = -1'000, turn_at = -1;  // turn_at -1: no turn is scheduled
     Id last_id = 0;
     std::uint32_t last_number = 0;
     std::unordered_map<Id, OpenMultiget> multigets;
     std::unordered_map<Id, OpenPart> parts;
     std::vector<Link> links;
-    std::unordered_map<std::uint32_t, int> sent_now;  // in this turn, by server
+    std::unordered_map<std::uint32_t, int> sent_now;  // sends of this turn, by server
 };
 
 std::string Totals::to_json() const {
@@ -102,20 +106,21 @@
 
 Simulation::Simulation(const World& world, MakePolicy make, std::function<void(const std::string&)> log)
     : world_(world), make_(std::move(make)), log_(std::move(log)), chance_(world.seed),
-      cut_(static_cast<std::size_t>(world.zones)) {
-    say("world cold_from " + std::to_string(1 / world_.servers.cold_factor) + " warm_after " +
-        std::to_string(world_.servers.warm_after) + " fall " + std::to_string(world_.cold.fall_multiple) +
-        " tip " + std::to_string(world_.cold.tip_after) + " rate " +
-        std::to_string(world_.servers.cores / (world_.servers.part_ms.mean() * 10)) + " floor " +
-        std::to_string(world_.further.floor) + " ratio " + std::to_string(world_.further.ratio) +
-        " look_back " + std::to_string(world_.further.look_back) + " stop " + std::to_string(kStopWithin) +
-        " grace " + std::to_string(kGrace));
+      partitions_(static_cast<std::size_t>(world.zones)) {
+    write_log("world cold_from " + std::to_string(1 / world_.servers.cold_factor) + " warm_after " +
+              std::to_string(world_.servers.warm_after) + " fall " +
+              std::to_string(world_.cold.fall_multiple) + " tip " + std::to_string(world_.cold.tip_after) +
+              " rate " + std::to_string(world_.servers.cores / (world_.servers.part_ms.mean() * 10)) +
+              " floor " + std::to_string(world_.further.floor) + " ratio " +
+              std::to_string(world_.further.ratio) + " look_back " +
+              std::to_string(world_.further.look_back) + " stop " + std::to_string(kStopSendingWithin) +
+              " grace " + std::to_string(kGrace));
     for (std::size_t kind = 0; kind < world_.clients.size(); ++kind) {
         const auto& clients = world_.clients[kind];
-        say("kind " + std::to_string(kind) + " repeat " + name_of(clients.type.repeat) + " least " +
-            std::to_string(clients.type.least_share) + " window " +
-            std::to_string(clients.type.dedup_window) + " budget " +
-            std::to_string(clients.type.latency_budget) + " name " + clients.name);
+        write_log("kind " + std::to_string(kind) + " repeat " + name_of(clients.type.repeat) + " least " +
+                  std::to_string(clients.type.least_share) + " window " +
+                  std::to_string(clients.type.dedup_window) + " budget " +
+                  std::to_string(clients.type.latency_budget) + " name " + clients.name);
     }
     for (int i = 0; i < world_.servers.count; ++i) {
         servers_.push_back(std::make_unique<Server>(world_.servers.cores, world_.servers.queue));
@@ -128,21 +133,22 @@
     for (std::uint32_t kind = 0; kind < world_.clients.size(); ++kind) {
         totals_.clients.push_back({});
         totals_.clients.back().name = world_.clients[kind].name;
-        at(0, Kind::kArrival, kind);
+        schedule(0, Kind::kArrival, kind);
     }
     for (std::uint32_t i = 0; i < world_.troubles.size(); ++i) {
-        at(world_.troubles[i].from, Kind::kTrouble, i, 0);
-        at(world_.troubles[i].until, Kind::kTrouble, i, 1);
+        schedule(world_.troubles[i].from, Kind::kFault, i, 0);
+        schedule(world_.troubles[i].until, Kind::kFault, i, 1);
     }
 }
 
 Simulation::~Simulation() = default;
 
-void Simulation::at(Time when, Kind kind, std::uint32_t which, std::uint32_t what, std::uint32_t era) {
-    queue_.push(when, {std::max(when, now_), which, what, era, kind});
+void Simulation::schedule(Time when, Kind kind, std::uint32_t target, std::uint32_t argument,
+                          std::uint32_t generation) {
+    queue_.push(when, {std::max(when, now_), target, argument, generation, kind});
 }
 
-void Simulation::say(const std::string& line) {
+void Simulation::write_log(const std::string& line) {
     if (log_) log_(std::to_string(now_) + ' ' + line);
 }
 
@@ -150,9 +156,9 @@
     const Time last = world_.length + 10 * kSecond;
     while (!queue_.empty() && queue_.next() <= last) {
         const auto next = queue_.pop();
-        now_ = next.at;
+        now_ = next.time;
         ++totals_.events;
-        happen(next);
+        dispatch(next);
     }
     for (const auto& node : nodes_) {
         for (const auto& [id, open] : node->multigets) ++totals_.clients[requests_[open.request].kind].lost;
@@ -160,44 +166,48 @@
     return std::move(totals_);
 }
 
-void Simulation::happen(const Happening& what) {
-    switch (what.kind) {
-        case Kind::kArrival: return arrive(what.which);
-        case Kind::kAgain: return ask(what.which);
+void Simulation::dispatch(const QueuedEvent& event) {
+    switch (event.kind) {
+        case Kind::kArrival: return generate_arrival(event.target);
+        case Kind::kRetry: return start_try(event.target);
         case Kind::kTurn:
-            if (nodes_[what.which]->turn_at == what.at) turn(what.which);
+            if (nodes_[event.target]->turn_at == event.time) turn(event.target);
             return;
-        case Kind::kReach: return reach(what.which);
-        case Kind::kWorked:
-            if (servers_[sends_[what.which].server]->era == what.era) return worked(what.which);
-            return release(what.which);
-        case Kind::kBack: {
-            auto& out = sends_[what.which];
-            if (!out.told) end_send(what.which, out.outcome);
-            return release(what.which);
+        case Kind::kSendArrives: return arrive_at_server(event.target);
+        case Kind::kPartDone:
+            if (servers_[sends_[event.target].server]->generation == event.generation)
+                return finish_part(event.target);
+            return release(event.target);
+        case Kind::kOutcomeArrives: {
+            auto& out = sends_[event.target];
+            if (!out.ended) end_send(event.target, out.outcome);
+            return release(event.target);
         }
-        case Kind::kOver:
-            if (!sends_[what.which].told) end_send(what.which, Outcome::kTimedOut);
-            return release(what.which);
-        case Kind::kGiveUp:  // it was promised an answer within this time
-        case Kind::kLeave: {
-            auto& node = *nodes_[what.which];
-            const auto open = node.era == what.era ? node.multigets.find(what.what) : node.multigets.end();
+        case Kind::kSendTimeout:
+            if (!sends_[event.target].ended) end_send(event.target, Outcome::kTimedOut);
+            return release(event.target);
+        case Kind::kAnswerOverdue:  // no answer within the route timeout
+        case Kind::kClientLeaves: {
+            auto& node = *nodes_[event.target];
+            const auto open = node.generation == event.generation ? node.multigets.find(event.argument)
+                                                                  : node.multigets.end();
             if (open == node.multigets.end()) return;
-            end(what.which, what.what, what.kind == Kind::kLeave ? How::kLeft : How::kLost, false);
-            return tell(what.which, ClientLeft{what.what});
+            end(event.target, event.argument, event.kind == Kind::kClientLeaves ? How::kLeft : How::kLost,
+                false);
+            return deliver(event.target, ClientLeft{event.argument});
         }
-        case Kind::kTrouble: return trouble(world_.troubles[what.which], what.what == 0, what.which);
+        case Kind::kFault:
+            return toggle_fault(world_.troubles[event.target], event.argument == 0, event.target);
         case Kind::kRestart:
-            if (!nodes_[what.which]->leaving || !nodes_[what.which]->multigets.empty()) return;
-            say("killed " + std::to_string(what.which));
-            return start_node(what.which);
-        case Kind::kSpell: return spell(what.which, what.what, what.era == 1);
-        case Kind::kHear: {
-            const auto news = entry(what.what);
-            say("told " + std::to_string(what.which) + " server " + std::to_string(what.what) +
-                (news.state == ServerState::kReady ? " ready" : " gone"));
-            return tell(what.which, ListNews{ListKind::kChanges, {news}});
+            if (!nodes_[event.target]->restarting || !nodes_[event.target]->multigets.empty()) return;
+            write_log("killed " + std::to_string(event.target));
+            return start_node(event.target);
+        case Kind::kOutage: return toggle_outage(event.target, event.argument, event.generation == 1);
+        case Kind::kListUpdate: {
+            const auto news = entry(event.argument);
+            write_log("told " + std::to_string(event.target) + " server " + std::to_string(event.argument) +
+                      (news.state == ServerState::kReady ? " ready" : " gone"));
+            return deliver(event.target, ListNews{ListKind::kChanges, {news}});
         }
     }
 }
@@ -206,9 +216,9 @@
 
 void Simulation::start_node(std::uint32_t index) {
     auto& node = *nodes_[index];
-    const auto era = node.era + 1;
+    const auto generation = node.generation + 1;
     node = Node{};
-    node.era = era;
+    node.generation = generation;
     node.links.resize(servers_.size());
     NodeTerms terms;
     terms.seed = chance_.bits();
@@ -229,7 +239,7 @@
     node.front = make_(terms);
     ListNews all{ListKind::kFull, {}};
     for (std::uint32_t i = 0; i < servers_.size(); ++i) all.entries.push_back(entry(i));
-    tell(index, std::move(all));
+    deliver(index, std::move(all));
 }
 
 void Simulation::kill_node(std::uint32_t index) {
@@ -237,17 +247,18 @@
     std::vector<Id> open;
     for (const auto& [id, multiget] : node.multigets) open.push_back(id);
     std::sort(open.begin(), open.end());
-    for (const Id id : open) {  // their connections end
-        say("gone " + std::to_string(node.multigets.at(id).world_number));
+    for (const Id id : open) {  // the clients' connections are closed
+        write_log("gone " + std::to_string(node.multigets.at(id).world_number));
         end(index, id, How::kFailed, false);
     }
-    say("killed " + std::to_string(index));
+    write_log("killed " + std::to_string(index));
     ++totals_.node_kills;
     start_node(index);
 }
 
-// Not from within a turn of the node that goes: what it is still doing must not be pulled from under it.
-void Simulation::restart_when_done(std::uint32_t index) { at(now_ + 1, Kind::kRestart, index); }
+// Restarts the node in a separate event, since the caller may be inside a turn that still uses the node's
+// state.
+void Simulation::restart_when_done(std::uint32_t index) { schedule(now_ + 1, Kind::kRestart, index); }
 
 ListEntry Simulation::entry(std::uint32_t server) const {
     const auto& each = *servers_[server];
@@ -262,13 +273,13 @@
     return entry;
 }
 
-void Simulation::tell(std::uint32_t index, Event event) {
+void Simulation::deliver(std::uint32_t index, Event event) {
     auto& node = *nodes_[index];
     node.events.push_back(std::move(event));
     const Time due = std::max(now_, node.last_turn + world_.turn);
     if (node.turn_at >= 0 && node.turn_at <= due) return;
     node.turn_at = due;
-    at(due, Kind::kTurn, index);
+    schedule(due, Kind::kTurn, index);
 }
 
 void Simulation::turn(std::uint32_t index) {
@@ -276,9 +287,9 @@
     node.turn_at = -1;
     node.last_turn = now_;
     auto events = std::exchange(node.events, {});
-    while (!node.bells.empty() && node.bells.begin()->first <= now_) {
-        events.emplace_back(Bell{node.bells.begin()->second});
-        node.bells.erase(node.bells.begin());
+    while (!node.timers.empty() && node.timers.begin()->first <= now_) {
+        events.emplace_back(Bell{node.timers.begin()->second});
+        node.timers.erase(node.timers.begin());
     }
     const auto began = std::chrono::steady_clock::now();
     const auto actions = node.front->turn(now_, events);
@@ -286,9 +297,9 @@
     ++totals_.turns;
     node.sent_now.clear();
     for (const auto& action : actions) carry_out(index, action);
-    if (node.turn_at < 0 && !node.bells.empty()) {
-        node.turn_at = std::max(node.bells.begin()->first, now_ + world_.turn);
-        at(node.turn_at, Kind::kTurn, index);
+    if (node.turn_at < 0 && !node.timers.empty()) {
+        node.turn_at = std::max(node.timers.begin()->first, now_ + world_.turn);
+        schedule(node.turn_at, Kind::kTurn, index);
     }
 }
 
@@ -300,8 +311,8 @@
         if (part == node.parts.end() || static_cast<std::size_t>(off->send) >= part->second.sends.size())
             return;
         const auto slot = part->second.sends[static_cast<std::size_t>(off->send)];
-        if (slot == kEnded) return;
-        if (world_.sends.cancel && !is_cut(index, sends_[slot].server) &&
+        if (slot == kEndedSend) return;
+        if (world_.sends.cancel && !is_partitioned(index, sends_[slot].server) &&
             servers_[sends_[slot].server]->model.call_off(slot))
             release(slot);
         return end_send(slot, Outcome::kCancelled);
@@ -312,23 +323,23 @@
         return end(index, back->multiget, How::kPushedBack, false, back->wait);
     if (const auto* fail = std::get_if<Fail>(&action)) return end(index, fail->multiget, How::kFailed, false);
     if (const auto* bell = std::get_if<SetBell>(&action)) {
-        node.bells.emplace(now_ + std::max<Time>(1, bell->after), bell->token);
+        node.timers.emplace(now_ + std::max<Time>(1, bell->after), bell->token);
         return;
     }
     if (const auto* line = std::get_if<LogLine>(&action))
-        say("node " + std::to_string(index) + ": " + line->text);
+        write_log("node " + std::to_string(index) + ": " + line->text);
 }
 
 // --- Clients ---
 
-void Simulation::arrive(std::uint32_t kind) {
+void Simulation::generate_arrival(std::uint32_t kind) {
     const auto& clients = world_.clients[kind];
-    const double most = busiest(world_, clients);
+    const double most = max_rate_factor(world_, clients);
     const double wait = -std::log1p(-chance_.one()) / (clients.per_second * most) * kSecond;
     if (now_ < world_.length)
-        at(now_ + std::max<Time>(1, static_cast<Time>(wait + 0.5)), Kind::kArrival, kind);
+        schedule(now_ + std::max<Time>(1, static_cast<Time>(wait + 0.5)), Kind::kArrival, kind);
     if (now_ == 0 || now_ >= world_.length) return;
-    if (most > 1 && chance_.one() >= busier(clients, now_, surge_) / most) return;
+    if (most > 1 && chance_.one() >= rate_factor(clients, now_, surge_) / most) return;
     std::uint32_t slot = 0;
     if (free_requests_.empty()) {
         slot = static_cast<std::uint32_t>(requests_.size());
@@ -341,59 +352,60 @@
     auto& totals = totals_.clients[kind];
     ++totals.asked;
     totals.possible += clients.type.importance;
-    ask(slot);
+    start_try(slot);
 }
 
-void Simulation::ask(std::uint32_t slot) {
+void Simulation::start_try(std::uint32_t slot) {
     auto& request = requests_[slot];
     const auto& clients = world_.clients[request.kind];
     auto index = static_cast<std::uint32_t>(draw_node(world_, shift_, chance_));
-    for (std::size_t i = 0; i < nodes_.size() && nodes_[index]->leaving; ++i)
+    for (std::size_t i = 0; i < nodes_.size() && nodes_[index]->restarting; ++i)
         index = static_cast<std::uint32_t>((index + 1) % nodes_.size());
     auto& node = *nodes_[index];
     ++totals_.clients[request.kind].tries;
-    MultigetArrival told;
-    told.id = ++node.last_id;
-    told.number = ++node.last_number;
-    told.op_type = static_cast<int>(request.kind);
-    told.tenant = request.tenant;
-    told.not_after = now_ + clients.type.route_timeout;
-    OpenMultiget open{++multigets_, slot, told.not_after, {}};
+    MultigetArrival arrival;
+    arrival.id = ++node.last_id;
+    arrival.number = ++node.last_number;
+    arrival.op_type = static_cast<int>(request.kind);
+    arrival.tenant = request.tenant;
+    arrival.not_after = now_ + clients.type.route_timeout;
+    OpenMultiget open{++multigets_, slot, arrival.not_after, {}};
     const bool again = request.effect != 0;
     if (!again) request.effect = open.world_number;
     for (auto part : request.parts) {
         part.id = ++node.last_id;
         open.parts.push_back(part.id);
-        node.parts[part.id] = {told.id, part.shard, part.weight, part.key, false, {}};
-        told.parts.push_back(part);
+        node.parts[part.id] = {arrival.id, part.shard, part.weight, part.key, false, {}};
+        arrival.parts.push_back(part);
     }
     if (log_) {
         const auto number = std::to_string(open.world_number);
         std::string line = "ask " + number + " node " + std::to_string(index) + " kind " +
-                           std::to_string(request.kind) + " until " + std::to_string(told.not_after) +
+                           std::to_string(request.kind) + " until " + std::to_string(arrival.not_after) +
                            " parts";
-        for (const auto& part : told.parts)
+        for (const auto& part : arrival.parts)
             line += ' ' + std::to_string(part.shard) + ':' + std::to_string(part.weight);
-        say(line);
-        if (again) say("same " + number + " as " + std::to_string(request.effect));
+        write_log(line);
+        if (again) write_log("same " + number + " as " + std::to_string(request.effect));
         if (world_.tenants.size() > 1)
-            say("tenant " + number + ' ' + world_.tenants[static_cast<std::size_t>(request.tenant)].name);
+            write_log("tenant " + number + ' ' +
+                      world_.tenants[static_cast<std::size_t>(request.tenant)].name);
     }
-    at(told.not_after + kGrace, Kind::kGiveUp, index, told.id, node.era);
+    schedule(arrival.not_after + kGrace, Kind::kAnswerOverdue, index, arrival.id, node.generation);
     if (const auto leaves = static_cast<Time>(clients.leave_ms(chance_) * 10);
         leaves > 0 && leaves < clients.type.route_timeout)
-        at(now_ + leaves, Kind::kLeave, index, told.id, node.era);
-    node.multigets[told.id] = std::move(open);
-    tell(index, std::move(told));
+        schedule(now_ + leaves, Kind::kClientLeaves, index, arrival.id, node.generation);
+    node.multigets[arrival.id] = std::move(open);
+    deliver(index, std::move(arrival));
 }
 
 void Simulation::end(std::uint32_t index, Id id, How how, bool whole, Time wait) {
     auto& node = *nodes_[index];
-    const auto found_ = node.multigets.find(id);
-    if (found_ == node.multigets.end()) return;
-    const auto open = std::move(found_->second);
-    node.multigets.erase(found_);
-    if (node.leaving) restart_when_done(index);
+    const auto found_open = node.multigets.find(id);
+    if (found_open == node.multigets.end()) return;
+    const auto open = std::move(found_open->second);
+    node.multigets.erase(found_open);
+    if (node.restarting) restart_when_done(index);
     auto& request = requests_[open.request];
     const auto& clients = world_.clients[request.kind];
     const auto& type = clients.type;
@@ -408,17 +420,18 @@
     }
     if (log_ && how != How::kLost) {
         const auto name = std::to_string(open.world_number);
-        say(how == How::kPushedBack ? "push " + name
-            : how == How::kFailed   ? "fail " + name
-            : how == How::kLeft     ? "gone " + name
-                                    : "answer " + name + (whole ? " whole" : " part") + " shards" + in_text);
+        write_log(how == How::kPushedBack ? "push " + name
+                  : how == How::kFailed   ? "fail " + name
+                  : how == How::kLeft
+                      ? "gone " + name
+                      : "answer " + name + (whole ? " whole" : " part") + " shards" + in_text);
     }
     const bool may_again =
         how == How::kPushedBack || (how == How::kFailed && type.repeat == Repeat::kRetriable);
     if (may_again && request.tries_left > 0) {
         --request.tries_left;
         const auto own = static_cast<Time>(clients.retry_wait_ms(chance_) * 10);
-        return at(now_ + std::max({own, wait, Time{1}}), Kind::kAgain, open.request);
+        return schedule(now_ + std::max({own, wait, Time{1}}), Kind::kRetry, open.request);
     }
     totals.note(type, how, whole, in, now_ - request.first_asked);
     free_requests_.push_back(open.request);
@@ -426,10 +439,10 @@
 
 // --- Sends ---
 
-bool Simulation::is_cut(std::uint32_t node, std::uint32_t server) const {
+bool Simulation::is_partitioned(std::uint32_t node, std::uint32_t server) const {
     const auto here = static_cast<std::size_t>(world_.zone_of_node(static_cast<int>(node)));
     const auto there = static_cast<std::size_t>(world_.zone_of_server(static_cast<int>(server)));
-    return here != there && (cut_[here] > 0 || cut_[there] > 0);
+    return here != there && (partitions_[here] > 0 || partitions_[there] > 0);
 }
 
 Time Simulation::travel(std::uint32_t node, std::uint32_t server) {
@@ -442,7 +455,7 @@
     auto& node = *nodes_[index];
     const auto found = node.parts.find(asked.part);
     if (found == node.parts.end())
-        return tell(index, SendEnded{asked.part, 0, asked.server, 0, Outcome::kNeverSent, {}});
+        return deliver(index, SendEnded{asked.part, 0, asked.server, 0, Outcome::kNeverSent, {}});
     auto& part = found->second;
     std::uint32_t slot = 0;
     if (free_.empty()) {
@@ -455,9 +468,9 @@
     const auto& open = node.multigets.at(part.multiget);
     const auto& request = requests_[open.request];
     auto& out = sends_[slot];
-    out = SendOut{};
+    out = InFlightSend{};
     out.node = index;
-    out.era = node.era;
+    out.generation = node.generation;
     out.part = asked.part;
     out.number = static_cast<int>(part.sends.size());
     out.server = asked.server.address - 1;
@@ -472,42 +485,43 @@
     part.sends.push_back(slot);
     ++totals_.sends;
     if (log_) {
-        say("send " + part_name(out.multiget) + " node " + std::to_string(index) + " server " +
-            std::to_string(out.server) + " number " + std::to_string(out.number));
+        write_log("send " + part_name(out.multiget) + " node " + std::to_string(index) + " server " +
+                  std::to_string(out.server) + " number " + std::to_string(out.number));
     }
-    at(out.until, Kind::kOver, slot);
+    schedule(out.until, Kind::kSendTimeout, slot);
     auto& server = *servers_[out.server];
     auto& link = node.links[out.server];
-    const bool fresh = link.era != server.era || link.used < now_ - kIdle;
-    if (server.vanished > 0 || is_cut(index, out.server)) {  // nothing comes up, or what is up stays silent
+    const bool fresh = link.generation != server.generation || link.used < now_ - kIdleTimeout;
+    if (server.vanished > 0 ||
+        is_partitioned(index, out.server)) {  // connecting times out; on an open connection there is no reply
         if (fresh) {
             out.outcome = Outcome::kNoConnection;
-            return at(now_ + world_.sends.connect_timeout, Kind::kBack, slot);
+            return schedule(now_ + world_.sends.connect_timeout, Kind::kOutcomeArrives, slot);
         }
         link.used = now_;
         return release(slot);
     }
-    link = {server.era, now_};
-    ++server.coming;
-    const Time shake = fresh ? 2 * travel(index, out.server) : 0;
-    at(now_ + shake + travel(index, out.server), Kind::kReach, slot);
+    link = {server.generation, now_};
+    ++server.in_flight;
+    const Time handshake = fresh ? 2 * travel(index, out.server) : 0;
+    schedule(now_ + handshake + travel(index, out.server), Kind::kSendArrives, slot);
 }
 
 void Simulation::release(std::uint32_t slot) {
     if (--sends_[slot].references == 0) free_.push_back(slot);
 }
 
-void Simulation::reach(std::uint32_t slot) {
+void Simulation::arrive_at_server(std::uint32_t slot) {
     auto& out = sends_[slot];
     auto& server = *servers_[out.server];
     if (!out.reached) {
-        --server.coming;
-        if (log_) say("reach " + part_name(out.multiget) + " server " + std::to_string(out.server));
+        --server.in_flight;
+        if (log_) write_log("reach " + part_name(out.multiget) + " server " + std::to_string(out.server));
     }
-    out.server_era = server.era;
+    out.server_generation = server.generation;
     out.reached = true;
     if (server.vanished > 0) {
-        // silence
+        // no reply
     } else if (!server.up()) {
         answer_back(slot, Outcome::kNoConnection);
     } else if (server.hung > 0) {
@@ -515,13 +529,13 @@
         ++out.references;
     } else if (server.full > 0 || server.draining) {
         answer_back(slot, Outcome::kFull);
-    } else if (out.told && world_.sends.cancel) {
-        // called off on its way
+    } else if (out.ended && world_.sends.cancel) {
+        // cancelled before it arrived
     } else {
         switch (server.model.offer(slot)) {
             case ServerModel::Taken::kBegun:
                 ++out.references;
-                begin(slot);
+                begin_part(slot);
                 break;
             case ServerModel::Taken::kQueued: ++out.references; break;
             case ServerModel::Taken::kFull: answer_back(slot, Outcome::kFull); break;
@@ -530,29 +544,29 @@
     release(slot);
 }
 
-// It holds a reference for as long as it is worked on.
-void Simulation::begin(std::uint32_t slot) {
+// Starts a part on a core; the send keeps a reference while the part is processed.
+void Simulation::begin_part(std::uint32_t slot) {
     auto& out = sends_[slot];
     auto& server = *servers_[out.server];
     const Time work = server.work(world_, now_, out.first_of_call, out.key, chance_);
     ++totals_.run;
-    if (log_) say("run " + part_name(out.multiget) + " server " + std::to_string(out.server));
-    if (world_.clients[out.op_type].type.repeat == Repeat::kNonRetriable && ++ran_[out.effect] > 1)
+    if (log_) write_log("run " + part_name(out.multiget) + " server " + std::to_string(out.server));
+    if (world_.clients[out.op_type].type.repeat == Repeat::kNonRetriable && ++run_counts_[out.effect] > 1)
         ++totals_.run_twice;
-    at(now_ + work, Kind::kWorked, slot, 0, server.era);
+    schedule(now_ + work, Kind::kPartDone, slot, 0, server.generation);
 }
 
-void Simulation::worked(std::uint32_t slot) {
+void Simulation::finish_part(std::uint32_t slot) {
     auto& server = *servers_[sends_[slot].server];
     const bool spoilt = server.spoilt > 0 && chance_.one() < server.spoilt;
     const bool error = server.errors > 0 && chance_.one() < server.errors;
     answer_back(slot, spoilt ? Outcome::kReset : error ? Outcome::kError : Outcome::kReturned);
     for (auto next = server.model.ended(); next; next = server.model.ended()) {
-        if (sends_[*next].told && world_.sends.cancel) {  // nobody waits for it any more
+        if (sends_[*next].ended && world_.sends.cancel) {  // already cancelled or timed out
             release(*next);
             continue;
         }
-        begin(*next);
+        begin_part(*next);
         break;
     }
     release(slot);
@@ -560,41 +574,41 @@
 
 void Simulation::answer_back(std::uint32_t slot, Outcome outcome) {
     auto& out = sends_[slot];
-    if (out.told || is_cut(out.node, out.server)) return;
+    if (out.ended || is_partitioned(out.node, out.server)) return;
     out.outcome = outcome;
     ++out.references;
-    at(now_ + travel(out.node, out.server), Kind::kBack, slot);
+    schedule(now_ + travel(out.node, out.server), Kind::kOutcomeArrives, slot);
 }
 
 void Simulation::end_send(std::uint32_t slot, Outcome outcome) {
     auto& out = sends_[slot];
-    out.told = true;
+    out.ended = true;
     auto& node = *nodes_[out.node];
-    if (node.era != out.era) return;  // who asked is dead
-    if (log_) say("back " + part_name(out.multiget) + ' ' + name_of(outcome));
-    if (outcome == Outcome::kTimedOut && world_.sends.cancel && !is_cut(out.node, out.server)) {
+    if (node.generation != out.generation) return;  // the front node that sent it was restarted
+    if (log_) write_log("back " + part_name(out.multiget) + ' ' + name_of(outcome));
+    if (outcome == Outcome::kTimedOut && world_.sends.cancel && !is_partitioned(out.node, out.server)) {
         if (servers_[out.server]->model.call_off(slot)) release(slot);
     }
     if (const auto part = node.parts.find(out.part); part != node.parts.end()) {
-        part->second.sends[static_cast<std::size_t>(out.number)] = kEnded;
+        part->second.sends[static_cast<std::size_t>(out.number)] = kEndedSend;
         part->second.in |= outcome == Outcome::kReturned;
     }
-    tell(out.node, SendEnded{out.part, out.number, {out.server + 1, 0}, now_ - out.sent, outcome, {}});
+    deliver(out.node, SendEnded{out.part, out.number, {out.server + 1, 0}, now_ - out.sent, outcome, {}});
 }
 
-// --- What is true, for the policy that sees all ---
+// --- Truth, the actual state for the omniscient policy ---
 
-Time Simulation::completes(int node, ServerId id) const {
+Time Simulation::expected_latency(int node, ServerId id) const {
     const auto index = id.address - 1;
     const auto& server = *servers_[index];
     if (!server.up() || server.vanished > 0 || server.hung > 0 || server.full > 0 || server.draining ||
-        is_cut(static_cast<std::uint32_t>(node), index))
+        is_partitioned(static_cast<std::uint32_t>(node), index))
         return kNever;
     const double good = (1 - server.errors) * (1 - server.spoilt);
     if (good <= 0.01) return kNever;
     const double ms = (world_.servers.part_ms.mean() + world_.servers.call_ms.mean()) * server.slow *
-                      server.coldness(world_, now_);
-    const auto ahead = static_cast<double>(server.model.held()) + server.coming;
+                      server.cold_slowdown(world_, now_);
+    const auto ahead = static_cast<double>(server.model.held()) + server.in_flight;
     if (ahead >= world_.servers.queue + world_.servers.cores) return kNever;
     const double waits = std::max(0.0, ahead - world_.servers.cores + 1) / world_.servers.cores;
     const bool near = world_.zone_of_node(node) == world_.zone_of_server(static_cast<int>(index));
@@ -602,129 +616,133 @@
     return static_cast<Time>((ms * (1 + waits) + way) / good * 10 + 0.5);
 }
 
-// --- Troubles ---
+// --- Faults ---
 
-// Discovery's news of a server goes to every front node, now or once discovery is up again.
-void Simulation::spread(std::uint32_t server) {
+// Sends the server's state to every front node after the list delay, or once discovery is up again.
+void Simulation::announce_state(std::uint32_t server) {
     if (discovery_down_ > 0) {
-        unheard_.insert(server);
+        unannounced_.insert(server);
         return;
     }
     for (std::uint32_t node = 0; node < nodes_.size(); ++node)
-        at(now_ + static_cast<Time>(world_.list_lag_ms(chance_) * 10 + 0.5), Kind::kHear, node, server);
+        schedule(now_ + static_cast<Time>(world_.list_lag_ms(chance_) * 10 + 0.5), Kind::kListUpdate, node,
+                 server);
 }
 
-void Simulation::take_down(std::uint32_t index, bool silently) {
+void Simulation::stop_server(std::uint32_t index, bool silently) {
     auto& server = *servers_[index];
     server.vanished += silently ? 1 : 0;
     if (++server.down > 1) return;
     for (std::uint32_t slot = 0; slot < sends_.size() && !silently; ++slot) {
         const auto& out = sends_[slot];
-        if (out.references > 0 && out.reached && !out.told && out.server == index &&
-            out.server_era == server.era)
+        if (out.references > 0 && out.reached && !out.ended && out.server == index &&
+            out.server_generation == server.generation)
             answer_back(slot, Outcome::kReset);
     }
-    ++server.era;  // what it worked on is gone
+    ++server.generation;  // invalidates the parts that it was processing
     for (const auto slot : server.model.clear()) release(slot);
     for (const auto slot : std::exchange(server.held, {})) release(slot);
     std::fill(server.keys.begin(), server.keys.end(), 0U);
-    spread(index);
+    announce_state(index);
 }
 
-void Simulation::bring_up(std::uint32_t index, bool silently) {
+void Simulation::start_server(std::uint32_t index, bool silently) {
     auto& server = *servers_[index];
     server.vanished -= silently ? 1 : 0;
     if (--server.down > 0) return;
     server.draining = false;
     server.started = now_;
-    say("start " + std::to_string(index));
-    spread(index);
+    write_log("start " + std::to_string(index));
+    announce_state(index);
 }
 
-void Simulation::befall(const Trouble& trouble, bool begins, std::uint32_t index) {
-    using Of = Trouble::Kind;
+void Simulation::apply_fault(const Trouble& trouble, bool begins, std::uint32_t index) {
+    using Fault = Trouble::Kind;
     auto& server = *servers_[index];
-    say("server " + std::to_string(index) + ' ' + name_of(trouble.kind) + (begins ? " begins" : " ends"));
+    write_log("server " + std::to_string(index) + ' ' + name_of(trouble.kind) +
+              (begins ? " begins" : " ends"));
     switch (trouble.kind) {
-        case Of::kCrash:
-        case Of::kFlapping:
-        case Of::kRolling:
-        case Of::kVanish:
-        case Of::kZoneLost: {
-            const bool silently = trouble.kind == Of::kVanish || trouble.kind == Of::kZoneLost;
-            if (begins) return take_down(index, silently);
-            return bring_up(index, silently);
+        case Fault::kCrash:
+        case Fault::kFlapping:
+        case Fault::kRolling:
+        case Fault::kVanish:
+        case Fault::kZoneLost: {
+            const bool silently = trouble.kind == Fault::kVanish || trouble.kind == Fault::kZoneLost;
+            if (begins) return stop_server(index, silently);
+            return start_server(index, silently);
         }
-        default: server.befall(trouble, begins); break;
+        default: server.apply_fault(trouble, begins); break;
     }
     if (server.hung > 0) return;
     for (const auto slot : std::exchange(server.held, {}))
-        at(now_, Kind::kReach, slot);  // with the reference that it held
+        schedule(now_, Kind::kSendArrives, slot);  // passes on the reference taken when the send was held
 }
 
-void Simulation::trouble(const Trouble& trouble, bool begins, std::uint32_t index) {
-    using Of = Trouble::Kind;
-    say("trouble " + std::to_string(index) + ' ' + name_of(trouble.kind) + (begins ? " begins" : " ends"));
+void Simulation::toggle_fault(const Trouble& trouble, bool begins, std::uint32_t index) {
+    using Fault = Trouble::Kind;
+    write_log("trouble " + std::to_string(index) + ' ' + name_of(trouble.kind) +
+              (begins ? " begins" : " ends"));
     switch (trouble.kind) {
-        case Of::kCutOff: cut_[static_cast<std::size_t>(trouble.zone)] += begins ? 1 : -1; return;
-        case Of::kShift: shift_ = begins ? Shift{trouble.zone, trouble.share} : Shift{}; return;
-        case Of::kReload:
-        case Of::kBadClients: return;  // on sockets only
-        case Of::kNodeRestarted:
+        case Fault::kCutOff: partitions_[static_cast<std::size_t>(trouble.zone)] += begins ? 1 : -1; return;
+        case Fault::kShift: shift_ = begins ? Shift{trouble.zone, trouble.share} : Shift{}; return;
+        case Fault::kReload:
+        case Fault::kBadClients: return;  // only emulated on sockets
+        case Fault::kNodeRestarted:
             if (!begins) return;
-            for (const auto node : struck(world_, index)) {
-                nodes_[node]->leaving = true;
+            for (const auto node : affected_by(world_, index)) {
+                nodes_[node]->restarting = true;
                 restart_when_done(node);
             }
             return;
-        case Of::kSurge: surge_ *= begins ? trouble.factor : 1 / trouble.factor; return;
-        case Of::kDiscoveryDown:
+        case Fault::kSurge: surge_ *= begins ? trouble.factor : 1 / trouble.factor; return;
+        case Fault::kDiscoveryDown:
             discovery_down_ += begins ? 1 : -1;
             if (discovery_down_ > 0) return;
-            for (const auto server : std::exchange(unheard_, {})) spread(server);
+            for (const auto server : std::exchange(unannounced_, {})) announce_state(server);
             return;
-        case Of::kNodeKilled:
+        case Fault::kNodeKilled:
             if (!begins) return;
-            for (const auto node : struck(world_, index)) kill_node(node);
+            for (const auto node : affected_by(world_, index)) kill_node(node);
             return;
         default: break;
     }
-    const auto servers = struck(world_, index);
-    if (trouble.kind == Of::kPauses || trouble.kind == Of::kFlapping || trouble.kind == Of::kRolling) {
-        if (!begins) return;  // each spell ends by itself
+    const auto servers = affected_by(world_, index);
+    if (trouble.kind == Fault::kPauses || trouble.kind == Fault::kFlapping ||
+        trouble.kind == Fault::kRolling) {
+        if (!begins) return;  // each outage schedules its own end
         Time first = now_;
         for (const auto server : servers) {
-            const auto apart = trouble.kind == Of::kRolling
+            const auto apart = trouble.kind == Fault::kRolling
                                    ? trouble.every
                                    : trouble.every / std::max<Time>(1, static_cast<Time>(servers.size()));
-            at(first, Kind::kSpell, index, server, 0);
+            schedule(first, Kind::kOutage, index, server, 0);
             first += apart;
         }
         return;
     }
-    for (const auto server : servers) befall(trouble, begins, server);
+    for (const auto server : servers) apply_fault(trouble, begins, server);
 }
 
-// A spell begins, or ends (and the next one may be drawn up). A server that is replaced is told draining
-// first.
-void Simulation::spell(std::uint32_t index, std::uint32_t server, bool ends) {
+// Begins or ends one outage of a recurring fault; at the end of one the next is scheduled. A server that is
+// replaced is announced as draining first.
+void Simulation::toggle_outage(std::uint32_t index, std::uint32_t server, bool ends) {
     const auto& trouble = world_.troubles[index];
     const bool rolling = trouble.kind == Trouble::Kind::kRolling;
     if (ends) {
-        befall(trouble, false, server);
+        apply_fault(trouble, false, server);
         const Time next = now_ + trouble.every - trouble.for_time;
-        if (!rolling && next < trouble.until) at(next, Kind::kSpell, index, server, 0);
+        if (!rolling && next < trouble.until) schedule(next, Kind::kOutage, index, server, 0);
         return;
     }
     if (now_ >= trouble.until) return;
     auto& state = *servers_[server];
     if (rolling && !state.draining && state.up()) {
         state.draining = true;
-        spread(server);
-        return at(now_ + kDrain, Kind::kSpell, index, server, 0);
+        announce_state(server);
+        return schedule(now_ + kDrainTime, Kind::kOutage, index, server, 0);
     }
-    befall(trouble, true, server);
-    at(now_ + trouble.for_time, Kind::kSpell, index, server, 1);
+    apply_fault(trouble, true, server);
+    schedule(now_ + trouble.for_time, Kind::kOutage, index, server, 1);
 }
 
 }  // namespace pinedoor::lab
--- a/src/lab/sim/simulation.hpp
+++ b/src/lab/sim/simulation.hpp
@@ -1,5 +1,5 @@
-// A world in simulated time: the very FrontNode, many of them, against emulated servers and clients, event by
-// event in one thread. The same world gives the same log, byte for byte.
+// Discrete-event simulation of a world: real FrontNode instances, or other policies, against emulated servers
+// and clients in one thread. The same world produces the same log, byte for byte.
 #pragma once
 
 #include <cstdint>
@@ -22,9 +22,10 @@
 
 namespace pinedoor::lab {
 
+// Runs one world to its end.
 class Simulation : private Truth {
 public:
-    // `log` is given a line for each thing that happens, if it is there; checker.hpp says how they read.
+    // `log`, if set, receives a line for each logged event; checker.hpp describes the format.
     explicit Simulation(const World& world, PolicyKind policy = PolicyKind::kPinedoor,
                         std::function<void(const std::string&)> log = {});
     using MakePolicy = std::function<std::unique_ptr<Policy>(const NodeTerms&)>;
@@ -34,97 +35,98 @@
 
 private:
     enum class Kind : std::uint8_t {
-        kArrival,  // of a request; which: the client kind
-        kAgain,    // which: the request
-        kTurn,     // of a front node
-        kReach,    // a send comes to its server
-        kWorked,   // a core ends a part
-        kBack,     // an outcome comes to the front node
-        kOver,     // a send's time is over
-        kGiveUp,   // the client has waited enough; which: the node, what: the multiget
-        kLeave,    // the client goes away before that; likewise
-        kTrouble,  // which: the trouble, what: 1 for its end
-        kSpell,  // of a trouble that comes and goes; which: the trouble, what: the server, era: 1 for its end
-        kRestart,  // a front node that was told to end may be done; which: the node
-        kHear      // the list reaches a node; which: the node, what: the server
+        kArrival,         // a new request; target: client kind
+        kRetry,           // target: request
+        kTurn,            // a front node's turn; target: node
+        kSendArrives,     // a send arrives at its server; target: send
+        kPartDone,        // a core finishes a part; target: send
+        kOutcomeArrives,  // an outcome arrives at the front node; target: send
+        kSendTimeout,     // a send times out; target: send
+        kAnswerOverdue,   // no answer in time; target: node, argument: multiget
+        kClientLeaves,    // the client disconnects early; target: node, argument: multiget
+        kFault,           // target: fault, argument: 1 for its end
+        kOutage,          // of a recurring fault; target: fault, argument: server, generation: 1 for its end
+        kRestart,         // a draining front node may be done; target: node
+        kListUpdate       // a server's state reaches a node; target: node, argument: server
     };
-    struct Happening {
-        Time at = 0;
-        std::uint32_t which = 0, what = 0, era = 0;
+    struct QueuedEvent {
+        Time time = 0;
+        std::uint32_t target = 0, argument = 0, generation = 0;
         Kind kind = Kind::kArrival;
     };
     struct Node;
-    struct SendOut {
-        std::uint32_t node = 0, era = 0;
+    struct InFlightSend {
+        std::uint32_t node = 0, generation = 0;
         Id part = 0;
         int number = 0;
-        std::uint32_t server = 0, server_era = 0;
+        std::uint32_t server = 0, server_generation = 0;
         std::uint32_t op_type = 0;
-        std::uint64_t multiget = 0;  // over the whole world, and the shard
-        std::uint64_t effect = 0;    // likewise, of the request
+        std::uint64_t multiget = 0;  // number of the multiget << 20 | shard
+        std::uint64_t effect = 0;    // the same for the request's first try
         std::uint64_t key = 0;
         Time sent = 0, until = 0;
-        Outcome outcome = Outcome::kReturned;  // on its way back
-        bool told = false, reached = false, first_of_call = false;
+        Outcome outcome = Outcome::kReturned;  // outcome on its way to the front node
+        bool ended = false, reached = false, first_of_call = false;
         int references = 0;
     };
     struct Server : Condition {
         Server(int cores, int queue) : model(cores, queue) {}
         ServerModel model;
-        std::uint32_t era = 0;
-        int coming = 0;                   // sends on their way to it
-        std::vector<std::uint32_t> held;  // sends that have come, and wait while it hangs
+        std::uint32_t generation = 0;
+        int in_flight = 0;                // sends on the way to it
+        std::vector<std::uint32_t> held;  // sends that arrived while it hangs
     };
 
-    void at(Time when, Kind kind, std::uint32_t which, std::uint32_t what = 0, std::uint32_t era = 0);
-    void happen(const Happening& what);
-    void arrive(std::uint32_t kind);
-    void ask(std::uint32_t request);
+    void schedule(Time when, Kind kind, std::uint32_t target, std::uint32_t argument = 0,
+                  std::uint32_t generation = 0);
+    void dispatch(const QueuedEvent& event);
+    void generate_arrival(std::uint32_t kind);
+    void start_try(std::uint32_t request);
     void turn(std::uint32_t node);
-    void tell(std::uint32_t node, Event event);
+    void deliver(std::uint32_t node, Event event);
     void carry_out(std::uint32_t node, const Action& action);
     void send(std::uint32_t node, const Send& send);
-    void reach(std::uint32_t slot);
-    void begin(std::uint32_t slot);
-    void worked(std::uint32_t slot);
+    void arrive_at_server(std::uint32_t slot);
+    void begin_part(std::uint32_t slot);
+    void finish_part(std::uint32_t slot);
     void answer_back(std::uint32_t slot, Outcome outcome);
     void end_send(std::uint32_t slot, Outcome outcome);
     void end(std::uint32_t node, Id multiget, How how, bool whole, Time wait = 0);
-    void trouble(const Trouble& trouble, bool begins, std::uint32_t index);
-    void befall(const Trouble& trouble, bool begins, std::uint32_t server);
-    void spell(std::uint32_t index, std::uint32_t server, bool ends);
-    void take_down(std::uint32_t server, bool silently);
-    void bring_up(std::uint32_t server, bool silently);
-    void spread(std::uint32_t server);
+    void toggle_fault(const Trouble& trouble, bool begins, std::uint32_t index);
+    void apply_fault(const Trouble& trouble, bool begins, std::uint32_t server);
+    void toggle_outage(std::uint32_t index, std::uint32_t server, bool ends);
+    void stop_server(std::uint32_t server, bool silently);
+    void start_server(std::uint32_t server, bool silently);
+    void announce_state(std::uint32_t server);
     void kill_node(std::uint32_t node);
     void restart_when_done(std::uint32_t node);
     void start_node(std::uint32_t node);
     ListEntry entry(std::uint32_t server) const;
     void release(std::uint32_t slot);
-    bool is_cut(std::uint32_t node, std::uint32_t server) const;
+    bool is_partitioned(std::uint32_t node, std::uint32_t server) const;
     Time travel(std::uint32_t node, std::uint32_t server);
-    Time completes(int node, ServerId server) const override;
-    void say(const std::string& line);
+    Time expected_latency(int node, ServerId server) const override;
+    void write_log(const std::string& line);
 
     const World world_;
     const MakePolicy make_;
     const std::function<void(const std::string&)> log_;
     Chance chance_;
-    EventWheel<Happening> queue_;
+    EventWheel<QueuedEvent> queue_;
     Time now_ = 0;
     std::vector<std::unique_ptr<Node>> nodes_;
     std::vector<std::unique_ptr<Server>> servers_;
-    std::deque<SendOut> sends_;
+    std::deque<InFlightSend> sends_;
     std::vector<std::uint32_t> free_;
     std::deque<Request> requests_;
     std::vector<std::uint32_t> free_requests_;
-    std::unordered_map<std::uint64_t, int> ran_;  // parts that must not run twice, by effect
+    std::unordered_map<std::uint64_t, int> run_counts_;  // runs of non-retriable parts, by effect
     std::uint64_t multigets_ = 0, effects_ = 0;
-    std::vector<int> cut_;  // zones, by so many troubles
+    std::vector<int> partitions_;  // number of partitions that affect each zone
     double surge_ = 1;
     Shift shift_;
     int discovery_down_ = 0;
-    std::set<std::uint32_t> unheard_;  // servers of which discovery has news while it is down
+    std::set<std::uint32_t> unannounced_;  // servers whose state changed while discovery is down
     Totals totals_;
 };
 
--- a/src/lab/world/demand.hpp
+++ b/src/lab/world/demand.hpp
@@ -1,4 +1,4 @@
-// What clients ask for, drawn the same way in simulated time and on sockets.
+// Random generation of client load. The simulation and the socket-based runs share it.
 #pragma once
 
 #include <algorithm>
@@ -10,11 +10,12 @@
 
 namespace pinedoor::lab {
 
-struct Request {  // of a client, over all its tries
+// A client's request, over all its tries.
+struct Request {
     std::uint32_t kind = 0;
     Time first_asked = 0;
     int tries_left = 0;
-    std::uint64_t effect = 0;  // names what must not happen twice: its first try
+    std::uint64_t effect = 0;  // multiget of the first try; identifies the effect that must not happen twice
     int tenant = 0;
     std::vector<PartArrival> parts;
 };
@@ -42,7 +43,7 @@
                       : clients.heavy_weights ? 1 / (0.01 + chance.one())
                                               : 0.05 + chance.one();
         sum += part.weight;
-        // The k-th key in proportion to 1/k: evenly in the logarithm.
+        // The k-th key is drawn with a probability proportional to 1/k, so the logarithm is uniform.
         if (clients.keys > 0)
             part.key = static_cast<std::uint64_t>(std::exp(chance.one() * std::log(clients.keys + 1.0)));
         request.parts.push_back(part);
@@ -51,27 +52,32 @@
     return request;
 }
 
-// Requests go to any front node, or, for so many of them while a shift lasts, to those of its zone.
+// A load shift: while it lasts, this share of the requests goes to the front nodes of one zone, and the rest
+// to any front node. Zone -1 means that there is no shift.
 struct Shift {
     int zone = -1;
     double share = 0;
 };
+
+// Picks the front node for a try.
 inline int draw_node(const World& world, const Shift& shift, Chance& chance) {
     const auto nodes = static_cast<std::uint64_t>(world.nodes);
     if (shift.zone < 0 || shift.zone >= world.nodes || chance.one() >= shift.share)
         return static_cast<int>(chance.below(nodes));
-    const int there = (world.nodes - shift.zone + world.zones - 1) / world.zones;  // zones take turns
+    const int there = (world.nodes - shift.zone + world.zones - 1) /
+                      world.zones;  // nodes are assigned to zones round-robin
     return shift.zone + world.zones * static_cast<int>(chance.below(static_cast<std::uint64_t>(there)));
 }
 
-// How many times as often as usual a kind of client asks now; `surge` by troubles.
-inline double busier(const ClientKind& clients, Time now, double surge) {
+// The factor on a client kind's base request rate now. `surge` is the factor from active surge faults.
+inline double rate_factor(const ClientKind& clients, Time now, double surge) {
     const bool burst = clients.burst_every > 0 && now % clients.burst_every < clients.burst_for;
     return surge * (burst ? clients.burst_factor : 1);
 }
 
-// The most of that, ever: arrivals are drawn at this rate and thinned to that of now.
-inline double busiest(const World& world, const ClientKind& clients) {
+// The upper bound of rate_factor() over the whole run. Arrivals are generated at this rate and thinned to the
+// current one.
+inline double max_rate_factor(const World& world, const ClientKind& clients) {
     double most = clients.burst_every > 0 ? std::max(1.0, clients.burst_factor) : 1;
     for (const auto& trouble : world.troubles) {
         if (trouble.kind == Trouble::Kind::kSurge) most *= std::max(1.0, trouble.factor);
--- a/src/lab/world/draw.hpp
+++ b/src/lab/world/draw.hpp
@@ -1,4 +1,5 @@
-// Chance that is the same on every platform: mt19937_64 from a seed, and draws by their inverse functions.
+// Random numbers that are the same on every platform: a seeded mt19937_64 and inverse transform sampling,
+// since the standard library's distributions differ between implementations.
 #pragma once
 
 #include <cmath>
@@ -7,6 +8,7 @@
 
 namespace pinedoor::lab {
 
+// A seeded random number generator.
 class Chance {
 public:
     explicit Chance(std::uint64_t seed) : source_(seed) {}
@@ -18,12 +20,12 @@
     std::mt19937_64 source_;
 };
 
-// A number of the world: fixed, evenly from a range, exponential about a mean, or heavy-tailed (Pareto with
-// shape 2 about a mean).
+// The distribution of a world parameter: a fixed value, uniform over a range, exponential with a mean, or
+// heavy-tailed (Pareto with shape 2 and a mean).
 struct Draw {
     enum class Kind { kFixed, kRange, kExponential, kHeavy } kind = Kind::kFixed;
-    double a = 0;  // the value, the least, or the mean
-    double b = 0;  // the most of a range
+    double a = 0;  // the value, the minimum of the range, or the mean
+    double b = 0;  // the maximum of the range
 
     double mean() const { return kind == Kind::kRange ? (a + b) / 2 : a; }
     double operator()(Chance& chance) const {
--- a/src/lab/world/sketch.hpp
+++ b/src/lab/world/sketch.hpp
@@ -1,7 +1,6 @@
-// Quantiles of many numbers in little memory: a count for each power of a base that is a little over one, so
-// that every quantile is within a stated relative error of a true sample. Sketches of the same error merge by
-// adding (the idea is published as DDSketch: Masson, Rim and Lee, VLDB 2019). Measured against sorted samples
-// and boost::histogram in docs/lab.md.
+// A quantile sketch (DDSketch: Masson, Rim and Lee, VLDB 2019). It counts values in logarithmic buckets, so
+// every quantile is within a given relative error of a true sample. Sketches with the same error are merged
+// by adding their counts. docs/lab.md compares it with sorted samples and boost::histogram.
 #pragma once
 
 #include <algorithm>
@@ -15,31 +14,37 @@
 
 class QuantileSketch {
 public:
-    // `error`: relative, in (0, 1). `most`: buckets; beyond them the lowest are put together, which costs the
-    // error of the lowest quantiles only.
-    explicit QuantileSketch(double error = 0.01, std::size_t most = 2'048)
-        : most_(most), base_((1 + error) / (1 - error)), by_log_(1 / std::log(base_)) {
-        if (!(error > 0 && error < 1) || most < 1)
-            throw std::invalid_argument("a sketch without error or room");
+    // `error`: relative error, in (0, 1). `max_buckets`: maximum number of buckets. Beyond it the lowest
+    // buckets are merged, which breaks the error bound for the lowest quantiles only.
+    explicit QuantileSketch(double error = 0.01, std::size_t max_buckets = 2'048)
+        : max_buckets_(max_buckets), base_((1 + error) / (1 - error)),
+          inverse_log_base_(1 / std::log(base_)) {
+        if (!(error > 0 && error < 1) || max_buckets < 1)
+            throw std::invalid_argument(
+                "a quantile sketch needs a relative error between 0 and 1 and at least one bucket");
     }
 
-    void add(double value) {  // what is not above 0 counts as 0
+    // Counts a value; one that is not positive counts as 0.
+    void add(double value) {
         ++count_;
-        if (!(value > kLeast)) {
+        if (!(value > kMinValue)) {
             ++zeros_;
             return;
         }
-        ++at(static_cast<int>(std::ceil(std::log(value) * by_log_)));
+        ++bucket(static_cast<int>(std::ceil(std::log(value) * inverse_log_base_)));
     }
-    void merge(const QuantileSketch& other) {  // throws std::invalid_argument for another error
-        if (other.base_ != base_) throw std::invalid_argument("sketches of unlike errors");
+    // Adds the values of another sketch; throws std::invalid_argument if its relative error differs.
+    void merge(const QuantileSketch& other) {
+        if (other.base_ != base_)
+            throw std::invalid_argument("cannot merge quantile sketches with different relative errors");
         count_ += other.count_;
         zeros_ += other.zeros_;
         for (std::size_t i = 0; i < other.counts_.size(); ++i) {
-            if (other.counts_[i] > 0) at(other.first_ + static_cast<int>(i)) += other.counts_[i];
+            if (other.counts_[i] > 0) bucket(other.first_ + static_cast<int>(i)) += other.counts_[i];
         }
     }
-    double quantile(double q) const {  // 0 if nothing was added
+    // Returns the estimated quantile; 0 for an empty sketch.
+    double quantile(double q) const {
         if (count_ == 0) return 0;
         const auto rank =
             static_cast<std::uint64_t>(std::clamp(q, 0.0, 1.0) * static_cast<double>(count_ - 1));
@@ -55,16 +60,17 @@
     std::size_t buckets() const { return counts_.size(); }
 
 private:
-    static constexpr double kLeast = 1e-9;
+    static constexpr double kMinValue = 1e-9;
 
-    std::uint64_t& at(int key) {
+    // Returns the counter of a bucket, adding buckets or merging the lowest ones as needed.
+    std::uint64_t& bucket(int key) {
         if (counts_.empty()) {
             first_ = key;
             counts_.resize(1);
         }
         if (key < first_) {
             const int last = first_ + static_cast<int>(counts_.size()) - 1;
-            key = std::max(key, last - static_cast<int>(most_) + 1);
+            key = std::max(key, last - static_cast<int>(max_buckets_) + 1);
             if (key < first_) {
                 counts_.insert(counts_.begin(), static_cast<std::size_t>(first_ - key), 0);
                 first_ = key;
@@ -73,20 +79,20 @@
         const auto place = static_cast<std::size_t>(key - first_);
         if (place >= counts_.size()) {
             counts_.resize(place + 1);
-            if (counts_.size() > most_) {
-                const auto over = counts_.size() - most_;
+            if (counts_.size() > max_buckets_) {
+                const auto excess = counts_.size() - max_buckets_;
                 std::uint64_t low = 0;
-                for (std::size_t i = 0; i < over; ++i) low += counts_[i];
-                counts_.erase(counts_.begin(), counts_.begin() + static_cast<std::ptrdiff_t>(over));
+                for (std::size_t i = 0; i < excess; ++i) low += counts_[i];
+                counts_.erase(counts_.begin(), counts_.begin() + static_cast<std::ptrdiff_t>(excess));
                 counts_.front() += low;
-                first_ += static_cast<int>(over);
+                first_ += static_cast<int>(excess);
             }
         }
         return counts_[static_cast<std::size_t>(key - first_)];
     }
 
-    std::size_t most_;
-    double base_, by_log_;
+    std::size_t max_buckets_;
+    double base_, inverse_log_base_;
     int first_ = 0;  // the key of the first bucket
     std::vector<std::uint64_t> counts_;
     std::uint64_t count_ = 0, zeros_ = 0;
--- a/src/lab/world/world.cpp
+++ b/src/lab/world/world.cpp
@@ -20,7 +20,8 @@
     return static_cast<Time>(std::llround(table.number(key, otherwise, 0, 1e6) * 10'000));
 }
 
-// `key = 3`, `key = [2, 4]` (a range), `key = { exponential = 3 }` or `key = { heavy = 3 }`.
+// Reads a distribution: `key = 3`, `key = [2, 4]` (a range), `key = { exponential = 3 }` or
+// `key = { heavy = 3 }`.
 Draw draw(TomlTable& table, const std::string& key, Draw otherwise, double least, double most) {
     if (!table.has(key)) return table.forget(key), otherwise;
     if (const auto range = table.numbers(key); !range.empty()) {
@@ -110,38 +111,38 @@
     return trouble;
 }
 
-// Puts the change's value where its path leads; tables on the way are made, "clients.0" is the first of a
-// list.
+// Sets the value at a dotted path, creating missing tables on the way. A number is an array index:
+// "clients.0" is the first client kind.
 void change(toml::table& root, const std::string& path, const std::string& value, const std::string& file) {
-    const auto refuse = [&](const std::string& why) {
+    const auto reject = [&](const std::string& why) {
         throw stated::BadStated(file + ": change " + path + '=' + value + ": " + why);
     };
     toml::table parsed;
     try {
         parsed = toml::parse("value = " + value);
     } catch (const toml::parse_error&) {
-        refuse("the value is no TOML; put texts in quotes");
+        reject("the value is not valid TOML; put strings in quotes");
     }
-    toml::node* at = &root;
-    std::string rest = path;
-    for (auto dot = rest.find('.'); dot != std::string::npos; dot = rest.find('.')) {
-        const auto step = rest.substr(0, dot);
-        rest.erase(0, dot + 1);
-        if (auto* list = at->as_array()) {
+    toml::node* node = &root;
+    std::string key = path;
+    for (auto dot = key.find('.'); dot != std::string::npos; dot = key.find('.')) {
+        const auto step = key.substr(0, dot);
+        key.erase(0, dot + 1);
+        if (auto* list = node->as_array()) {
             char* end = nullptr;
             const auto index = std::strtoul(step.c_str(), &end, 10);
-            if (*end != '\0' || index >= list->size()) refuse("there is no " + step);
-            at = list->get(index);
+            if (*end != '\0' || index >= list->size()) reject("there is no " + step);
+            node = list->get(index);
             continue;
         }
-        auto* table = at->as_table();
-        if (table == nullptr) refuse(step + " is in no table");
+        auto* table = node->as_table();
+        if (table == nullptr) reject(step + " is not inside a table");
         if (!table->contains(step)) table->insert(step, toml::table{});
-        at = table->get(step);
+        node = table->get(step);
     }
-    auto* table = at->as_table();
-    if (table == nullptr) refuse(rest + " is in no table");
-    table->insert_or_assign(rest, *parsed.get("value"));
+    auto* table = node->as_table();
+    if (table == nullptr) reject(key + " is not inside a table");
+    table->insert_or_assign(key, *parsed.get("value"));
 }
 
 std::string print(double value) {
@@ -343,22 +344,24 @@
     return out.str();
 }
 
-std::vector<std::uint32_t> struck(const World& world, std::uint32_t index) {
+std::vector<std::uint32_t> affected_by(const World& world, std::uint32_t index) {
     const auto& trouble = world.troubles[index];
     const bool of_nodes = is_of_nodes(trouble.kind);
-    const auto of = static_cast<std::uint32_t>(of_nodes ? world.nodes : world.servers.count);
-    std::vector<std::uint32_t> all;
-    for (std::uint32_t i = 0; i < of; ++i) {
+    const auto total = static_cast<std::uint32_t>(of_nodes ? world.nodes : world.servers.count);
+    std::vector<std::uint32_t> candidates;
+    for (std::uint32_t i = 0; i < total; ++i) {
         const int zone =
             of_nodes ? world.zone_of_node(static_cast<int>(i)) : world.zone_of_server(static_cast<int>(i));
-        if (trouble.zone < 0 || trouble.zone == zone) all.push_back(i);
+        if (trouble.zone < 0 || trouble.zone == zone) candidates.push_back(i);
     }
-    if (trouble.kind == Trouble::Kind::kZoneLost) return all;
-    const auto count = static_cast<std::size_t>(std::lround(trouble.share * static_cast<double>(all.size())));
-    Chance drawn(world.seed * 1'000'003 + index);
-    for (std::size_t i = 0; i + 1 < all.size(); ++i) std::swap(all[i], all[i + drawn.below(all.size() - i)]);
-    all.resize(count);
-    return all;
+    if (trouble.kind == Trouble::Kind::kZoneLost) return candidates;
+    const auto count =
+        static_cast<std::size_t>(std::lround(trouble.share * static_cast<double>(candidates.size())));
+    Chance chance(world.seed * 1'000'003 + index);
+    for (std::size_t i = 0; i + 1 < candidates.size(); ++i)
+        std::swap(candidates[i], candidates[i + chance.below(candidates.size() - i)]);
+    candidates.resize(count);
+    return candidates;
 }
 
 }  // namespace pinedoor::lab
