--- a/src/lab/fleet/fleet_hunt.cpp
+++ b/src/lab/fleet/fleet_hunt.cpp
@@ -6,11 +6,12 @@
 namespace pinedoor::lab {
 namespace {
 
-constexpr Time kTick = 1'000;  // faults begin and end on tenths of a second, so a world reads well
-constexpr Time kLeast = 5'000;
+constexpr Time kTimeStep =
+    1'000;  // faults begin and end at tenths of a second, which keeps the world readable
+constexpr Time kMinDuration = 5'000;
 
 double rounded(double value, double to) { return std::round(value / to) * to; }
-Time rounded(double ticks) { return static_cast<Time>(rounded(ticks, static_cast<double>(kTick))); }
+Time rounded(double ticks) { return static_cast<Time>(rounded(ticks, static_cast<double>(kTimeStep))); }
 
 }  // namespace
 
@@ -20,16 +21,17 @@
            (1 - seen.totals.service()) + calls / 1'000;
 }
 
-FleetHunter::FleetHunter(FleetWorld base, std::uint64_t seed, std::size_t most_faults)
-    : base_(std::move(base)), most_(std::max<std::size_t>(1, most_faults)), chance_(seed) {}
+FleetHunter::FleetHunter(FleetWorld base, std::uint64_t seed, std::size_t max_faults)
+    : base_(std::move(base)), max_faults_(std::max<std::size_t>(1, max_faults)), chance_(seed) {}
 
 Fault FleetHunter::draw() {
     Fault fault;
     fault.kind = kinds_[chance_.below(kinds_.size())];
     const auto length = static_cast<double>(base_.world.length);
     fault.from = rounded(chance_.one() * 0.7 * length);
-    fault.until = std::min(base_.world.length,
-                           fault.from + std::max(kLeast, rounded((0.05 + 0.35 * chance_.one()) * length)));
+    fault.until =
+        std::min(base_.world.length,
+                 fault.from + std::max(kMinDuration, rounded((0.05 + 0.35 * chance_.one()) * length)));
     fault.share = rounded(0.05 + 0.65 * chance_.one() * chance_.one(), 0.05);
     if (fault.kind == Fault::Kind::kClock) fault.by_s = rounded((chance_.one() - 0.5) * 7'200, 1.0);
     if (fault.kind != Fault::Kind::kLinks) return fault;
@@ -37,32 +39,32 @@
                         ? Fault::Between::kPeers
                         : static_cast<Fault::Between>(chance_.below(3));
     fault.way = static_cast<Fault::Way>(chance_.below(3));
-    fault.ails.cut = chance_.below(3) == 0;
-    if (fault.ails.cut) return fault;
-    fault.ails.delay_ms.a = rounded(300 * chance_.one() * chance_.one(), 1.0);
-    fault.ails.lose = rounded(0.4 * chance_.one(), 0.01);
-    fault.ails.twice = rounded(0.3 * chance_.one(), 0.01);
-    fault.ails.swap = rounded(0.3 * chance_.one(), 0.01);
+    fault.link_faults.cut = chance_.below(3) == 0;
+    if (fault.link_faults.cut) return fault;
+    fault.link_faults.delay_ms.a = rounded(300 * chance_.one() * chance_.one(), 1.0);
+    fault.link_faults.lose = rounded(0.4 * chance_.one(), 0.01);
+    fault.link_faults.twice = rounded(0.3 * chance_.one(), 0.01);
+    fault.link_faults.swap = rounded(0.3 * chance_.one(), 0.01);
     return fault;
 }
 
-FleetWorld FleetHunter::anew() {
+FleetWorld FleetHunter::draw_schedule() {
     kinds_.clear();
     for (std::size_t kind = 0; kind < fault_names().size(); ++kind) {
         if (chance_.below(2) == 0) kinds_.push_back(static_cast<Fault::Kind>(kind));
     }
     if (kinds_.empty()) kinds_.push_back(Fault::Kind::kKill);
-    auto made = base_;
-    made.faults.clear();
-    const auto count = 1 + chance_.below(most_);
-    for (std::uint64_t i = 0; i < count; ++i) made.faults.push_back(draw());
-    return made;
+    auto world = base_;
+    world.faults.clear();
+    const auto count = 1 + chance_.below(max_faults_);
+    for (std::uint64_t i = 0; i < count; ++i) world.faults.push_back(draw());
+    return world;
 }
 
-FleetWorld FleetHunter::varied() {
-    auto made = *worst_;
-    if (made.faults.empty()) return anew();
-    auto& one = made.faults[chance_.below(made.faults.size())];
+FleetWorld FleetHunter::mutate_worst() {
+    auto world = *worst_;
+    if (world.faults.empty()) return draw_schedule();
+    auto& one = world.faults[chance_.below(world.faults.size())];
     switch (chance_.below(4)) {
         case 0: one = draw(); break;
         case 1: one.share = std::min(1.0, rounded(one.share * (0.6 + chance_.one()), 0.05)); break;
@@ -73,21 +75,21 @@
             break;
         }
         default:
-            if (made.faults.size() < most_) made.faults.push_back(draw());
+            if (world.faults.size() < max_faults_) world.faults.push_back(draw());
             break;
     }
-    return made;
+    return world;
 }
 
 FleetWorld FleetHunter::next() {
-    out_ = worst_ && chance_.below(3) > 0 ? varied() : anew();
-    out_->world.seed = base_.world.seed + chance_.below(1'000);
-    return *out_;
+    candidate_ = worst_ && chance_.below(3) > 0 ? mutate_worst() : draw_schedule();
+    candidate_->world.seed = base_.world.seed + chance_.below(1'000);
+    return *candidate_;
 }
 
 void FleetHunter::told(double bad) {
-    if (!out_ || bad <= worst_bad_) return;
-    worst_ = std::move(out_);
+    if (!candidate_ || bad <= worst_bad_) return;
+    worst_ = std::move(candidate_);
     worst_bad_ = bad;
 }
 
@@ -100,7 +102,7 @@
     }
     for (std::size_t i = 0; i < world.faults.size(); ++i) {
         const auto& each = world.faults[i];
-        if (each.until - each.from >= 2 * kLeast) {
+        if (each.until - each.from >= 2 * kMinDuration) {
             all.push_back(world);
             auto& fault = all.back().faults[i];
             fault.until = fault.from + rounded(static_cast<double>(fault.until - fault.from) / 2);
--- a/src/lab/fleet/fleet_hunt.hpp
+++ b/src/lab/fleet/fleet_hunt.hpp
@@ -1,6 +1,6 @@
-// A search for the worst schedule of faults, one run after the other since a fleet of processes takes the
-// whole machine. A decider: worlds out, how bad each was in. Each fresh schedule leaves some kinds of fault
-// out, so that those that hide others do not always take part (swarm testing: Groce et al., ISSTA 2012).
+// A search for the worst schedule of faults. Runs are sequential, since a fleet of processes uses the whole
+// machine. The hunter proposes worlds and receives how bad each was. Each new schedule omits some kinds of
+// fault, so that kinds which mask others are not always present (swarm testing: Groce et al., ISSTA 2012).
 #pragma once
 
 #include <cstdint>
@@ -13,32 +13,34 @@
 
 namespace pinedoor::lab {
 
-// The larger the worse: rules broken and ends that were bad above all, then service, then calls at discovery.
+// Scores a run; higher is worse. Violated rules and failed exits dominate, then lost service, then calls at
+// discovery.
 double badness_of(const FleetWorld& world, const FleetTotals& seen, const std::vector<Breach>& breaches);
 
+// Proposes worlds and keeps the worst one. It runs nothing itself.
 class FleetHunter {
 public:
-    FleetHunter(FleetWorld base, std::uint64_t seed, std::size_t most_faults);
+    FleetHunter(FleetWorld base, std::uint64_t seed, std::size_t max_faults);
 
     FleetWorld next();
-    void told(double bad);  // of what next() gave
+    void told(double bad);  // reports the score of the world that next() returned
     const std::optional<FleetWorld>& worst() const { return worst_; }
     double worst_bad() const { return worst_bad_; }
 
 private:
     Fault draw();
-    FleetWorld anew();
-    FleetWorld varied();
+    FleetWorld draw_schedule();
+    FleetWorld mutate_worst();
 
     const FleetWorld base_;
-    const std::size_t most_;
+    const std::size_t max_faults_;
     Chance chance_;
-    std::vector<Fault::Kind> kinds_;  // that the schedule at hand may have
-    std::optional<FleetWorld> out_, worst_;
+    std::vector<Fault::Kind> kinds_;  // kinds of the current schedule
+    std::optional<FleetWorld> candidate_, worst_;
     double worst_bad_ = -1;
 };
 
-// Worlds that are smaller by one thing each: a fault less, or a shorter or narrower one.
+// Returns worlds reduced by one step each: without a fault, or with a shorter or narrower one.
 std::vector<FleetWorld> reductions(const FleetWorld& world);
 
 }  // namespace pinedoor::lab
--- a/src/lab/fleet/fleet_world.cpp
+++ b/src/lab/fleet/fleet_world.cpp
@@ -90,14 +90,14 @@
     fault.zone = static_cast<int>(table.whole("zone", -1, -1, world.zones - 1));
     fault.by_s = table.number("by_s", 0, -1e9, 1e9);
     fault.quota_bytes = table.number("quota_bytes", 0, 0, 1e12);
-    auto& ails = fault.ails;
-    ails.delay_ms.a = table.number("delay_ms", 0, 0, 60'000);
-    ails.lose = table.number("lose", 0, 0, 1);
-    ails.twice = table.number("twice", 0, 0, 1);
-    ails.swap = table.number("swap", 0, 0, 1);
-    ails.flip = table.number("flip", 0, 0, 1);
-    ails.bytes_per_second = table.number("bytes_per_second", 0, 0, 1e12);
-    ails.cut = table.flag("cut", false);
+    auto& link_faults = fault.link_faults;
+    link_faults.delay_ms.a = table.number("delay_ms", 0, 0, 60'000);
+    link_faults.lose = table.number("lose", 0, 0, 1);
+    link_faults.twice = table.number("twice", 0, 0, 1);
+    link_faults.swap = table.number("swap", 0, 0, 1);
+    link_faults.flip = table.number("flip", 0, 0, 1);
+    link_faults.bytes_per_second = table.number("bytes_per_second", 0, 0, 1e12);
+    link_faults.cut = table.flag("cut", false);
     table.finish();
     return fault;
 }
@@ -140,7 +140,7 @@
 FleetWorld FleetWorld::from_text(std::string_view text, const std::string& path,
                                  const World::Changes& changes) {
     auto parsed = World::parse(text, path, changes);
-    toml::table own;  // what a World does not know
+    toml::table own;  // tables that World does not parse
     for (const char* key : {"fleet", "faults"}) {
         if (const auto* node = parsed.get(key)) own.insert(key, *node);
         parsed.erase(key);
@@ -204,11 +204,11 @@
         numbers("servers", each.servers);
         out << "\nclient_kind = " << each.client_kind << "\nby_s = " << print(each.by_s)
             << "\nquota_bytes = " << print(each.quota_bytes);
-        out << "\ndelay_ms = " << print(each.ails.delay_ms.a) << "\nlose = " << print(each.ails.lose)
-            << "\ntwice = " << print(each.ails.twice) << "\nswap = " << print(each.ails.swap)
-            << "\nflip = " << print(each.ails.flip)
-            << "\nbytes_per_second = " << print(each.ails.bytes_per_second)
-            << "\ncut = " << (each.ails.cut ? "true" : "false") << '\n';
+        out << "\ndelay_ms = " << print(each.link_faults.delay_ms.a)
+            << "\nlose = " << print(each.link_faults.lose) << "\ntwice = " << print(each.link_faults.twice)
+            << "\nswap = " << print(each.link_faults.swap) << "\nflip = " << print(each.link_faults.flip)
+            << "\nbytes_per_second = " << print(each.link_faults.bytes_per_second)
+            << "\ncut = " << (each.link_faults.cut ? "true" : "false") << '\n';
     }
     return out.str();
 }
@@ -225,7 +225,7 @@
 
 }  // namespace
 
-std::vector<int> struck_nodes(const FleetWorld& world, std::size_t index) {
+std::vector<int> affected_nodes(const FleetWorld& world, std::size_t index) {
     const auto& fault = world.faults[index];
     if (!fault.nodes.empty()) return fault.nodes;
     std::vector<int> all;
@@ -235,7 +235,7 @@
     return draw_share(world, index, std::move(all));
 }
 
-std::vector<int> struck_servers(const FleetWorld& world, std::size_t index) {
+std::vector<int> affected_servers(const FleetWorld& world, std::size_t index) {
     const auto& fault = world.faults[index];
     if (!fault.servers.empty()) return fault.servers;
     std::vector<int> all;
--- a/src/lab/fleet/liars.cpp
+++ b/src/lab/fleet/liars.cpp
@@ -2,31 +2,32 @@
 
 namespace pinedoor::lab {
 
-Liars::Liars(net::Scheduler& scheduler, peers::PeerTerms peers, const std::vector<int>& zones) {
+MisreportingMembers::MisreportingMembers(net::Scheduler& scheduler, peers::PeerTerms peers,
+                                         const std::vector<int>& zones) {
     for (const int zone : zones) {
-        auto& liar = liars_.emplace_back();
+        auto& member = members_.emplace_back();
         auto terms = peers;
-        terms.listen = terms.advertise = liar.port.at();
-        const auto which = liars_.size();
-        liar.carrier =
-            std::make_unique<peers::Carrier>(scheduler, terms, "liar-" + std::to_string(which), zone, which,
+        terms.listen = terms.advertise = member.port.at();
+        const auto number = members_.size();
+        member.carrier =
+            std::make_unique<peers::Carrier>(scheduler, terms, "liar-" + std::to_string(number), zone, number,
                                              [](std::string_view, const std::string&) {});
-        liar.carrier->start();
+        member.carrier->start();
     }
 }
 
-// Of the servers that ail first: no more than some forty have room.
-void Liars::lie(const std::vector<Truth>& of) {
-    constexpr std::size_t kRoom = 880;
-    constexpr peers::Time kLives = 150'000;
-    std::string words;
-    for (const bool ailing : {true, false}) {
-        for (const auto& each : of) {
-            const auto word = each.server + (each.ails ? " g 0 - 0 " : " b 0 - 0 ");
-            if (each.ails == ailing && words.size() + word.size() <= kRoom) words += word;
+// Reports the faulty servers first, since a message holds only about forty reports.
+void MisreportingMembers::publish_reports(const std::vector<ServerState>& states) {
+    constexpr std::size_t kMaxReportBytes = 880;
+    constexpr peers::Time kReportLifetime = 150'000;
+    std::string reports;
+    for (const bool faulty : {true, false}) {
+        for (const auto& each : states) {
+            const auto report = each.server + (each.faulty ? " g 0 - 0 " : " b 0 - 0 ");
+            if (each.faulty == faulty && reports.size() + report.size() <= kMaxReportBytes) reports += report;
         }
     }
-    for (const auto& liar : liars_) liar.carrier->publish("servers", words, kLives);
+    for (const auto& member : members_) member.carrier->publish("servers", reports, kReportLifetime);
 }
 
 }  // namespace pinedoor::lab
--- a/src/lab/fleet/liars.hpp
+++ b/src/lab/fleet/liars.hpp
@@ -1,6 +1,6 @@
-// Members of a fleet that talk nonsense: they join as front nodes do, serve nobody, and say of each index
-// server the contrary of what holds, always as if just seen. The messages are the front nodes' own; what is
-// said is made here.
+// Fleet members that publish false reports. They join like front nodes but serve no requests, and report the
+// opposite of each index server's state as if just observed. They use the front nodes' own messaging; only
+// the reports are made here.
 #pragma once
 
 #include <memory>
@@ -13,23 +13,23 @@
 
 namespace pinedoor::lab {
 
-class Liars {
+class MisreportingMembers {
 public:
-    // `peers`: cluster, secret, seeds and times; one liar for each zone named in `zones`.
-    Liars(net::Scheduler& scheduler, peers::PeerTerms peers, const std::vector<int>& zones);
+    // `peers`: cluster, secret, seeds and times; starts one member for each entry of `zones`.
+    MisreportingMembers(net::Scheduler& scheduler, peers::PeerTerms peers, const std::vector<int>& zones);
 
-    struct Truth {
+    struct ServerState {
         std::string server;
-        bool ails = false;
+        bool faulty = false;
     };
-    void lie(const std::vector<Truth>& of);
+    void publish_reports(const std::vector<ServerState>& states);
 
 private:
-    struct Liar {
+    struct Member {
         HeldPort port;
         std::unique_ptr<peers::Carrier> carrier;
     };
-    std::vector<Liar> liars_;
+    std::vector<Member> members_;
 };
 
 }  // namespace pinedoor::lab
--- a/src/lab/fleet/relay.cpp
+++ b/src/lab/fleet/relay.cpp
@@ -11,10 +11,10 @@
 namespace pinedoor::lab {
 namespace {
 
-constexpr std::size_t kMostHeld = 256 * 1024;  // bytes a direction; then its sender waits
-constexpr net::Moment kRetransmit = 2'000;     // a stream's lost piece comes so much later
-constexpr net::Moment kSwapped = 100;          // others pass one that is held for so long
-constexpr std::size_t kLargestDatagram = 65'536;
+constexpr std::size_t kMaxBufferedBytes = 256 * 1024;  // per direction; beyond it the sender is blocked
+constexpr net::Moment kRetransmit = 2'000;             // extra delay of a lost piece of a stream
+constexpr net::Moment kReorderDelay = 100;             // delay of a reordered datagram
+constexpr std::size_t kMaxDatagramBytes = 65'536;
 
 sockaddr_in to_address(net::Endpoint at) {
     sockaddr_in address{};
@@ -26,7 +26,7 @@
 
 net::Moment ticks(double ms) { return static_cast<net::Moment>(ms * 10 + 0.5); }
 
-void flip_one(std::string& bytes, Chance& chance) {
+void flip_one_bit(std::string& bytes, Chance& chance) {
     if (bytes.empty()) return;
     auto& byte = bytes[chance.below(bytes.size())];
     byte = static_cast<char>(static_cast<unsigned char>(byte) ^ (1U << chance.below(8)));
@@ -34,14 +34,16 @@
 
 }  // namespace
 
-StreamRelay::StreamRelay(RelayBook& book, net::Endpoint target) : book_(book), target_(target) { listen(); }
+StreamRelay::StreamRelay(RelayContext& context, net::Endpoint target) : context_(context), target_(target) {
+    listen();
+}
 
 void StreamRelay::listen() {
     listener_ = net::listen_on(port_.at());
-    waiter_ = std::make_unique<net::Waiter>(book_.scheduler, listener_.get());
+    waiter_ = std::make_unique<net::Waiter>(context_.scheduler, listener_.get());
     task_ = accept();
     task_.start([this](std::exception_ptr failure) {
-        if (failure) book_.scheduler.defer([failure] { std::rethrow_exception(failure); });
+        if (failure) context_.scheduler.defer([failure] { std::rethrow_exception(failure); });
     });
 }
 
@@ -72,45 +74,45 @@
         pairs_.push_back(std::make_unique<Pair>());
         most_open_ = std::max(most_open_, pairs_.size());
         auto& pair = *pairs_.back();
-        pair.side[0] = std::make_unique<Side>(book_.scheduler, std::move(fd));
-        pair.side[1] = std::make_unique<Side>(book_.scheduler, std::move(on));
+        pair.side[0] = std::make_unique<Side>(context_.scheduler, std::move(fd));
+        pair.side[1] = std::make_unique<Side>(context_.scheduler, std::move(on));
         for (int which = 0; which < 2; ++which) {
             auto& side = *pair.side[which];
-            side.task = pump(pair, which);
+            side.task = run_side(pair, which);
             side.task.start([this, &pair](std::exception_ptr) { end(pair); });
         }
     }
 }
 
-// A side reads what goes to the other one, and writes what came from there when it is due.
-net::Task StreamRelay::pump(Pair& pair, int which) {
+// Reads what goes to the other side, and writes what came from there when it is due.
+net::Task StreamRelay::run_side(Pair& pair, int which) {
     auto& mine = *pair.side[which];
     auto& other = *pair.side[1 - which];
-    const auto& towards = ails_[which];  // 0 reads what goes to the target
-    const auto& from = ails_[1 - which];
+    const auto& outgoing = link_faults_[which];  // side 0 reads what goes to the target
+    const auto& from = link_faults_[1 - which];
     auto& waiter = mine.stream.waiter();
     for (;;) {
         if (waiter.may(net::kWrite) && net::socket_error(mine.stream.fd()) != 0) co_return;
-        if (!mine.read_ended && other.held < kMostHeld && waiter.may(net::kRead)) {
+        if (!mine.read_ended && other.held < kMaxBufferedBytes && waiter.may(net::kRead)) {
             const auto got = mine.stream.read();
             auto& buffer = mine.stream.buffer();
             if (got == net::Stream::Got::kBytes) {
-                take(other, towards, std::string(buffer.held()));
+                enqueue(other, outgoing, std::string(buffer.held()));
                 buffer.drop(buffer.held().size());
             }
             if (got == net::Stream::Got::kBroken) co_return;
             if (got == net::Stream::Got::kEnd) {
                 mine.read_ended = true;
-                take(other, towards, "");
+                enqueue(other, outgoing, "");
             }
         }
-        const auto now = book_.agenda.now();
+        const auto now = context_.timers.now();
         while (!mine.out.empty() && !from.cut && mine.out.front().due <= now && waiter.may(net::kWrite)) {
             auto& piece = mine.out.front();
             if (piece.bytes.empty()) {
                 net::end_writing(mine.stream.fd());
                 mine.out.pop_front();
-                mine.over = true;
+                mine.write_ended = true;
                 if (mine.read_ended) co_return;
                 break;
             }
@@ -120,10 +122,10 @@
             piece.bytes.erase(0, written);
             if (!piece.bytes.empty()) break;
             mine.out.pop_front();
-            other.stream.waiter().signal();  // it may read again
+            other.stream.waiter().signal();  // its buffer has space again
         }
-        if (mine.over && mine.read_ended) co_return;
-        unsigned interest = !mine.read_ended && other.held < kMostHeld ? unsigned{net::kRead} : 0U;
+        if (mine.write_ended && mine.read_ended) co_return;
+        unsigned interest = !mine.read_ended && other.held < kMaxBufferedBytes ? unsigned{net::kRead} : 0U;
         auto until = net::kNever;
         if (!mine.out.empty() && !from.cut) {
             if (mine.out.front().due <= now)
@@ -135,45 +137,45 @@
     }
 }
 
-void StreamRelay::take(Side& to, const Ails& ails, std::string bytes) {
-    auto& chance = book_.chance;
-    const auto now = book_.agenda.now();
-    auto due = std::max(to.last_due, now + ticks(ails.delay_ms(chance)));
-    if (ails.lose > 0 && chance.one() < ails.lose) due += kRetransmit;
-    if (ails.bytes_per_second > 0)
-        due = std::max(due, to.last_due) +
-              static_cast<net::Moment>(static_cast<double>(bytes.size()) * 10'000 / ails.bytes_per_second);
-    if (ails.flip > 0 && chance.one() < ails.flip) flip_one(bytes, chance);
+void StreamRelay::enqueue(Side& to, const LinkFaults& link_faults, std::string bytes) {
+    auto& chance = context_.chance;
+    const auto now = context_.timers.now();
+    auto due = std::max(to.last_due, now + ticks(link_faults.delay_ms(chance)));
+    if (link_faults.lose > 0 && chance.one() < link_faults.lose) due += kRetransmit;
+    if (link_faults.bytes_per_second > 0)
+        due = std::max(due, to.last_due) + static_cast<net::Moment>(static_cast<double>(bytes.size()) *
+                                                                    10'000 / link_faults.bytes_per_second);
+    if (link_faults.flip > 0 && chance.one() < link_faults.flip) flip_one_bit(bytes, chance);
     to.last_due = due;
     to.held += bytes.size();
     to.out.push_back({due, std::move(bytes)});
     to.stream.waiter().signal();
 }
 
-// Both sides go when one has broken, or when both have ended in order; a reset is told as a reset.
+// Closes both sides after one has failed or both have ended in order; a failure is passed on as a reset.
 void StreamRelay::end(Pair& pair) {
     const bool in_order = pair.side[0]->read_ended && pair.side[1]->read_ended;
-    book_.scheduler.defer([this, &pair, in_order] {
+    context_.scheduler.defer([this, &pair, in_order] {
         const auto found = std::find_if(pairs_.begin(), pairs_.end(),
                                         [&pair](const auto& each) { return each.get() == &pair; });
         if (found == pairs_.end()) return;
         if (!in_order) {
-            drop(*pair.side[0]);
-            drop(*pair.side[1]);
+            reset_on_close(*pair.side[0]);
+            reset_on_close(*pair.side[1]);
         }
         pairs_.erase(found);
     });
 }
 
-void StreamRelay::drop(Side& side) {
+void StreamRelay::reset_on_close(Side& side) {
     const linger now{1, 0};
     setsockopt(side.stream.fd().get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
 }
 
 void StreamRelay::reset() {
     for (const auto& pair : pairs_) {
-        drop(*pair->side[0]);
-        drop(*pair->side[1]);
+        reset_on_close(*pair->side[0]);
+        reset_on_close(*pair->side[1]);
     }
     pairs_.clear();
 }
@@ -203,56 +205,56 @@
 
 }  // namespace
 
-DatagramRelay::DatagramRelay(RelayBook& book, net::Endpoint target, std::uint16_t port)
-    : book_(book), target_(target), fd_(datagram_socket(port)), at_(bound_to(fd_)),
-      waiter_(book.scheduler, fd_.get()) {
+DatagramRelay::DatagramRelay(RelayContext& context, net::Endpoint target, std::uint16_t port)
+    : context_(context), target_(target), fd_(datagram_socket(port)), at_(bound_to(fd_)),
+      waiter_(context.scheduler, fd_.get()) {
     task_ = run();
     task_.start([this](std::exception_ptr failure) {
-        if (failure) book_.scheduler.defer([failure] { std::rethrow_exception(failure); });
+        if (failure) context_.scheduler.defer([failure] { std::rethrow_exception(failure); });
     });
 }
 
 net::Task DatagramRelay::run() {
-    constexpr int kAtOnce = 64;  // then others have their turn
-    std::string bytes(kLargestDatagram, '\0');
+    constexpr int kMaxPerTurn = 64;  // then other tasks run
+    std::string bytes(kMaxDatagramBytes, '\0');
     for (;;) {
-        for (int i = 0; i < kAtOnce && waiter_.may(net::kRead); ++i) {
+        for (int i = 0; i < kMaxPerTurn && waiter_.may(net::kRead); ++i) {
             sockaddr_in from{};
             socklen_t size = sizeof from;
             const auto got =
                 recvfrom(fd_.get(), bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&from), &size);
             if (got < 0) {
                 if (errno == EAGAIN) waiter_.used_up(net::kRead);
-                break;  // or a word that an earlier datagram found nobody
+                break;  // nothing to read, or an ICMP error for an earlier datagram
             }
-            take({ntohl(from.sin_addr.s_addr), ntohs(from.sin_port)},
-                 bytes.substr(0, static_cast<std::size_t>(got)));
+            enqueue({ntohl(from.sin_addr.s_addr), ntohs(from.sin_port)},
+                    bytes.substr(0, static_cast<std::size_t>(got)));
         }
         co_await waiter_.wait(net::kRead);
     }
 }
 
-void DatagramRelay::take(net::Endpoint from, std::string bytes) {
-    const auto found = ails_.find(from);
-    const auto& ails = found == ails_.end() ? others_ : found->second;
-    auto& chance = book_.chance;
-    if (ails.cut || (ails.lose > 0 && chance.one() < ails.lose)) return;
-    const int copies = ails.twice > 0 && chance.one() < ails.twice ? 2 : 1;
-    if (ails.flip > 0 && chance.one() < ails.flip) flip_one(bytes, chance);
+void DatagramRelay::enqueue(net::Endpoint from, std::string bytes) {
+    const auto found = link_faults_.find(from);
+    const auto& link_faults = found == link_faults_.end() ? others_ : found->second;
+    auto& chance = context_.chance;
+    if (link_faults.cut || (link_faults.lose > 0 && chance.one() < link_faults.lose)) return;
+    const int copies = link_faults.twice > 0 && chance.one() < link_faults.twice ? 2 : 1;
+    if (link_faults.flip > 0 && chance.one() < link_faults.flip) flip_one_bit(bytes, chance);
     for (int i = 0; i < copies; ++i) {
-        auto due = book_.agenda.now() + ticks(ails.delay_ms(chance));
-        if (ails.swap > 0 && chance.one() < ails.swap) due += kSwapped;
-        if (ails.bytes_per_second > 0) {
+        auto due = context_.timers.now() + ticks(link_faults.delay_ms(chance));
+        if (link_faults.swap > 0 && chance.one() < link_faults.swap) due += kReorderDelay;
+        if (link_faults.bytes_per_second > 0) {
             auto& free_at = free_at_[from];
             due = std::max(due, free_at);
             free_at = due + static_cast<net::Moment>(static_cast<double>(bytes.size()) * 10'000 /
-                                                     ails.bytes_per_second);
+                                                     link_faults.bytes_per_second);
         }
-        if (due <= book_.agenda.now()) {
+        if (due <= context_.timers.now()) {
             pass(bytes);
             continue;
         }
-        book_.agenda.at(due, [this, bytes] { pass(bytes); });
+        context_.timers.run_at(due, [this, bytes] { pass(bytes); });
     }
 }
 
@@ -260,7 +262,7 @@
     const auto address = to_address(target_);
     ++passed_;
     bytes_ += bytes.size();
-    // What the target's full buffer drops is lost, as on any way.
+    // A datagram that does not fit the target's buffer is lost, as on a real network.
     static_cast<void>(sendto(fd_.get(), bytes.data(), bytes.size(), 0,
                              reinterpret_cast<const sockaddr*>(&address), sizeof address));
 }
--- a/src/lab/fleet/rig.hpp
+++ b/src/lab/fleet/rig.hpp
@@ -1,6 +1,6 @@
-// Many real front node processes on loopback, and emulated index servers, discovery and clients in this one,
-// with faults of processes and of the links between them. The verdict is read from what servers, discovery
-// and clients saw, never from what the front nodes say.
+// Runs many real front node processes on loopback, with emulated index servers, discovery and clients in this
+// process, and injects faults into processes and links. The verdict is based on what servers, discovery and
+// clients observed, never on what the front nodes report.
 #pragma once
 
 #include <cstdint>
@@ -14,19 +14,20 @@
 
 namespace pinedoor::lab {
 
+// The results of a fleet run.
 struct FleetTotals {
     LiveTotals totals;
-    std::vector<CallDesk::Call> calls;  // at discovery, in the order of time, from the world's begin
+    std::vector<CallDesk::Call> calls;  // at discovery, by time since the world's begin
     std::size_t most_calls_at_once = 0;
     std::uint64_t most_calls_in_a_second = 0;
-    std::vector<std::uint64_t> connections;          // that each server took
+    std::vector<std::uint64_t> connections;          // accepted by each server
     std::uint64_t most_connections_in_a_second = 0;  // at one server
-    // Of the play's time: in which the rig was late with what was due (its servers, clients and discovery
-    // stood still with it), and in which a front node waited for a core, in the mean. Beyond a few hundredths
-    // the machine was judged, not the fleet.
+    // Fractions of the run's time: during which the rig's event loop was late (its servers, clients and
+    // discovery were paused too), and which a front node spent waiting for a core, on average. Beyond a few
+    // hundredths the results describe the machine, not the fleet.
     double late_share = 0, waiting_share = 0;
     std::uint64_t peer_bytes = 0,
-                  peer_datagrams = 0;  // sent between front nodes, as those say that ended in order
+                  peer_datagrams = 0;  // sent between front nodes, as logged by those that exited in order
 
     std::uint64_t count(CallDesk::End end) const {
         std::uint64_t sum = 0;
@@ -35,8 +36,8 @@
     }
 };
 
-// Takes as long as the world does. Throws stated::BadStated or std::system_error if it cannot be set up; the
-// processes that it started are gone when it returns.
+// Runs for the world's length. Throws stated::BadStated or std::system_error if the setup fails. All
+// processes that it started have ended when it returns.
 FleetTotals play_fleet(const FleetWorld& world, const LiveWords& words,
                        const std::function<void(const std::string&)>& log);
 
--- a/src/lab/fleet/verdict.cpp
+++ b/src/lab/fleet/verdict.cpp
@@ -50,7 +50,7 @@
     if (of_ == "multigets" && !std::exchange(seen_[std::stoull(name)], true)) count(at, node, -1);
 }
 
-// The worst of all windows that end here, in one pass: a bucket that leaks at the limit's rate.
+// Tracks the worst window that ends now in one pass, with a bucket that leaks at the limit's rate.
 void LimitReader::count(Time at, int node, int server) {
     passed_.emplace_back(at, node);
     auto& level = levels_[server];
@@ -87,11 +87,11 @@
         asked_at_[number] = node;
         return;
     }
-    constexpr Time kJustBegun = kSecond / 2;
-    if (what == "begun") {  // anew
+    constexpr Time kRejoinWindow = kSecond / 2;
+    if (what == "begun") {  // started again
         int node = 0;
         words >> node;
-        begun_[node] = at;
+        rejoined_at_[node] = at;
         last_rejoin_ = at;
         return;
     }
@@ -99,9 +99,9 @@
         int server = 0;
         std::string kind, how;
         if (!(words >> server >> kind >> how)) return;
-        ailing_[server] += how == "begins" ? 1 : -1;
-        if (ailed_from_ < 0) ailed_from_ = at;
-        if (how == "ends" && ailed_until_ < 0) ailed_until_ = at;
+        active_faults_[server] += how == "begins" ? 1 : -1;
+        if (faults_from_ < 0) faults_from_ = at;
+        if (how == "ends" && faults_until_ < 0) faults_until_ = at;
         return;
     }
     if (what == "send") {
@@ -111,12 +111,13 @@
         const auto window = static_cast<std::size_t>(std::max<Time>(0, at) / kWindow);
         if (picks_.size() <= window) picks_.resize(window + 1);
         ++picks_[window].sends;
-        picks_[window].ailing += ailing_[server] > 0 ? 1U : 0U;
-        if (last_rejoin_ < 0 || at - last_rejoin_ > kJustBegun) return;
-        const auto began = begun_.find(node);
-        auto& picks = began != begun_.end() && at - began->second <= kJustBegun ? rejoined_ : others_;
+        picks_[window].ailing += active_faults_[server] > 0 ? 1U : 0U;
+        if (last_rejoin_ < 0 || at - last_rejoin_ > kRejoinWindow) return;
+        const auto began = rejoined_at_.find(node);
+        auto& picks =
+            began != rejoined_at_.end() && at - began->second <= kRejoinWindow ? rejoined_ : others_;
         ++picks.sends;
-        picks.ailing += ailing_[server] > 0 ? 1U : 0U;
+        picks.ailing += active_faults_[server] > 0 ? 1U : 0U;
         return;
     }
     if (what != "answer" && what != "push" && what != "fail" && what != "gone") return;
@@ -157,14 +158,14 @@
     return sum;
 }
 
-Time FleetReader::ailed_until() const {
-    return ailed_until_ < 0 ? static_cast<Time>(picks_.size()) * kWindow : ailed_until_;
+Time FleetReader::faults_until() const {
+    return faults_until_ < 0 ? static_cast<Time>(picks_.size()) * kWindow : faults_until_;
 }
 
 Time FleetReader::avoided_after(double share) const {
-    if (ailed_from_ < 0) return -1;
-    for (Time from = ailed_from_; from + kSecond <= ailed_until(); from += kWindow) {
-        if (picks(from, from + kSecond).share() <= share) return from - ailed_from_;
+    if (faults_from_ < 0) return -1;
+    for (Time from = faults_from_; from + kSecond <= faults_until(); from += kWindow) {
+        if (picks(from, from + kSecond).share() <= share) return from - faults_from_;
     }
     return -1;
 }
@@ -180,7 +181,7 @@
 
 namespace {
 
-// Of one second: sends by server, and how what was asked there ended.
+// A front node's second: sends by server, and its multigets' ends.
 struct NodeSecond {
     std::map<std::string, int> sends, ends;
     std::string text() const {
@@ -199,7 +200,7 @@
     const auto name = std::to_string(node);
     std::multimap<Time, std::string> life;
     std::map<Time, NodeSecond> seconds;
-    std::unordered_map<std::string, bool> mine;  // multigets asked there
+    std::unordered_map<std::string, bool> mine;  // multigets sent to this node
     std::string known;
     bool seen = false;
     for (std::string line; std::getline(log, line);) {
@@ -284,9 +285,9 @@
             << decimal(static_cast<double>(seen.peer_datagrams) / node_seconds, 1) << " messages, "
             << decimal(static_cast<double>(seen.peer_bytes) / node_seconds, 0) << " bytes\n";
     }
-    if (reader.ailed_from() >= 0) {
+    if (reader.faults_from() >= 0) {
         constexpr Time kTold = 2 * kSecond;
-        const auto later = reader.picks(reader.ailed_from() + kTold, reader.ailed_until());
+        const auto later = reader.picks(reader.faults_from() + kTold, reader.faults_until());
         out << "servers that ail: left by 99 % of the sends after "
             << seconds_or_never(reader.avoided_after()) << "; from 2 s on they got "
             << share(later.ailing, later.sends) << '\n';
--- a/src/lab/fleet/wall_clock.cpp
+++ b/src/lab/fleet/wall_clock.cpp
@@ -1,6 +1,6 @@
-// A library that the fleet rig loads into a front node's process (LD_PRELOAD) so that its wall clock can
-// jump: the number in the file that PINEDOOR_LAB_CLOCK names, in milliseconds, is added to it. The monotonic
-// clock is left alone, as the kernel leaves it.
+// A library that the fleet rig preloads into a front node's process (LD_PRELOAD) to make its wall clock jump.
+// It adds the number of milliseconds stored in the file that PINEDOOR_LAB_CLOCK names. The monotonic clock is
+// unchanged, as with a real clock change.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/mman.h>
--- a/src/lab/live/agenda.hpp
+++ b/src/lab/live/agenda.hpp
@@ -1,4 +1,4 @@
-// What the emulated side of a run on sockets does later, in the order of time, on the scheduler's thread.
+// Timers of a socket-based run: callbacks that run at their time, in order, on the scheduler's thread.
 #pragma once
 
 #include <algorithm>
@@ -10,36 +10,37 @@
 
 namespace pinedoor::lab {
 
-class Agenda {
+class TimerQueue {
 public:
-    explicit Agenda(net::Scheduler& scheduler) : scheduler_(scheduler), waiter_(scheduler) {
+    explicit TimerQueue(net::Scheduler& scheduler) : scheduler_(scheduler), waiter_(scheduler) {
         task_ = run();
         task_.start([this](std::exception_ptr failure) {
             if (failure) scheduler_.defer([failure] { std::rethrow_exception(failure); });
         });
     }
     net::Moment now() const { return scheduler_.now(); }
-    void at(net::Moment when, std::function<void()> what) {
+    void run_at(net::Moment when, std::function<void()> callback) {
         const bool first = queue_.empty() || when < queue_.begin()->first;
-        queue_.emplace(when, std::move(what));
+        queue_.emplace(when, std::move(callback));
         if (first) waiter_.signal();
     }
-    // For how long, in all, something was due that had not been done: the loop, or its thread, had not the
-    // time.
-    net::Moment late() const { return late_; }
+    // The total time, in ticks, during which a callback was overdue because the event loop or its thread was
+    // busy.
+    net::Moment late() const { return late_time_; }
 
 private:
     net::Task run() {
-        constexpr int kAtOnce = 256;  // then the sockets have their turn
-        constexpr net::Moment kInTime = 200;
+        constexpr int kMaxPerTurn = 256;  // then the sockets are served
+        constexpr net::Moment kLateAfter = 200;
         for (;;) {
-            for (int done = 0; done < kAtOnce && !queue_.empty() && queue_.begin()->first <= now(); ++done) {
+            for (int done = 0; done < kMaxPerTurn && !queue_.empty() && queue_.begin()->first <= now();
+                 ++done) {
                 const auto due = queue_.begin()->first;
-                const auto what = std::move(queue_.begin()->second);
+                const auto callback = std::move(queue_.begin()->second);
                 queue_.erase(queue_.begin());
-                if (now() - due > kInTime) late_ += now() - std::max(due, counted_);
-                counted_ = now();
-                what();
+                if (now() - due > kLateAfter) late_time_ += now() - std::max(due, counted_until_);
+                counted_until_ = now();
+                callback();
             }
             co_await waiter_.wait(0, queue_.empty() ? net::kNever : queue_.begin()->first);
         }
@@ -47,9 +48,9 @@
 
     net::Scheduler& scheduler_;
     std::multimap<net::Moment, std::function<void()>> queue_;
-    net::Moment late_ = 0, counted_ = 0;
+    net::Moment late_time_ = 0, counted_until_ = 0;
     net::Waiter waiter_;
-    net::Task task_;  // last: goes first
+    net::Task task_;  // declared last, so destroyed first
 };
 
 }  // namespace pinedoor::lab
--- a/src/lab/live/call_desk.hpp
+++ b/src/lab/live/call_desk.hpp
@@ -1,5 +1,5 @@
-// What an emulated discovery bears: calls are served in turn, a few wait, further ones are refused at once.
-// It keeps a record of each call, which is what a verdict on the callers is read from.
+// The limited capacity of emulated discovery: a FIFO queue that serves one call at a time and rejects calls
+// while it is full. It records every call; the verdict on the callers is based on this record.
 #pragma once
 
 #include <cstddef>
@@ -13,50 +13,52 @@
 namespace pinedoor::lab {
 
 struct CallTerms {
-    double per_second = 0;     // served in turn; 0: all at once, as many as come
-    int waiting = 10;          // behind the one that is served; further ones are refused
-    net::Moment time_out = 0;  // of one that waits; 0: none
+    double per_second = 0;     // service rate; 0: unlimited, every call is served at once
+    int waiting = 10;          // queue length behind the call being served; further calls are refused
+    net::Moment time_out = 0;  // of a queued call; 0: none
 };
 
 class CallDesk {
 public:
     enum class End { kWaiting, kServed, kRefused, kTimedOut, kGone };
     struct Call {
-        net::Moment at = 0;  // when the whole request was there
-        int node = 0;        // who called
+        net::Moment at = 0;  // when the request was complete
+        int node = 0;        // the calling front node
         End end = End::kWaiting;
         net::Moment ended = 0;
     };
 
-    CallDesk(Agenda& agenda, CallTerms terms) : agenda_(agenda), terms_(terms) {}
+    CallDesk(TimerQueue& timers, CallTerms terms) : timers_(timers), terms_(terms) {}
 
-    // `told` is called once, from the agenda or at once: true if it is served now. Returns its number.
-    std::size_t ask(int node, std::function<void(bool served)> told);
-    void leave(std::size_t call);  // whoever called is gone; nobody is told
-    void clear();                  // discovery went down: those that wait are gone
-    void refuse_all(bool on) { refuses_ = on; }
+    // Submits a call and returns its number. `done` is called once, at once or later: true if the call was
+    // served, false if it was refused or timed out.
+    std::size_t ask(int node, std::function<void(bool served)> done);
+    void leave(std::size_t call);  // the caller disconnected; `done` is not called
+    void clear();                  // discovery went down: drops the waiting calls
+    void refuse_all(bool on) { refuse_all_ = on; }
 
     const std::vector<Call>& calls() const { return calls_; }
-    std::size_t most_at_once() const { return most_; }  // served and waiting
+    // The maximum number of calls being served and waiting.
+    std::size_t most_at_once() const { return max_outstanding_; }
     std::uint64_t count(End end) const;
-    std::uint64_t most_in(net::Moment span) const;  // calls that came within any such span
+    std::uint64_t max_calls_within(net::Moment span) const;  // maximum within any such span
 
 private:
     struct Waiting {
         std::size_t call;
-        std::function<void(bool)> told;
+        std::function<void(bool)> done;
     };
     void serve_next();
-    void end(std::size_t call, End how);
+    void end(std::size_t call, End result);
 
-    Agenda& agenda_;
+    TimerQueue& timers_;
     const CallTerms terms_;
     std::vector<Call> calls_;
     std::deque<Waiting> waiting_;
     bool busy_ = false;
-    bool refuses_ = false;
-    std::uint64_t era_ = 0;
-    std::size_t most_ = 0;
+    bool refuse_all_ = false;
+    std::uint64_t generation_ = 0;
+    std::size_t max_outstanding_ = 0;
 };
 
 }  // namespace pinedoor::lab
--- a/src/lab/live/held_port.hpp
+++ b/src/lab/live/held_port.hpp
@@ -1,12 +1,13 @@
+// Reserved TCP ports on loopback.
 #pragma once
 
 #include "net/socket.hpp"
 
 namespace pinedoor::lab {
 
-// A port of 127.0.0.1 that stays this one's own while whoever serves on it is down: connections are refused
-// then, and neither another listener nor an outgoing connection, which could meet itself, gets the port. Who
-// listens on it must set SO_REUSEADDR, as net::listen_on does (socket(7)).
+// Reserves a port of 127.0.0.1 while the emulated server on it is down. Connections are refused then, and no
+// other listener or outgoing connection (which could connect to itself) gets the port. A listener on the port
+// must set SO_REUSEADDR, as net::listen_on does (socket(7)).
 class HeldPort {
 public:
     HeldPort();  // throws std::system_error if there is none
--- a/src/lab/live/live.cpp
+++ b/src/lab/live/live.cpp
@@ -4,7 +4,7 @@
 
 namespace pinedoor::lab {
 
-// A fleet that is up before the world begins, with nothing between it and the others.
+// Runs the world as a fleet whose front nodes are up before it begins, without relays.
 LiveTotals play_live(const World& world, const LiveWords& words,
                      const std::function<void(const std::string&)>& log) {
     FleetWorld fleet;
--- a/src/lab/live/live.hpp
+++ b/src/lab/live/live.hpp
@@ -1,5 +1,6 @@
-// A world on sockets: real pinedoor processes on loopback, and emulated index servers, discovery and clients
-// in this one. The log reads as the simulation's, so the checker, timelines and reports take it alike.
+// Runs a world on sockets: real pinedoor processes on loopback, and emulated index servers, discovery and
+// clients in this process. The log has the simulation's format, so the checker, timelines and reports read
+// both.
 #pragma once
 
 #include <functional>
@@ -10,24 +11,26 @@
 
 namespace pinedoor::lab {
 
+// Options of a run on sockets.
 struct LiveWords {
-    std::string program;                                      // pinedoor; must be there
-    std::size_t connections = 2'000;                          // of clients, at most
-    std::function<void(int second, std::size_t open)> watch;  // once a second, if it is there
+    std::string program;                                      // path of the pinedoor program; required
+    std::size_t connections = 2'000;                          // maximum number of client connections
+    std::function<void(int second, std::size_t open)> watch;  // called once a second, if set
 };
+// The counters of a run on sockets.
 struct LiveTotals : Totals {
     double node_cpu_seconds = 0;  // of all front node processes
     double own_cpu_seconds = 0;
     std::size_t most_connections = 0;
-    std::uint64_t without_room = 0;  // requests that found no connection of the laboratory's free
-    int bad_exits = 0;               // front nodes that did not end with 0 when told to
+    std::uint64_t without_room = 0;  // requests that failed because no client connection was free
+    int bad_exits = 0;               // front nodes that did not exit with 0 when terminated
 };
-// Takes as long as the world does. Throws stated::BadStated or std::system_error if it cannot be set up; the
-// processes that it started are gone when it returns.
+// Runs for the world's length. Throws stated::BadStated or std::system_error if the setup fails. All
+// processes that it started have ended when it returns.
 LiveTotals play_live(const World& world, const LiveWords& words,
                      const std::function<void(const std::string&)>& log);
 
-// The platform's configuration for one front node of the world (deploy pages; ROUTER_CONFIG).
+// Returns the platform configuration of one front node of the world (ROUTER_CONFIG; see the deploy pages).
 std::string node_config(const World& world, int node, const std::string& listen, const std::string& discovery,
                         const std::string& known, std::uint64_t seed);
 
--- a/src/lab/live/live_clients.hpp
+++ b/src/lab/live/live_clients.hpp
@@ -1,5 +1,5 @@
-// Emulated clients on real sockets: open loop, so a request's time counts from when it should have gone out,
-// over connections that are kept and used again.
+// Emulated clients on real sockets. The load is open loop: a request's latency counts from its scheduled
+// time. Connections are kept and reused.
 #pragma once
 
 #include <cstdint>
@@ -17,72 +17,73 @@
 
 namespace pinedoor::lab {
 
+// Generates the requests of all client kinds and records their ends.
 class LiveClients {
 public:
-    // `nodes`: where the front nodes listen.
-    LiveClients(net::Scheduler& scheduler, Agenda& agenda, LiveBook& book, std::vector<net::Endpoint> nodes,
-                std::size_t most_connections);
+    // `nodes`: the addresses of the front nodes.
+    LiveClients(net::Scheduler& scheduler, TimerQueue& timers, LiveContext& context,
+                std::vector<net::Endpoint> nodes, std::size_t most_connections);
 
-    void start();  // requests come from now on, for the world's length
+    void start();  // generates requests from now on, for the world's length
     void surge(double by) { surge_ *= by; }
     void shift(Shift to) { shift_ = to; }
-    // So many connections a second, of clients that send noise, half a request, too much, or nothing; 0: no
-    // more.
-    void misbehave(double per_second);
+    // Opens this many connections per second of clients that send noise, an incomplete request, an oversized
+    // one, or nothing; 0 stops it.
+    void set_bad_client_rate(double per_second);
     std::size_t open() const { return open_; }
     std::size_t connections() const { return connections_.size(); }
-    std::uint64_t without_room() const { return without_room_; }  // not asked: all connections were busy
+    std::uint64_t without_room() const { return without_room_; }  // not sent: all connections were busy
 
 private:
-    struct Asking {
+    struct PendingRequest {
         Request request;
         std::uint64_t multiget = 0;
         int node = 0;
-        net::Moment until = 0;  // when its client goes, or its time is over
-        bool leaves = false;    // it goes by itself
-        int connects = 0;       // tries at other front nodes
+        net::Moment until = 0;  // when its client disconnects or its time is over
+        bool leaves = false;    // the client disconnects early
+        int connects = 0;       // connection attempts
     };
     struct Connection {
         Connection(net::Scheduler& scheduler, net::Fd fd, int to)
             : stream(scheduler, std::move(fd)), node(to) {}
         net::Stream stream;
         const int node;
-        std::unique_ptr<Asking> asking;
-        bool used = false;  // has answered before
-        bool over = false;
+        std::unique_ptr<PendingRequest> pending;
+        bool used = false;  // has answered a request before
+        bool closed = false;
         net::Task task;
     };
 
-    struct Bad {
-        Bad(net::Scheduler& scheduler, net::Fd fd) : stream(scheduler, std::move(fd)) {}
+    struct BadClient {
+        BadClient(net::Scheduler& scheduler, net::Fd fd) : stream(scheduler, std::move(fd)) {}
         net::Stream stream;
         net::Task task;
-        bool over = false;
+        bool closed = false;
     };
 
-    void arrive(std::uint32_t kind);
-    void next_bad();
-    net::Task annoy(Bad& bad);
-    void ask(std::unique_ptr<Asking> asking, bool anew);
-    void give(std::unique_ptr<Asking> asking, int node);
-    net::Task converse(Connection& connection);
-    void broken(Connection& connection, bool answering);
-    void end(std::unique_ptr<Asking> asking, How how, bool whole, double in, Time wait,
-             const std::string& shards);
-    const std::string& tenant_of(const Asking& asking) const;
-    std::string text_of(const Asking& asking) const;
-    void answered(std::unique_ptr<Asking> asking, int status, const std::string* retry_after,
+    void generate_arrivals(std::uint32_t kind);
+    void open_bad_client();
+    net::Task run_bad_client(BadClient& bad);
+    void start_try(std::unique_ptr<PendingRequest> pending, bool is_new);
+    void send_to_node(std::unique_ptr<PendingRequest> pending, int node);
+    net::Task run_connection(Connection& connection);
+    void handle_disconnect(Connection& connection, bool answering);
+    void end(std::unique_ptr<PendingRequest> pending, How end_kind, bool whole, double returned_weight,
+             Time wait, const std::string& shards);
+    const std::string& tenant_name(const PendingRequest& pending) const;
+    std::string request_text(const PendingRequest& pending) const;
+    void answered(std::unique_ptr<PendingRequest> pending, int status, const std::string* retry_after,
                   const std::string& body);
 
     net::Scheduler& scheduler_;
-    Agenda& agenda_;
-    LiveBook& book_;
+    TimerQueue& timers_;
+    LiveContext& context_;
     const std::vector<net::Endpoint> nodes_;
-    const std::size_t most_;
+    const std::size_t max_connections_;
     double surge_ = 1;
     Shift shift_;
     double bad_per_second_ = 0;
-    std::list<std::unique_ptr<Bad>> bad_;
+    std::list<std::unique_ptr<BadClient>> bad_clients_;
     std::uint64_t multigets_ = 0, without_room_ = 0;
     std::size_t open_ = 0;
     std::list<std::unique_ptr<Connection>> connections_;
--- a/src/lab/live/live_list.cpp
+++ b/src/lab/live/live_list.cpp
@@ -7,7 +7,7 @@
 namespace pinedoor::lab {
 namespace {
 
-constexpr net::Moment kBeat = 10'000;
+constexpr net::Moment kHeartbeatInterval = 10'000;
 
 std::string chunk(const std::string& text) {
     char size[20];
@@ -34,13 +34,14 @@
     return text + "]}";
 }
 
-LiveList::LiveList(net::Scheduler& scheduler, Agenda& agenda, CallDesk* desk, int node)
-    : scheduler_(scheduler), agenda_(agenda), desk_(desk), node_(node) {
+EmulatedDiscovery::EmulatedDiscovery(net::Scheduler& scheduler, TimerQueue& timers, CallDesk* call_queue,
+                                     int node)
+    : scheduler_(scheduler), timers_(timers), call_queue_(call_queue), node_(node) {
     open();
-    beat();
+    send_heartbeat();
 }
 
-void LiveList::open() {
+void EmulatedDiscovery::open() {
     listener_ = net::listen_on(port_.at());
     waiter_ = std::make_unique<net::Waiter>(scheduler_, listener_.get());
     task_ = accept();
@@ -49,31 +50,33 @@
     });
 }
 
-void LiveList::go_down() {
+void EmulatedDiscovery::go_down() {
     task_ = net::Task{};
     waiter_ = nullptr;
     listener_ = net::Fd{};
     end_watches();
 }
 
-void LiveList::end_watches() {
+void EmulatedDiscovery::end_watches() {
     for (const auto& link : links_) {
-        if (desk_ != nullptr && link->turn == Link::Turn::kAwaited) desk_->leave(link->call);
+        if (call_queue_ != nullptr && link->call_state == Link::CallState::kWaiting)
+            call_queue_->leave(link->call);
     }
     links_.clear();
 }
 
-void LiveList::stand_still(bool on) { still_ = on; }
+void EmulatedDiscovery::suspend_watches(bool on) { suspended_ = on; }
 
-bool LiveList::is_watched() const {
-    return !still_ && std::any_of(links_.begin(), links_.end(), [](const auto& each) {
-        return each->watches && each->told && each->turn == Link::Turn::kServed && !each->over;
+bool EmulatedDiscovery::is_watched() const {
+    return !suspended_ && std::any_of(links_.begin(), links_.end(), [](const auto& each) {
+        return each->watching && each->answered && each->call_state == Link::CallState::kServed &&
+               !each->closed;
     });
 }
 
-void LiveList::come_up() { open(); }
+void EmulatedDiscovery::come_up() { open(); }
 
-net::Task LiveList::accept() {
+net::Task EmulatedDiscovery::accept() {
     for (;;) {
         auto [fd, error] = net::accept_from(listener_);
         if (!fd) {
@@ -85,14 +88,16 @@
         auto& link = *links_.back();
         link.task = serve(link);
         link.task.start([this, &link](std::exception_ptr) {
-            link.over = true;
-            if (desk_ != nullptr && link.turn == Link::Turn::kAwaited) desk_->leave(link.call);
-            scheduler_.defer([this] { std::erase_if(links_, [](const auto& each) { return each->over; }); });
+            link.closed = true;
+            if (call_queue_ != nullptr && link.call_state == Link::CallState::kWaiting)
+                call_queue_->leave(link.call);
+            scheduler_.defer(
+                [this] { std::erase_if(links_, [](const auto& each) { return each->closed; }); });
         });
     }
 }
 
-net::Task LiveList::serve(Link& link) {
+net::Task EmulatedDiscovery::serve(Link& link) {
     auto& waiter = link.stream.waiter();
     parse::HttpReader reader(parse::HttpReader::Kind::kRequest);
     while (!link.stream.broken()) {
@@ -102,84 +107,86 @@
             auto& buffer = link.stream.buffer();
             buffer.drop(reader.feed(buffer.held()));
             if (reader.state() == parse::HttpReader::State::kBad) co_return;
-            if (reader.state() == parse::HttpReader::State::kDone && link.turn == Link::Turn::kNone)
-                take_call(link, reader.target().find("stream=1") != std::string::npos);
+            if (reader.state() == parse::HttpReader::State::kDone &&
+                link.call_state == Link::CallState::kNone)
+                enqueue_call(link, reader.target().find("stream=1") != std::string::npos);
         }
-        if (link.turn >= Link::Turn::kServed && !link.told) answer(link);
+        if (link.call_state >= Link::CallState::kServed && !link.answered) answer(link);
         if (!link.out.empty() && waiter.may(net::kWrite)) link.out.erase(0, link.stream.write(link.out));
-        const bool ends = !link.watches || link.turn == Link::Turn::kRefused;
-        if (link.told && ends && link.out.empty()) co_return;
+        const bool ends = !link.watching || link.call_state == Link::CallState::kRefused;
+        if (link.answered && ends && link.out.empty()) co_return;
         co_await waiter.wait(net::kRead | (link.out.empty() ? 0U : unsigned{net::kWrite}));
     }
 }
 
-void LiveList::take_call(Link& link, bool watches) {
-    link.watches = watches;
-    link.turn = Link::Turn::kAwaited;
+void EmulatedDiscovery::enqueue_call(Link& link, bool watching) {
+    link.watching = watching;
+    link.call_state = Link::CallState::kWaiting;
     const auto served = [&link](bool is) {
-        link.turn = is ? Link::Turn::kServed : Link::Turn::kRefused;
+        link.call_state = is ? Link::CallState::kServed : Link::CallState::kRefused;
         link.stream.waiter().signal();
     };
-    if (desk_ == nullptr) return served(true);
-    // Its turn may have come by then: only a call that is still waited for is left later.
-    const auto call = desk_->ask(node_, served);
+    if (call_queue_ == nullptr) return served(true);
+    // The call may already have ended here; it is cancelled later only if it still waits.
+    const auto call = call_queue_->ask(node_, served);
     link.call = call;
 }
 
-void LiveList::answer(Link& link) {
-    link.told = true;
-    if (link.turn == Link::Turn::kRefused) {
+void EmulatedDiscovery::answer(Link& link) {
+    link.answered = true;
+    if (link.call_state == Link::CallState::kRefused) {
         link.out += parse::http_answer(503, "", "busy", true);
         return;
     }
     const auto all = whole_text();
-    if (answered_) answered_();
-    if (link.watches)
+    if (on_full_list_) on_full_list_();
+    if (link.watching)
         link.out += "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(all + '\n');
     else
         link.out += parse::http_answer(200, "", all, true);
 }
 
-void LiveList::say(Link& link, const std::string& text) {
+void EmulatedDiscovery::send_chunk(Link& link, const std::string& text) {
     link.out += chunk(text);
     link.stream.waiter().signal();
 }
 
-void LiveList::lie_behind(bool on) {
-    behind_ = on;
-    for (const auto& each : std::exchange(untold_, {})) change(each);
+void EmulatedDiscovery::serve_stale_list(bool on) {
+    stale_ = on;
+    for (const auto& each : std::exchange(pending_changes_, {})) change(each);
 }
 
-std::string LiveList::whole_text() const {
+std::string EmulatedDiscovery::whole_text() const {
     std::vector<LiveMember> told;
-    for (std::size_t i = 0; i < members_.size(); i += half_ ? 2 : 1) told.push_back(members_[i]);
+    for (std::size_t i = 0; i < members_.size(); i += half_list_ ? 2 : 1) told.push_back(members_[i]);
     return list_text(revision_, true, told);
 }
 
-void LiveList::tell_half(bool on) {
-    half_ = on;
+void EmulatedDiscovery::serve_half_list(bool on) {
+    half_list_ = on;
     ++revision_;
     for (auto& link : links_) {
-        if (link->watches && link->told && !still_) say(*link, whole_text() + '\n');
+        if (link->watching && link->answered && !suspended_) send_chunk(*link, whole_text() + '\n');
     }
 }
 
-void LiveList::change(const LiveMember& member) {
-    if (behind_) return untold_.push_back(member);
+void EmulatedDiscovery::change(const LiveMember& member) {
+    if (stale_) return pending_changes_.push_back(member);
     ++revision_;
     for (auto& each : members_) {
         if (each.name == member.name) each = member;
     }
     for (auto& link : links_) {
-        if (link->watches && link->told && !still_) say(*link, list_text(revision_, false, {member}) + '\n');
+        if (link->watching && link->answered && !suspended_)
+            send_chunk(*link, list_text(revision_, false, {member}) + '\n');
     }
 }
 
-void LiveList::beat() {
+void EmulatedDiscovery::send_heartbeat() {
     for (auto& link : links_) {
-        if (link->watches && link->told && !still_) say(*link, "\n");
+        if (link->watching && link->answered && !suspended_) send_chunk(*link, "\n");
     }
-    agenda_.at(agenda_.now() + kBeat, [this] { beat(); });
+    timers_.run_at(timers_.now() + kHeartbeatInterval, [this] { send_heartbeat(); });
 }
 
 }  // namespace pinedoor::lab
--- a/src/lab/live/live_list.hpp
+++ b/src/lab/live/live_list.hpp
@@ -1,5 +1,6 @@
-// Discovery as one front node sees it: the list whole on asking, changes to who watches, an empty line each
-// second. Several share one desk where discovery bears only so many calls.
+// Emulated discovery for one front node: it serves the full server list on request, and sends changes and a
+// heartbeat line each second to watches. Several instances share a call queue if discovery's capacity is
+// limited.
 #pragma once
 
 #include <cstdint>
@@ -17,6 +18,7 @@
 
 namespace pinedoor::lab {
 
+// An index server as discovery lists it.
 struct LiveMember {
     std::string name, zone, phase;  // phase: Ready, Terminating or Gone
     net::Endpoint at;
@@ -24,63 +26,66 @@
     std::int64_t up_since_ms = 0;
     std::string text() const;  // as JSON
 };
+// Returns the server list as JSON; a complete list omits servers that are gone.
 std::string list_text(int revision, bool complete, const std::vector<LiveMember>& members);
 
-class LiveList {
+class EmulatedDiscovery {
 public:
-    // `desk`: whose turn each call awaits, as one of front node `node`'s; null: all are served at once.
-    LiveList(net::Scheduler& scheduler, Agenda& agenda, CallDesk* desk = nullptr, int node = 0);
+    // `call_queue`: the queue in which calls wait, as calls of front node `node`; null: all are served at
+    // once.
+    EmulatedDiscovery(net::Scheduler& scheduler, TimerQueue& timers, CallDesk* call_queue = nullptr,
+                      int node = 0);
 
     net::Endpoint at() const { return port_.at(); }
     void set(std::vector<LiveMember> members) { members_ = std::move(members); }
-    void change(const LiveMember& member);  // told to who watches, if it is up
-    void go_down();                         // connections end, new ones are refused
+    void change(const LiveMember& member);  // sent to the watches
+    void go_down();                         // closes all connections and refuses new ones
     void come_up();
-    void set_revision(int revision) { revision_ = revision; }  // of what is told next
+    void set_revision(int revision) { revision_ = revision; }  // revision of the current list
     int revision() const { return revision_; }
-    bool is_watched() const;  // somebody has the whole list, and is told of changes
-    void when_answered(std::function<void()> then) {
-        answered_ = std::move(then);
-    }                           // each time it is told whole
-    void stand_still(bool on);  // watches stay open, and nothing is told on them
-    void end_watches();         // they are closed, and may come again
-    void tell_half(bool on);    // of each whole list; who watches is told the whole one at once, both times
-    bool lies_behind() const { return behind_; }
-    const std::vector<LiveMember>& untold() const { return untold_; }
-    void lie_behind(bool on);  // what is told is the list as it is now, until the end
+    bool is_watched() const;  // a watch has the full list and receives changes
+    // Sets a callback for each full list sent.
+    void when_answered(std::function<void()> then) { on_full_list_ = std::move(then); }
+    void suspend_watches(bool on);  // watches stay open but receive nothing
+    void end_watches();             // closes all watches; clients may reconnect
+    // Makes full lists name every second server only; watches receive a full list when this is switched.
+    void serve_half_list(bool on);
+    bool serves_stale_list() const { return stale_; }
+    const std::vector<LiveMember>& pending_changes() const { return pending_changes_; }
+    void serve_stale_list(bool on);  // freezes the served list until it is switched off
 
 private:
     struct Link {
         Link(net::Scheduler& scheduler, net::Fd fd) : stream(scheduler, std::move(fd)) {}
         net::Stream stream;
         std::string out;
-        enum class Turn { kNone, kAwaited, kServed, kRefused } turn = Turn::kNone;
+        enum class CallState { kNone, kWaiting, kServed, kRefused } call_state = CallState::kNone;
         std::size_t call = 0;
-        bool watches = false;
-        bool told = false;  // the whole list
-        bool over = false;
+        bool watching = false;
+        bool answered = false;  // with the full list, or refused
+        bool closed = false;
         net::Task task;
     };
     void open();
     net::Task accept();
     net::Task serve(Link& link);
-    void beat();
-    void say(Link& link, const std::string& text);
-    void take_call(Link& link, bool watches);
+    void send_heartbeat();
+    void send_chunk(Link& link, const std::string& text);
+    void enqueue_call(Link& link, bool watching);
     void answer(Link& link);
     std::string whole_text() const;
 
     net::Scheduler& scheduler_;
-    Agenda& agenda_;
-    CallDesk* const desk_;
+    TimerQueue& timers_;
+    CallDesk* const call_queue_;
     const int node_;
     HeldPort port_;
-    bool still_ = false;
-    bool half_ = false;
-    bool behind_ = false;
-    std::vector<LiveMember> untold_;  // while it lies behind
+    bool suspended_ = false;
+    bool half_list_ = false;
+    bool stale_ = false;
+    std::vector<LiveMember> pending_changes_;  // changes held back while the list is frozen
     int revision_ = 1;
-    std::function<void()> answered_;
+    std::function<void()> on_full_list_;
     std::vector<LiveMember> members_;
     net::Fd listener_;
     std::unique_ptr<net::Waiter> waiter_;
--- a/src/lab/live/node_config.cpp
+++ b/src/lab/live/node_config.cpp
@@ -1,3 +1,4 @@
+// Builds the platform configuration of a front node under test.
 #include <cstdio>
 #include <nlohmann/json.hpp>
 
--- a/src/lab/live/process.cpp
+++ b/src/lab/live/process.cpp
@@ -30,10 +30,10 @@
     std::filesystem::remove_all(path, ignored);
 }
 
-void Process::start(const Started& what, const std::string& log_file) {
-    std::vector<char*> words{const_cast<char*>(what.program.c_str())};
-    for (const auto& each : what.words) words.push_back(const_cast<char*>(each.c_str()));
-    words.push_back(nullptr);
+void Process::start(const ProcessSpec& what, const std::string& log_file) {
+    std::vector<char*> arguments{const_cast<char*>(what.program.c_str())};
+    for (const auto& each : what.arguments) arguments.push_back(const_cast<char*>(each.c_str()));
+    arguments.push_back(nullptr);
     std::vector<char*> environment;
     for (const auto& each : what.environment) environment.push_back(const_cast<char*>(each.c_str()));
     environment.push_back(nullptr);
@@ -41,8 +41,8 @@
     if (pid_ != 0) return;
     const int log = open(log_file.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     dup2(log, 2);
-    ::signal(SIGXFSZ, SIG_IGN);  // a full disk is told by an error, and so is a limit on files
-    execve(what.program.c_str(), words.data(), environment.data());
+    ::signal(SIGXFSZ, SIG_IGN);  // exceeding a file size limit fails with an error, like a full disk
+    execve(what.program.c_str(), arguments.data(), environment.data());
     _exit(127);
 }
 
@@ -60,8 +60,8 @@
     int status = 0;
     rusage used{};
     if (pid_ <= 0 || wait4(std::exchange(pid_, 0), &status, 0, &used) < 0) return -1;
-    cpu_ += static_cast<double>(used.ru_utime.tv_sec + used.ru_stime.tv_sec) +
-            static_cast<double>(used.ru_utime.tv_usec + used.ru_stime.tv_usec) / 1e6;
+    cpu_seconds_ += static_cast<double>(used.ru_utime.tv_sec + used.ru_stime.tv_sec) +
+                    static_cast<double>(used.ru_utime.tv_usec + used.ru_stime.tv_usec) / 1e6;
     return last_code_ = WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
 }
 
@@ -74,11 +74,11 @@
     return true;
 }
 
-double Process::waited() const {
+double Process::core_wait_seconds() const {
     // /proc/PID/schedstat: nanoseconds run, nanoseconds waited (Documentation/scheduler/sched-stats.rst).
     std::ifstream file("/proc/" + std::to_string(pid_) + "/schedstat");
-    double run = 0, waited = 0;
-    return pid_ > 0 && file >> run >> waited ? waited / 1e9 : 0;
+    double run = 0, core_wait_seconds = 0;
+    return pid_ > 0 && file >> run >> core_wait_seconds ? core_wait_seconds / 1e9 : 0;
 }
 
 int Process::wait_or_kill(int most_ms) {
@@ -90,7 +90,7 @@
     return -SIGKILL;
 }
 
-bool accepts(net::Endpoint at) {
+bool accepts_connections(net::Endpoint at) {
     const net::Fd fd(socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     sockaddr_in address{};
     address.sin_family = AF_INET;
@@ -99,19 +99,19 @@
     return connect(fd.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
 }
 
-void await_listening(Process& process, net::Endpoint at, const std::string& name,
-                     const std::string& log_file) {
+void wait_until_listening(Process& process, net::Endpoint at, const std::string& name,
+                          const std::string& log_file) {
     for (int tries = 0; tries < 1'000; ++tries) {
-        if (accepts(at)) return;
+        if (accepts_connections(at)) return;
         if (process.ended_by_itself()) break;
         usleep(10'000);
     }
-    std::ostringstream said;
-    said << std::ifstream(log_file).rdbuf();
-    throw stated::BadStated(name + " did not come up: " + said.str().substr(0, 400));
+    std::ostringstream log;
+    log << std::ifstream(log_file).rdbuf();
+    throw stated::BadStated(name + " did not come up: " + log.str().substr(0, 400));
 }
 
-void raise_descriptors() {
+void raise_descriptor_limit() {
     rlimit limit{};
     getrlimit(RLIMIT_NOFILE, &limit);
     limit.rlim_cur = limit.rlim_max;
--- a/src/lab/live/process.hpp
+++ b/src/lab/live/process.hpp
@@ -1,4 +1,4 @@
-// Real processes that the laboratory starts, and a folder of its own for what they are told and say.
+// Child processes of the laboratory, and a temporary folder for their configuration and logs.
 #pragma once
 
 #include <sys/types.h>
@@ -10,7 +10,8 @@
 
 namespace pinedoor::lab {
 
-// Under TMPDIR or /tmp; gone with all that is in it when this goes. Throws stated::BadStated.
+// A temporary folder under TMPDIR or /tmp; the destructor removes it with its contents. The constructor
+// throws stated::BadStated.
 struct Folder {
     Folder();
     ~Folder();
@@ -19,13 +20,14 @@
     std::string path;
 };
 
-struct Started {
+// What to run.
+struct ProcessSpec {
     std::string program;
-    std::vector<std::string> words;        // behind the program's name
-    std::vector<std::string> environment;  // "NAME=value"; nothing else is in it
+    std::vector<std::string> arguments;    // after the program's name
+    std::vector<std::string> environment;  // the complete environment, as "NAME=value"
 };
 
-// One process; killed when this goes.
+// A child process; the destructor kills it.
 class Process {
 public:
     Process() = default;
@@ -33,30 +35,29 @@
     Process(const Process&) = delete;
     Process& operator=(const Process&) = delete;
 
-    void start(const Started& what, const std::string& log_file);
+    void start(const ProcessSpec& what, const std::string& log_file);
     void kill();
     void signal(int what) const;
-    bool runs() const { return pid_ > 0; }  // it was started, and its end was not seen
+    bool runs() const { return pid_ > 0; }  // started, and its end was not observed
     pid_t pid() const { return pid_; }
     int last_code() const { return last_code_; }
-    int wait();  // its exit code, or minus the signal
+    int wait();  // returns the exit code, or the negated signal number
     bool ended_by_itself();
-    int wait_or_kill(int most_ms);       // as wait(), but one that has not ended by then is killed
-    double cpu() const { return cpu_; }  // seconds, of those that ended
-    double waited()
-        const;  // seconds since its start in which it could have run and had no core; 0 once it ended
+    int wait_or_kill(int most_ms);  // like wait(), but kills the process after the timeout
+    double cpu_seconds() const { return cpu_seconds_; }  // CPU seconds of the ended runs
+    double core_wait_seconds() const;  // time since its start spent runnable without a core; 0 once it ended
 
 private:
     pid_t pid_ = 0;
     int last_code_ = 0;
-    double cpu_ = 0;
+    double cpu_seconds_ = 0;
 };
 
-bool accepts(net::Endpoint at);
-// Returns once somebody accepts connections there; throws stated::BadStated with the log's first words if the
-// process ends before, or ten seconds pass.
-void await_listening(Process& process, net::Endpoint at, const std::string& name,
-                     const std::string& log_file);
-void raise_descriptors();  // as many as this process may have
+bool accepts_connections(net::Endpoint at);
+// Waits until connections are accepted at the address. Throws stated::BadStated with the start of the log if
+// the process ends first or ten seconds pass.
+void wait_until_listening(Process& process, net::Endpoint at, const std::string& name,
+                          const std::string& log_file);
+void raise_descriptor_limit();  // raises the soft limit of open files to the hard limit
 
 }  // namespace pinedoor::lab
--- a/tests/fleet/hunt_test.cpp
+++ b/tests/fleet/hunt_test.cpp
@@ -1,4 +1,5 @@
-// The search for the worst schedule of faults, without processes; and one node's life from a log.
+// The search for the worst schedule of faults, without processes; a node's timeline from a log; and the rules
+// for judging repeated runs.
 #include <doctest/doctest.h>
 
 #include <set>
@@ -18,19 +19,19 @@
                                  "base.toml");
 }
 
-// A stand-in for a run: only a stop of many that lasts is bad.
-double bad(const FleetWorld& world) {
-    double most = 0;
+// Scores a world without running it: only long stops of many nodes count.
+double badness(const FleetWorld& world) {
+    double worst = 0;
     for (const auto& each : world.faults) {
         if (each.kind != Fault::Kind::kStop) continue;
-        most = std::max(most, each.share * static_cast<double>(each.until - each.from));
+        worst = std::max(worst, each.share * static_cast<double>(each.until - each.from));
     }
-    return most;
+    return worst;
 }
 
 TEST_CASE(
-    "the hunt finds what is bad, the same for the same seed, and each schedule is a world that reads as "
-    "itself") {
+    "the hunt finds bad schedules, is deterministic by seed, and its worlds survive a round trip through "
+    "TOML") {
     std::vector<std::string> first;
     for (int time = 0; time < 2; ++time) {
         FleetHunter hunter(base(), 7, 4);
@@ -50,14 +51,14 @@
                 first.push_back(text);
             else
                 CHECK(first[static_cast<std::size_t>(round)] == text);
-            hunter.told(bad(world));
+            hunter.told(badness(world));
         }
-        CHECK(kinds.size() == fault_names().size());  // each was tried
-        CHECK(hunter.worst_bad() > 20'000);           // of 56,000 that can be drawn
+        CHECK(kinds.size() == fault_names().size());  // every kind was drawn
+        CHECK(hunter.worst_bad() > 20'000);           // the maximum that can be drawn is 56,000
     }
 }
 
-TEST_CASE("what was found is shrunk to the one fault that does it") {
+TEST_CASE("a found schedule is reduced to the one fault that causes it") {
     auto world = base();
     for (const auto kind : {Fault::Kind::kKill, Fault::Kind::kStop, Fault::Kind::kReset}) {
         Fault fault;
@@ -66,13 +67,13 @@
         fault.share = 0.5;
         world.faults.push_back(fault);
     }
-    const double found = bad(world);
-    for (bool smaller = true; smaller;) {
-        smaller = false;
+    const double found = badness(world);
+    for (bool reduced = true; reduced;) {
+        reduced = false;
         for (const auto& each : reductions(world)) {
-            if (bad(each) < 0.8 * found) continue;
+            if (badness(each) < 0.8 * found) continue;
             world = each;
-            smaller = true;
+            reduced = true;
             break;
         }
     }
@@ -80,7 +81,7 @@
     CHECK(world.faults[0].kind == Fault::Kind::kStop);
 }
 
-TEST_CASE("a node's life is told from all sides, in the order of time") {
+TEST_CASE("a node's timeline merges all log sources in order of time") {
     std::istringstream log(R"(0 fault 0 kill begins
 10 ask 7 node 3 kind 0 until 900 parts 0:1
 12 send 7.0 node 3 server 2 number 0
@@ -91,9 +92,9 @@
 9500 told 3 server 2 gone
 20 said 3 level=info event=list_source msg="x"
 )");
-    const auto life = life_of_node(log, 3);
+    const auto timeline = life_of_node(log, 3);
     std::string text;
-    for (const auto& line : life) text += line + '\n';
+    for (const auto& line : timeline) text += line + '\n';
     CHECK(text == R"(0.00 s  fault 0 kill begins
 0.00 s  said 3 level=info event=list_source msg="x"
 0.01 s  killed 3
@@ -106,18 +107,18 @@
 }
 
 TEST_CASE(
-    "figures of plays: the first decides if it has them all, else two of three; what is not made good is "
-    "missed") {
-    // Each letter a play: good, bad, or slow, without its time.
+    "figures of repeated runs: the first run decides if it meets all of them, otherwise two of three; others "
+    "are missed") {
+    // Each letter is a run: good, bad, or slow (the machine was too busy to judge it).
     const auto missed = [](const std::string& plays) {
         std::size_t at = 0;
-        struct Play {
+        struct Run {
             lab::FleetTotals totals;
             bool good = true;
         };
         const auto text = test::missed_figures(
             [&] {
-                Play play;
+                Run play;
                 const char what = plays.at(at++);
                 play.good = what == 'g';
                 play.totals.late_share = what == 's' ? 1 : 0;
@@ -126,12 +127,12 @@
             [](const auto& play, test::Figures& figures) { FIGURE(play.good); }, 5);
         return text + ' ' + std::to_string(at);
     };
-    if (test::kSanitized) return;  // no figure is asked there
+    if (test::kSanitized) return;  // figures are not checked with sanitizers
     CHECK(missed("g") == " 1");
     CHECK(missed("bgg") == " 3");
     CHECK(missed("bgb") == "play.good | play.good 3");
     CHECK(missed("bb") == "play.good | play.good 2");
-    CHECK(missed("sss") == " 3");  // none to judge
+    CHECK(missed("sss") == " 3");  // no run could be judged
     CHECK(missed("bssss") == "play.good 5");
     CHECK(missed("bgsss") == "play.good 5");
 }
--- a/tests/fleet/relay_test.cpp
+++ b/tests/fleet/relay_test.cpp
@@ -1,4 +1,4 @@
-// The laboratory's own links and discovery: what befalls them must be what the schedule says.
+// The fault injection of the laboratory's relays, and the call queue of its emulated discovery.
 #include "lab/fleet/relay.hpp"
 
 #include <arpa/inet.h>
@@ -13,28 +13,29 @@
 using namespace pinedoor;
 using namespace pinedoor::lab;
 
-// A stream's two ends with a relay between them, and a clock that runs on until something holds.
-struct Way {
+// The two ends of a stream with a relay between them, and helpers that run the scheduler until a condition
+// holds.
+struct RelayedStream {
     net::Scheduler scheduler;
-    Agenda agenda{scheduler};
-    RelayBook book{scheduler, agenda, 1};
+    TimerQueue timers{scheduler};
+    RelayContext context{scheduler, timers, 1};
     HeldPort port;
     net::Fd listener = net::listen_on(port.at());
-    StreamRelay relay{book, port.at()};
+    StreamRelay relay{context, port.at()};
     net::Fd near_end = net::connect_to(relay.at()).first;
     net::Fd far_end;
 
-    bool until(const std::function<bool()>& holds, net::Moment most = 20'000) {
-        const auto end = agenda.now() + most;
-        agenda.at(end, [] {});
-        bool held = false;
+    bool until(const std::function<bool()>& condition, net::Moment timeout = 20'000) {
+        const auto end = timers.now() + timeout;
+        timers.run_at(end, [] {});
+        bool reached = false;
         scheduler.run([&] {
-            agenda.at(agenda.now() + 10, [] {});
-            return (held = holds()) || agenda.now() >= end;
+            timers.run_at(timers.now() + 10, [] {});
+            return (reached = condition()) || timers.now() >= end;
         });
-        return held;
+        return reached;
     }
-    bool meet() {
+    bool connect_ends() {
         return until([this] {
             if (!far_end) far_end = net::accept_from(listener).first;
             return static_cast<bool>(far_end);
@@ -47,58 +48,58 @@
                : got < 0 ? (errno == EAGAIN ? "" : "broken")
                          : bytes.substr(0, static_cast<std::size_t>(got));
     }
-    bool comes(const net::Fd& fd, const std::string& what, net::Moment most = 20'000) {
+    bool receives(const net::Fd& fd, const std::string& what, net::Moment timeout = 20'000) {
         std::string all;
-        return until([&] { return (all += read(fd)) == what; }, most);
+        return until([&] { return (all += read(fd)) == what; }, timeout);
     }
     void write(const net::Fd& fd, const std::string& what) {
         CHECK(send(fd.get(), what.data(), what.size(), 0) == static_cast<ssize_t>(what.size()));
     }
 };
 
-TEST_CASE("a relayed stream: late, cut and healed one way only, ended in order, reset") {
-    Way way;
-    REQUIRE(way.meet());
-    way.write(way.near_end, "one");
-    CHECK(way.comes(way.far_end, "one"));
-    way.relay.there().delay_ms.a = 100;
-    const auto before = way.agenda.now();
-    way.write(way.near_end, "two");
-    CHECK(way.comes(way.far_end, "two"));
-    CHECK(way.agenda.now() - before >= 1'000);
-    way.relay.there() = {};
-    way.relay.there().cut = true;
-    way.write(way.near_end, "three");
-    way.write(way.far_end, "back");
-    CHECK(way.comes(way.near_end, "back"));  // the other way lives
-    CHECK(!way.comes(way.far_end, "three", 1'000));
-    way.relay.there().cut = false;
-    way.relay.changed();
-    CHECK(way.comes(way.far_end, "three"));  // nothing of a stream is lost by a cut that ends
-    net::end_writing(way.near_end);
-    CHECK(way.comes(way.far_end, "end"));
-    way.write(way.far_end, "after");
-    CHECK(way.comes(way.near_end, "after"));
-    way.relay.reset();
-    CHECK(way.comes(way.near_end, "broken"));
-    CHECK(way.relay.opened() == 1);
+TEST_CASE("a relayed stream: delayed, cut and restored in one direction only, closed in order, reset") {
+    RelayedStream link;
+    REQUIRE(link.connect_ends());
+    link.write(link.near_end, "one");
+    CHECK(link.receives(link.far_end, "one"));
+    link.relay.there().delay_ms.a = 100;
+    const auto before = link.timers.now();
+    link.write(link.near_end, "two");
+    CHECK(link.receives(link.far_end, "two"));
+    CHECK(link.timers.now() - before >= 1'000);
+    link.relay.there() = {};
+    link.relay.there().cut = true;
+    link.write(link.near_end, "three");
+    link.write(link.far_end, "back");
+    CHECK(link.receives(link.near_end, "back"));  // the other direction still works
+    CHECK(!link.receives(link.far_end, "three", 1'000));
+    link.relay.there().cut = false;
+    link.relay.changed();
+    CHECK(link.receives(link.far_end, "three"));  // a stream loses no bytes by a temporary cut
+    net::end_writing(link.near_end);
+    CHECK(link.receives(link.far_end, "end"));
+    link.write(link.far_end, "after");
+    CHECK(link.receives(link.near_end, "after"));
+    link.relay.reset();
+    CHECK(link.receives(link.near_end, "broken"));
+    CHECK(link.relay.opened() == 1);
 }
 
-TEST_CASE("a relay whose machine refuses, and one whose target does") {
-    Way way;
-    REQUIRE(way.meet());
-    way.relay.refuse(true);
-    CHECK(way.comes(way.near_end, "broken"));
-    const auto again = net::connect_to(way.relay.at()).first;
-    CHECK((!again || way.until([&] { return net::socket_error(again) == ECONNREFUSED; })));
-    way.relay.refuse(false);
-    way.listener = net::Fd{};
-    const auto third = net::connect_to(way.relay.at()).first;
-    CHECK(way.comes(third, "broken"));
+TEST_CASE("a relay that refuses connections, and one whose target does") {
+    RelayedStream link;
+    REQUIRE(link.connect_ends());
+    link.relay.refuse(true);
+    CHECK(link.receives(link.near_end, "broken"));
+    const auto again = net::connect_to(link.relay.at()).first;
+    CHECK((!again || link.until([&] { return net::socket_error(again) == ECONNREFUSED; })));
+    link.relay.refuse(false);
+    link.listener = net::Fd{};
+    const auto third = net::connect_to(link.relay.at()).first;
+    CHECK(link.receives(third, "broken"));
 }
 
-TEST_CASE("a relayed datagram is lost, doubled, held back, changed, by who sent it") {
-    Way way;
+TEST_CASE("relayed datagrams are lost, duplicated, reordered and corrupted, by sender") {
+    RelayedStream link;
     const auto bound = [](net::Endpoint& at) {
         net::Fd fd(socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0));
         sockaddr_in address{};
@@ -112,8 +113,8 @@
     };
     net::Endpoint target_at, a_at, b_at;
     const auto target = bound(target_at), a = bound(a_at), b = bound(b_at);
-    DatagramRelay relay(way.book, target_at);
-    const auto say = [&relay](const net::Fd& fd, const std::string& what) {
+    DatagramRelay relay(link.context, target_at);
+    const auto send_datagram = [&relay](const net::Fd& fd, const std::string& what) {
         sockaddr_in to{};
         to.sin_family = AF_INET;
         to.sin_port = htons(relay.at().port);
@@ -121,63 +122,65 @@
         sendto(fd.get(), what.data(), what.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof to);
     };
     relay.from(a_at).cut = true;
-    say(a, "lost");
-    say(b, "kept");
-    CHECK(way.comes(target, "kept"));
+    send_datagram(a, "lost");
+    send_datagram(b, "kept");
+    CHECK(link.receives(target, "kept"));
     relay.from(a_at) = {};
     relay.from(a_at).twice = 1;
-    say(a, "two");
-    CHECK(way.comes(target, "twotwo"));
+    send_datagram(a, "two");
+    CHECK(link.receives(target, "twotwo"));
     relay.from(a_at) = {};
     relay.from(b_at).swap = 1;
-    say(b, "late");
-    say(a, "soon");
-    CHECK(way.comes(target, "soonlate"));
+    send_datagram(b, "late");
+    send_datagram(a, "soon");
+    CHECK(link.receives(target, "soonlate"));
     relay.from(a_at).flip = 1;
-    say(a, "word");
-    std::string came;
-    CHECK(way.until([&] { return !(came = Way::read(target)).empty(); }));
-    CHECK(came.size() == 4);
-    CHECK(came != "word");
+    send_datagram(a, "word");
+    std::string received;
+    CHECK(link.until([&] { return !(received = RelayedStream::read(target)).empty(); }));
+    CHECK(received.size() == 4);
+    CHECK(received != "word");
     CHECK(relay.passed() == 6);
 }
 
-TEST_CASE("discovery's desk: in turn, so many wait, the rest is refused; who leaves has cost its work") {
+TEST_CASE(
+    "discovery's call queue: FIFO, bounded, refuses when full; a cancelled call still takes its service "
+    "time") {
     net::Scheduler scheduler;
-    Agenda agenda(scheduler);
-    CallDesk desk(agenda, {100, 2, 250});
-    std::string said;
+    TimerQueue timers(scheduler);
+    CallDesk queue(timers, {100, 2, 250});
+    std::string log;
     const auto ask = [&](int node) {
-        return desk.ask(node,
-                        [&said, node](bool served) { said += std::to_string(node) + (served ? "+" : "-"); });
+        return queue.ask(node,
+                         [&log, node](bool served) { log += std::to_string(node) + (served ? "+" : "-"); });
     };
     for (int i = 0; i < 3; ++i) ask(i);
     const auto fourth = ask(3);
-    CHECK(said == "3-");
-    CHECK(desk.calls()[fourth].end == CallDesk::End::kRefused);
-    desk.leave(1);
-    const auto begin = agenda.now();
+    CHECK(log == "3-");
+    CHECK(queue.calls()[fourth].end == CallDesk::End::kRefused);
+    queue.leave(1);
+    const auto begin = timers.now();
     scheduler.run([&] {
-        agenda.at(agenda.now() + 10, [] {});
-        return agenda.now() > begin + 1'000;
+        timers.run_at(timers.now() + 10, [] {});
+        return timers.now() > begin + 1'000;
     });
-    CHECK(said == "3-0+2+");
-    CHECK(desk.count(CallDesk::End::kGone) == 1);
-    CHECK(desk.most_at_once() == 3);
-    CHECK(desk.most_in(10'000) == 4);
-    desk.refuse_all(true);
+    CHECK(log == "3-0+2+");
+    CHECK(queue.count(CallDesk::End::kGone) == 1);
+    CHECK(queue.most_at_once() == 3);
+    CHECK(queue.max_calls_within(10'000) == 4);
+    queue.refuse_all(true);
     ask(4);
-    CHECK(said == "3-0+2+4-");
-    // One that waits longer than it is let wait.
-    CallDesk slow(agenda, {2, 5, 500});
-    slow.ask(0, [&said](bool served) { said += served ? "!" : "?"; });
-    slow.ask(1, [&said](bool served) { said += served ? "!" : "?"; });
-    const auto now = agenda.now();
+    CHECK(log == "3-0+2+4-");
+    // The second call exceeds the queue timeout.
+    CallDesk slow(timers, {2, 5, 500});
+    slow.ask(0, [&log](bool served) { log += served ? "!" : "?"; });
+    slow.ask(1, [&log](bool served) { log += served ? "!" : "?"; });
+    const auto now = timers.now();
     scheduler.run([&] {
-        agenda.at(agenda.now() + 100, [] {});
-        return agenda.now() > now + 6'000;
+        timers.run_at(timers.now() + 100, [] {});
+        return timers.now() > now + 6'000;
     });
-    CHECK(said == "3-0+2+4-?!");
+    CHECK(log == "3-0+2+4-?!");
 }
 
 }  // namespace
--- a/tests/lab_structures_test.cpp
+++ b/tests/lab_structures_test.cpp
@@ -1,4 +1,4 @@
-// The laboratory's own structures against plain ones.
+// The laboratory's data structures, compared with simple reference implementations.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -14,41 +14,41 @@
 using namespace pinedoor;
 using namespace pinedoor::lab;
 
-TEST_CASE("the wheel gives what a queue ordered by time and coming gives, whatever is pushed between") {
+TEST_CASE("the event wheel pops in the order of a queue sorted by time and insertion, under any pushes") {
     CHECK(rc::check("wheel", [] {
-        struct Plain {
+        struct Event {
             Time at;
             int order;
-            bool operator<(const Plain& other) const {
+            bool operator<(const Event& other) const {
                 return at != other.at ? at > other.at : order > other.order;
             }
         };
         EventWheel<int> wheel;
-        std::priority_queue<Plain> plain;
+        std::priority_queue<Event> reference;
         Time now = 0;
         int order = 0;
         const auto steps = *rc::gen::inRange(1, 400);
         for (int i = 0; i < steps; ++i) {
-            if (plain.empty() || *rc::gen::inRange(0, 5) < 3) {
-                // Near, on one another, at the edge of the span, and far beyond it.
+            if (reference.empty() || *rc::gen::inRange(0, 5) < 3) {
+                // Times near now, equal, at the edge of the wheel's span, and far beyond it.
                 const auto spans =
                     *rc::gen::element<Time>(0, 1, 3, 200, 16'383, 16'384, 16'385, 50'000, 3'000'000);
                 const Time at = now + *rc::gen::inRange<Time>(spans / 2, spans + 1);
-                plain.push({at, ++order});
+                reference.push({at, ++order});
                 wheel.push(at, order);
             } else {
-                const auto expected = plain.top();
-                plain.pop();
+                const auto expected = reference.top();
+                reference.pop();
                 RC_ASSERT(wheel.next() == expected.at);
                 RC_ASSERT(wheel.pop() == expected.order);
                 now = expected.at;
             }
-            RC_ASSERT(wheel.size() == plain.size());
+            RC_ASSERT(wheel.size() == reference.size());
         }
     }));
 }
 
-TEST_CASE("the sketch is within its error of the sorted samples, merged or not, and bounded") {
+TEST_CASE("the quantile sketch keeps its error bound, merged or not, and its bucket limit") {
     std::mt19937_64 chance(5);
     std::lognormal_distribution<double> draw(1, 2);
     for (const double error : {0.005, 0.01, 0.05}) {
@@ -64,8 +64,8 @@
         std::sort(samples.begin(), samples.end());
         for (const double q : {0.0, 0.005, 0.02, 0.5, 0.9, 0.99, 0.999, 1.0}) {
             CAPTURE(q);
-            const double truth = samples[static_cast<std::size_t>(q * 49'999)];
-            CHECK(std::abs(whole.quantile(q) - truth) <= truth * error * 1.000001);
+            const double exact = samples[static_cast<std::size_t>(q * 49'999)];
+            CHECK(std::abs(whole.quantile(q) - exact) <= exact * error * 1.000001);
             CHECK(first.quantile(q) == whole.quantile(q));
         }
         CHECK(first.count() == 50'000);
