--- a/bench/lab.cpp
+++ b/bench/lab.cpp
@@ -17,32 +17,32 @@
 using namespace pinedoor::lab;
 using Clock = std::chrono::steady_clock;
 
-double seconds_since(Clock::time_point began) {
-    return std::chrono::duration<double>(Clock::now() - began).count();
+double seconds_since(Clock::time_point start) {
+    return std::chrono::duration<double>(Clock::now() - start).count();
 }
 
-struct Happening {  // as large as the simulation's
-    Time at = 0;
+struct QueuedEvent {  // as large as the simulation's
+    Time time = 0;
     std::uint64_t order = 0;
     std::uint32_t words[4] = {};
-    bool operator<(const Happening& other) const {
-        return at != other.at ? at > other.at : order > other.order;
+    bool operator<(const QueuedEvent& other) const {
+        return time != other.time ? time > other.time : order > other.order;
     }
 };
 
 // Holds `size` and, a million times, takes the next and pushes another: ns for each.
 template <class Push, class Pop>
-double hold(std::size_t size, Push push, Pop pop) {
+double ns_per_pop_push(std::size_t size, Push push, Pop pop) {
     std::mt19937_64 chance(1);
-    const auto ahead = [&chance] {  // most near, some as far as a time-out
+    const auto delay = [&chance] {  // most near, some as far as a time-out
         const auto draw = chance();
         return static_cast<Time>(draw % 8 == 0 ? 1 + draw / 8 % 8'000 : 1 + draw / 8 % 200);
     };
-    for (std::size_t i = 0; i < size; ++i) push(ahead());
-    constexpr int kTimes = 1'000'000;
-    const auto began = Clock::now();
-    for (int i = 0; i < kTimes; ++i) push(pop() + ahead());
-    return seconds_since(began) / kTimes * 1e9;
+    for (std::size_t i = 0; i < size; ++i) push(delay());
+    constexpr int kIterations = 1'000'000;
+    const auto start = Clock::now();
+    for (int i = 0; i < kIterations; ++i) push(pop() + delay());
+    return seconds_since(start) / kIterations * 1e9;
 }
 
 void measure_wheel() {
@@ -51,25 +51,25 @@
     for (const std::size_t size : {100U, 1'000U, 10'000U, 100'000U, 1'000'000U}) {
         std::vector<double> queues, wheels;
         for (int run = 0; run < 5; ++run) {
-            std::priority_queue<Happening> queue;
+            std::priority_queue<QueuedEvent> queue;
             std::uint64_t order = 0;
-            queues.push_back(hold(
+            queues.push_back(ns_per_pop_push(
                 size,
-                [&](Time at) {
-                    queue.push({at, ++order, {}});
+                [&](Time time) {
+                    queue.push({time, ++order, {}});
                 },
                 [&] {
-                    const auto at = queue.top().at;
+                    const auto time = queue.top().time;
                     queue.pop();
-                    return at;
+                    return time;
                 }));
-            EventWheel<Happening> wheel;
-            wheels.push_back(hold(
+            EventWheel<QueuedEvent> wheel;
+            wheels.push_back(ns_per_pop_push(
                 size,
-                [&](Time at) {
-                    wheel.push(at, {at, ++order, {}});
+                [&](Time time) {
+                    wheel.push(time, {time, ++order, {}});
                 },
-                [&] { return wheel.pop().at; }));
+                [&] { return wheel.pop().time; }));
         }
         std::sort(queues.begin(), queues.end());
         std::sort(wheels.begin(), wheels.end());
@@ -86,58 +86,61 @@
     for (auto& each : times) each = draw(chance);
     auto sorted = times;
     std::sort(sorted.begin(), sorted.end());
-    const std::vector<double> asked{0.5, 0.99, 0.999};
-    const auto truth = [&](double q) { return sorted[static_cast<std::size_t>(q * 999'999)]; };
-    const auto print = [&](const char* way, double add, double ask, const std::vector<double>& got,
-                           std::size_t bytes) {
+    const std::vector<double> quantiles{0.5, 0.99, 0.999};
+    const auto exact_quantile = [&](double q) { return sorted[static_cast<std::size_t>(q * 999'999)]; };
+    const auto print = [&](const char* method, double add_time, double read_time,
+                           const std::vector<double>& results, std::size_t bytes) {
         double worst = 0;
-        for (std::size_t i = 0; i < asked.size(); ++i)
-            worst = std::max(worst, std::abs(got[i] - truth(asked[i])) / truth(asked[i]));
-        std::printf("  %-28s %10.1f %10.1f %13.3f%% %12zu\n", way, add * 1e3, ask * 1e6, worst * 100, bytes);
+        for (std::size_t i = 0; i < quantiles.size(); ++i)
+            worst = std::max(
+                worst, std::abs(results[i] - exact_quantile(quantiles[i])) / exact_quantile(quantiles[i]));
+        std::printf("  %-28s %10.1f %10.1f %13.3f%% %12zu\n", method, add_time * 1e3, read_time * 1e6,
+                    worst * 100, bytes);
     };
     {
-        auto began = Clock::now();
-        std::vector<double> kept;
-        for (const double each : times) kept.push_back(each);
-        const double add = seconds_since(began);
-        began = Clock::now();
-        std::sort(kept.begin(), kept.end());
-        std::vector<double> got;
-        for (const double q : asked) got.push_back(kept[static_cast<std::size_t>(q * 999'999)]);
-        print("all samples, sorted", add, seconds_since(began), got, kept.capacity() * sizeof(double));
+        auto start = Clock::now();
+        std::vector<double> samples;
+        for (const double each : times) samples.push_back(each);
+        const double add_time = seconds_since(start);
+        start = Clock::now();
+        std::sort(samples.begin(), samples.end());
+        std::vector<double> results;
+        for (const double q : quantiles) results.push_back(samples[static_cast<std::size_t>(q * 999'999)]);
+        print("all samples, sorted", add_time, seconds_since(start), results,
+              samples.capacity() * sizeof(double));
     }
     for (const double error : {0.01, 0.001}) {
-        auto began = Clock::now();
+        auto start = Clock::now();
         QuantileSketch sketch(error, 100'000);
         for (const double each : times) sketch.add(each);
-        const double add = seconds_since(began);
-        began = Clock::now();
-        std::vector<double> got;
-        for (const double q : asked) got.push_back(sketch.quantile(q));
-        print(error == 0.01 ? "sketch, 1%" : "sketch, 0.1%", add, seconds_since(began), got,
+        const double add_time = seconds_since(start);
+        start = Clock::now();
+        std::vector<double> results;
+        for (const double q : quantiles) results.push_back(sketch.quantile(q));
+        print(error == 0.01 ? "sketch, 1%" : "sketch, 0.1%", add_time, seconds_since(start), results,
               sketch.buckets() * 8);
     }
     {
         namespace bh = boost::histogram;
-        auto began = Clock::now();
+        auto start = Clock::now();
         // Its logarithmic axis needs its bounds beforehand: 0.001 ms to 1,000,000 ms, 1% wide.
         auto histogram =
             bh::make_histogram(bh::axis::regular<double, bh::axis::transform::log>(1'036, 0.001, 1'000'000));
         for (const double each : times) histogram(each);
-        const double add = seconds_since(began);
-        began = Clock::now();
-        std::vector<double> got;
-        for (const double q : asked) {
-            double seen = 0;
+        const double add_time = seconds_since(start);
+        start = Clock::now();
+        std::vector<double> results;
+        for (const double q : quantiles) {
+            double cumulative = 0;
             for (const auto& cell : bh::indexed(histogram)) {
-                seen += *cell;
-                if (seen > q * 999'999) {
-                    got.push_back((cell.bin().lower() + cell.bin().upper()) / 2);
+                cumulative += *cell;
+                if (cumulative > q * 999'999) {
+                    results.push_back((cell.bin().lower() + cell.bin().upper()) / 2);
                     break;
                 }
             }
         }
-        print("boost::histogram, log axis", add, seconds_since(began), got, histogram.size() * 8);
+        print("boost::histogram, log axis", add_time, seconds_since(start), results, histogram.size() * 8);
     }
 }
 
--- a/bench/scale.cpp
+++ b/bench/scale.cpp
@@ -21,12 +21,12 @@
 namespace net = pinedoor::net;
 using Clock = std::chrono::steady_clock;
 
-constexpr auto kDay = std::chrono::seconds(20);
-constexpr auto kChangeEvery = std::chrono::milliseconds(200);
+constexpr auto kRunTime = std::chrono::seconds(20);
+constexpr auto kChangeInterval = std::chrono::milliseconds(200);
 // A front node of three hundred sends some thirty attempts a second.
-constexpr auto kAskEvery = std::chrono::milliseconds(180);
-constexpr int kPartsOfRequest = 6;
-constexpr int kShardsOfPlace = 4;
+constexpr auto kRequestInterval = std::chrono::milliseconds(180);
+constexpr int kPartsPerRequest = 6;
+constexpr int kShardsPerPlace = 4;
 
 struct Fleet {
     int servers = 0;
@@ -34,7 +34,7 @@
     int front_nodes = 0;
 
     int places() const { return servers / replicas; }
-    int shards() const { return places() * kShardsOfPlace; }
+    int shards() const { return places() * kShardsPerPlace; }
 };
 
 constexpr std::uint32_t kFirstAddress = 0x7f010001;  // 127.1.0.1
@@ -127,16 +127,16 @@
             if (poll(&polled, 1, 20) <= 0) continue;
             auto watch = listener_.accept();
             watch.read_to("\r\n\r\n");
-            tell(watch, kStream + chunk(whole_list(fleet_, port_) + "\n"));
+            send(watch, kStream + chunk(whole_list(fleet_, port_) + "\n"));
             while (!stop_ && poll(&polled, 1, 0) == 0) {
-                std::this_thread::sleep_for(kChangeEvery);
+                std::this_thread::sleep_for(kChangeInterval);
                 const auto changed = member(fleet_, revision % fleet_.servers, port_, "Ready");
-                tell(watch, chunk("{\"revision\":" + std::to_string(++revision) +
+                send(watch, chunk("{\"revision\":" + std::to_string(++revision) +
                                   ",\"complete\":false,\"members\":[" + changed + "]}\n"));
             }
         }
     }
-    void tell(Peer& watch, const std::string& text) {
+    void send(Peer& watch, const std::string& text) {
         bytes_ += text.size();
         watch.say(text);
     }
@@ -152,17 +152,17 @@
 // A number of a process as /proc/PID/status tells it, behind its name.
 long status_of(pid_t process, const std::string& name) {
     std::ifstream status("/proc/" + std::to_string(process) + "/status");
-    for (std::string word; status >> word;) {
+    for (std::string field; status >> field;) {
         long value = 0;
-        if (word == name + ':' && status >> value) return value;
+        if (field == name + ':' && status >> value) return value;
     }
     return 0;
 }
 
 double cpu_seconds(pid_t process) {
     std::ifstream stat("/proc/" + std::to_string(process) + "/stat");
-    std::string word;
-    for (int i = 0; i < 13; ++i) stat >> word;
+    std::string field;
+    for (int i = 0; i < 13; ++i) stat >> field;
     long user = 0, system = 0;
     stat >> user >> system;
     return static_cast<double>(user + system) / static_cast<double>(sysconf(_SC_CLK_TCK));
@@ -182,10 +182,10 @@
     program.counter_at("list_news", 2);
     int asked = 0, served = 0;
     std::mt19937 chance(7);
-    for (const auto until = Clock::now() + kDay; Clock::now() < until;
-         std::this_thread::sleep_for(kAskEvery)) {
+    for (const auto until = Clock::now() + kRunTime; Clock::now() < until;
+         std::this_thread::sleep_for(kRequestInterval)) {
         std::set<int> shards;
-        while (shards.size() < kPartsOfRequest)
+        while (shards.size() < kPartsPerRequest)
             shards.insert(static_cast<int>(chance() % static_cast<unsigned>(fleet.shards())));
         client.say(post("again", 't' + std::to_string(++asked), asks({shards.begin(), shards.end()}), 900));
         served += client.answer().starts_with("200 {\"whole\":true") ? 1 : 0;
--- a/bench/start.cpp
+++ b/bench/start.cpp
@@ -19,18 +19,21 @@
                         loop.part_ms = part_ms;
                         loop.least_share = least;
                         loop.front_nodes = front_nodes;
-                        const auto two = loop.run(20'000), eight = loop.run(80'000);
-                        const auto of = [](std::uint64_t some, std::uint64_t all) {
-                            return 100 * static_cast<double>(some) / static_cast<double>(all);
+                        const auto first_2_s = loop.run(20'000), first_8_s = loop.run(80'000);
+                        const auto percent = [](std::uint64_t count, std::uint64_t total) {
+                            return 100 * static_cast<double>(count) / static_cast<double>(total);
                         };
                         std::printf(
                             "%8d %6d %6.1f %4.0fms %12d | %17llu %5.1f%% %5.1f%% %5.1f%% | %10.1f%% %5.1f%% "
                             "%5.1f%%\n",
                             clients, parts, least, part_ms, front_nodes,
-                            static_cast<unsigned long long>(two.ended()), of(two.pushed_back, two.ended()),
-                            of(two.in_part, two.ended()), of(two.late, two.ended()),
-                            of(eight.pushed_back, eight.ended()), of(eight.in_part, eight.ended()),
-                            of(eight.late, eight.ended()));
+                            static_cast<unsigned long long>(first_2_s.ended()),
+                            percent(first_2_s.pushed_back, first_2_s.ended()),
+                            percent(first_2_s.in_part, first_2_s.ended()),
+                            percent(first_2_s.late, first_2_s.ended()),
+                            percent(first_8_s.pushed_back, first_8_s.ended()),
+                            percent(first_8_s.in_part, first_8_s.ended()),
+                            percent(first_8_s.late, first_8_s.ended()));
                     }
                 }
             }
--- a/bench/store.cpp
+++ b/bench/store.cpp
@@ -25,8 +25,8 @@
 namespace net = pinedoor::net;
 using Clock = std::chrono::steady_clock;
 
-double seconds_since(Clock::time_point began) {
-    return std::chrono::duration<double>(Clock::now() - began).count();
+double seconds_since(Clock::time_point start) {
+    return std::chrono::duration<double>(Clock::now() - start).count();
 }
 
 double quantile(std::vector<double> values, double q) {
@@ -35,42 +35,44 @@
     return values[static_cast<std::size_t>(q * static_cast<double>(values.size() - 1))];
 }
 
-Entry outcome(std::uint64_t number) {
-    Outcome made;
-    made.id = {"bench", 1, number};
-    made.tenant = "acme";
-    made.fate = Fate::kAnswered;
-    made.ended = 1;
-    made.parts = "3r 4r 9r";
-    made.answer = std::string(200, 'x');
-    return made;
+Entry make_outcome(std::uint64_t number) {
+    Outcome outcome;
+    outcome.id = {"bench", 1, number};
+    outcome.tenant = "acme";
+    outcome.fate = Fate::kAnswered;
+    outcome.ended = 1;
+    outcome.parts = "3r 4r 9r";
+    outcome.answer = std::string(200, 'x');
+    return outcome;
 }
 
-struct Scratch {
-    explicit Scratch(const std::string& in) : folder(in + "/pinedoor-bench-" + std::to_string(getpid())) {
+struct TempFolder {
+    explicit TempFolder(const std::string& parent)
+        : folder(parent + "/pinedoor-bench-" + std::to_string(getpid())) {
         std::filesystem::create_directories(folder);
     }
-    ~Scratch() { std::filesystem::remove_all(folder); }
+    ~TempFolder() { std::filesystem::remove_all(folder); }
     std::string folder;
 };
 
 // Entries a second through a backend, `at_once` in each write, one write after the other.
-double through(Backend& backend, net::Scheduler& scheduler, std::size_t at_once, double for_seconds) {
-    bool open = false, over = false;
+double entries_per_second(Backend& backend, net::Scheduler& scheduler, std::size_t at_once,
+                          double for_seconds) {
+    bool open = false, done = false;
     backend.open({"bench", 0, "birth", true}, [&](Backend::Enrolled enrolled) {
         open = enrolled.good;
-        over = true;
+        done = true;
         if (!open) std::fprintf(stderr, "bench: %s\n", enrolled.why.c_str());
     });
-    scheduler.run([&] { return over; });
+    scheduler.run([&] { return done; });
     if (!open) std::exit(1);
-    const auto began = Clock::now();
+    const auto start = Clock::now();
     std::uint64_t number = 0;
     bool waiting = false;
-    while (seconds_since(began) < for_seconds) {
+    while (seconds_since(start) < for_seconds) {
         Entries entries;
         for (std::size_t i = 0; i < at_once; ++i)
-            entries.push_back(std::make_shared<const Entry>(outcome(++number)));
+            entries.push_back(std::make_shared<const Entry>(make_outcome(++number)));
         waiting = true;
         backend.write(std::move(entries), [&](const Backend::Written& written) {
             if (written.end != Backend::End::kStored) std::exit(1);
@@ -78,10 +80,10 @@
         });
         scheduler.run([&] { return !waiting; });
     }
-    return static_cast<double>(number) / seconds_since(began);
+    return static_cast<double>(number) / seconds_since(start);
 }
 
-void measure_commits(const Scratch& files) {
+void measure_commits(const TempFolder& files) {
     std::printf("\nOutcomes a second, one write after the other\n");
     std::printf("  %-12s %10s %10s %10s %10s\n", "store", "1 a write", "16", "128", "512");
     for (const bool postgres : {false, true}) {
@@ -96,10 +98,10 @@
                     migrate(db);
                 }
                 PgBackend backend(scheduler, {server.conninfo(), 30'000, 50'000}, 100'000);
-                std::printf(" %10.0f", through(backend, scheduler, at_once, 1));
+                std::printf(" %10.0f", entries_per_second(backend, scheduler, at_once, 1));
             } else {
                 SqliteBackend backend(scheduler, path, 100'000);
-                std::printf(" %10.0f", through(backend, scheduler, at_once, 1));
+                std::printf(" %10.0f", entries_per_second(backend, scheduler, at_once, 1));
             }
             std::fflush(stdout);
         }
@@ -112,21 +114,21 @@
         std::filesystem::create_directories(folder);
         Spill spill(real, folder, std::size_t{8} << 20U);
         spill.recover();
-        const auto began = Clock::now();
+        const auto start = Clock::now();
         std::uint64_t number = 0;
-        while (seconds_since(began) < 1) {
+        while (seconds_since(start) < 1) {
             std::vector<std::string> payloads;
-            for (std::size_t i = 0; i < at_once; ++i) payloads.push_back(encode(outcome(++number)));
+            for (std::size_t i = 0; i < at_once; ++i) payloads.push_back(encode(make_outcome(++number)));
             if (!spill.append(payloads)) std::exit(1);
         }
-        std::printf(" %10.0f", static_cast<double>(number) / seconds_since(began));
+        std::printf(" %10.0f", static_cast<double>(number) / seconds_since(start));
     }
     std::printf(
         "\n  * the stand-in of this repository, which keeps its rows in SQLite: its ratios tell, not its "
         "figures\n");
 }
 
-void measure_recovery(const Scratch& files) {
+void measure_recovery(const TempFolder& files) {
     std::printf("\nRecovery of the spill: read and checked, then all of it into SQLite\n");
     std::printf("  %10s %10s %12s %12s %14s\n", "entries", "MB", "read, s", "replay, s", "entries/s");
     for (const std::uint64_t count : {1'000U, 10'000U, 100'000U}) {
@@ -138,23 +140,23 @@
             spill.recover();
             for (std::uint64_t i = 0; i < count; i += 500) {
                 std::vector<std::string> payloads;
-                for (std::uint64_t j = 0; j < 500; ++j) payloads.push_back(encode(outcome(i + j + 1)));
+                for (std::uint64_t j = 0; j < 500; ++j) payloads.push_back(encode(make_outcome(i + j + 1)));
                 spill.append(payloads);
             }
         }
-        const auto began = Clock::now();
+        const auto start = Clock::now();
         Spill spill(real, folder, std::size_t{8} << 20U);
         spill.recover();
-        const double read = seconds_since(began);
+        const double read = seconds_since(start);
         const double mb = static_cast<double>(spill.bytes()) / 1e6;
         SqliteDb db(folder + "/records.db");
         migrate(db);
-        const auto replaying = Clock::now();
+        const auto replay_start = Clock::now();
         for (auto next = spill.next(512); !next.empty(); next = spill.next(512)) {
             write_entries(db, next, 100'000);
             spill.done(next.size());
         }
-        const double replay = seconds_since(replaying);
+        const double replay = seconds_since(replay_start);
         std::printf("  %10llu %10.1f %12.3f %12.3f %14.0f\n", static_cast<unsigned long long>(count), mb,
                     read, replay, static_cast<double>(count) / (read + replay));
     }
@@ -168,43 +170,43 @@
     constexpr int kClients = 16;
     std::vector<Peer> clients;
     for (int i = 0; i < kClients; ++i) clients.push_back(program.client());
-    std::vector<std::vector<double>> took(kClients);
+    std::vector<std::vector<double>> latencies_ms(kClients);
     std::atomic<int> failed = 0;
     std::vector<std::thread> threads;
-    const auto began = Clock::now();
+    const auto start = Clock::now();
     static std::atomic<int> run = 0;
     const int id = ++run;
     for (int c = 0; c < kClients; ++c) {
         threads.emplace_back([&, c] {
             for (int i = c; i < static_cast<int>(per_second * for_seconds); i += kClients) {
-                const auto due =
-                    began + std::chrono::duration_cast<Clock::duration>(
+                const auto scheduled =
+                    start + std::chrono::duration_cast<Clock::duration>(
                                 std::chrono::duration<double>(static_cast<double>(i) / per_second));
-                std::this_thread::sleep_until(due);
+                std::this_thread::sleep_until(scheduled);
                 auto& client = clients[static_cast<std::size_t>(c)];
                 client.say(
                     post(op_type, "b" + std::to_string(id) + "-" + std::to_string(i), asks({i % 12}, "qa")));
                 if (!client.answer().starts_with("200"))
                     ++failed;
                 else
-                    took[static_cast<std::size_t>(c)].push_back(seconds_since(due) * 1e3);
+                    latencies_ms[static_cast<std::size_t>(c)].push_back(seconds_since(scheduled) * 1e3);
             }
         });
     }
     for (auto& thread : threads) thread.join();
     std::vector<double> all;
-    for (const auto& each : took) all.insert(all.end(), each.begin(), each.end());
+    for (const auto& each : latencies_ms) all.insert(all.end(), each.begin(), each.end());
     return {quantile(all, 0.5), quantile(all, 0.99), static_cast<double>(failed.load())};
 }
 
-void measure_latency(const Scratch& files, double for_seconds) {
+void measure_latency(const TempFolder& files, double for_seconds) {
     std::printf(
         "\nTime to the answer, ms (median, 99th percentile, not answered), three runs in turn; `again` is "
         "not recorded\n");
     std::printf("  %-10s %6s %28s %28s %28s\n", "op type", "per s", "store off", "SQLite", "PostgreSQL*");
     for (const int per_second : {100, 2'000}) {
         for (const char* op_type : {"once", "again"}) {
-            std::vector<std::vector<Latencies>> seen(3);
+            std::vector<std::vector<Latencies>> results(3);
             for (int run = 0; run < 3; ++run) {
                 for (int kind = 0; kind < 3; ++kind) {
                     Counting servers[2];
@@ -226,14 +228,14 @@
                     program.start().client();
                     if (kind > 0) program.counter_at("store_condition", 1);
                     drive(program, op_type, 100, 0.5);  // warms up
-                    seen[static_cast<std::size_t>(kind)].push_back(
+                    results[static_cast<std::size_t>(kind)].push_back(
                         drive(program, op_type, per_second, for_seconds));
                     program.kill(SIGTERM);
                     program.wait();
                 }
             }
             std::printf("  %-10s %6d", op_type, per_second);
-            for (const auto& kind : seen) {
+            for (const auto& kind : results) {
                 std::vector<double> medians, p99s, missed;
                 for (const auto& each : kind) {
                     medians.push_back(each.median);
@@ -257,23 +259,23 @@
     return 0;
 }
 
-void measure_memory(const Scratch& files) {
+void measure_memory(const TempFolder& files) {
     std::printf("\nResident memory of a process that writes records to SQLite, MB\n");
     net::Scheduler scheduler;
     SqliteBackend backend(scheduler, files.folder + "/million.db", 100'000);
-    bool over = false;
-    backend.open({"bench", 0, "birth", true}, [&](const Backend::Enrolled&) { over = true; });
-    scheduler.run([&] { return over; });
+    bool done = false;
+    backend.open({"bench", 0, "birth", true}, [&](const Backend::Enrolled&) { done = true; });
+    scheduler.run([&] { return done; });
     const long before = resident_kb("VmRSS");
     std::uint64_t number = 0;
-    for (const std::uint64_t upto : {1'000U, 10'000U, 100'000U, 1'000'000U}) {
-        while (number < upto) {
+    for (const std::uint64_t target : {1'000U, 10'000U, 100'000U, 1'000'000U}) {
+        while (number < target) {
             Entries entries;
             for (int i = 0; i < 1'000; ++i)
-                entries.push_back(std::make_shared<const Entry>(outcome(++number)));
-            over = false;
-            backend.write(std::move(entries), [&](const Backend::Written&) { over = true; });
-            scheduler.run([&] { return over; });
+                entries.push_back(std::make_shared<const Entry>(make_outcome(++number)));
+            done = false;
+            backend.write(std::move(entries), [&](const Backend::Written&) { done = true; });
+            scheduler.run([&] { return done; });
         }
         std::printf("  %10llu records %8.1f more\n", static_cast<unsigned long long>(number),
                     static_cast<double>(resident_kb("VmRSS") - before) / 1024);
@@ -283,9 +285,9 @@
 
 }  // namespace
 
-int main(int count, char** words) {
-    const Scratch files(count > 1 ? words[1] : ".");
-    const std::string only = count > 2 ? words[2] : "";
+int main(int count, char** arguments) {
+    const TempFolder files(count > 1 ? arguments[1] : ".");
+    const std::string only = count > 2 ? arguments[2] : "";
     if (only.empty() || only == "commits") measure_commits(files);
     if (only.empty() || only == "recovery") measure_recovery(files);
     if (only.empty() || only == "latency") measure_latency(files, 2);
--- a/demo/main.cpp
+++ b/demo/main.cpp
@@ -10,20 +10,21 @@
 
 using namespace pinedoor::test;
 
-struct Show {
+struct DemoClient {
     Program& program;
-    int number = 0;
+    int request_count = 0;
 
-    void ask(const std::string& op_type, const std::vector<int>& shards, const std::string& text,
-             const std::string& key = "") {
+    void send_request(const std::string& op_type, const std::vector<int>& shards, const std::string& text,
+                      const std::string& key = "") {
         auto client = program.client();
         const auto headers = key.empty() ? key : "Idempotency-Key: \"" + key + "\"\r\n";
-        client.say(post(op_type, "demo-" + std::to_string(++number), asks(shards, text), 2'000, headers));
+        client.say(
+            post(op_type, "demo-" + std::to_string(++request_count), asks(shards, text), 2'000, headers));
         std::printf("  asks %zu shards, %-5s %-8s%s%s\n", shards.size(), op_type.c_str(), text.c_str(),
                     key.empty() ? "" : "  key ", key.c_str());
         std::printf("    -> %s\n", client.answer().c_str());
     }
-    void say(const char* what) const { std::printf("\n%s\n", what); }
+    void print_step(const char* text) const { std::printf("\n%s\n", text); }
 };
 
 }  // namespace
@@ -35,54 +36,55 @@
     Discovery discovery(listed);
     Program program(listed, discovery.at());
     program.with_settings("[store]\nkind = \"sqlite\"\nfolder = \"@/store\"\nlease_ms = 1000\n").start();
-    Show show{program};
-    show.say(
+    DemoClient demo{program};
+    demo.print_step(
         "A front node, three index servers and a discovery are up. `again` may run twice, `once` must not.");
     program.client();
     if (program.counter_at("servers_known", 3) != 3 || program.counter_at("store_condition", 1) != 1) {
         std::fprintf(stderr, "demo: the front node did not come up\n%s", program.log().c_str());
         return 1;
     }
-    show.ask("again", {1, 2, 3, 4}, "read-a");
-    show.ask("once", {5}, "booth-a", "a");
-    show.ask("once", {5}, "booth-a", "a");
-    show.ask("once", {6}, "booth-f", "f");
-    show.say(
+    demo.send_request("again", {1, 2, 3, 4}, "read-a");
+    demo.send_request("once", {5}, "booth-a", "a");
+    demo.send_request("once", {5}, "booth-a", "a");
+    demo.send_request("once", {6}, "booth-f", "f");
+    demo.print_step(
         "The next one runs at its server, which says nothing; in the middle of it the front node is killed.");
     auto client = program.client();
     client.say(post("once", "demo-killed", asks({7}, "booth-s"), 4'000, "Idempotency-Key: \"s\"\r\n"));
-    const auto ran = [&servers] {
+    const auto part_has_run = [&servers] {
         int count = 0;
         for (auto& server : servers) count += static_cast<int>(server.runs().count("booth-s"));
         return count > 0;
     };
-    for (int tries = 0; tries < 3'000 && !ran(); ++tries) usleep(1'000);
+    for (int tries = 0; tries < 3'000 && !part_has_run(); ++tries) usleep(1'000);
     program.kill(SIGKILL);
     std::printf("  asks 1 shard,  once  booth-s   key s\n    -> %s (the connection is gone)\n",
                 client.answer().c_str());
-    show.say(
+    demo.print_step(
         "It starts again and is asked again: what was answered is told again, what is in doubt is never run "
         "again.");
     program.start().client();
     program.counter_at("store_condition", 1);
-    show.ask("once", {5}, "booth-a", "a");
-    show.ask("once", {7}, "booth-s", "s");
-    const auto store = [&](const std::string& words) {
-        auto shown = words;  // without this run's own folder
-        for (auto at = shown.find(program.folder()); at != std::string::npos;
-             at = shown.find(program.folder()))
-            shown.replace(at, program.folder().size() + 1, "");
-        auto told = program.store(words);
-        for (auto at = told.find(program.folder()); at != std::string::npos; at = told.find(program.folder()))
-            told.replace(at, program.folder().size() + 1, "");
-        std::printf("\n$ pinedoor store %s\n%s", shown.c_str(), told.c_str());
-        return told;
+    demo.send_request("once", {5}, "booth-a", "a");
+    demo.send_request("once", {7}, "booth-s", "s");
+    const auto store = [&](const std::string& command) {
+        auto shown_command = command;  // without this run's own folder
+        for (auto at = shown_command.find(program.folder()); at != std::string::npos;
+             at = shown_command.find(program.folder()))
+            shown_command.replace(at, program.folder().size() + 1, "");
+        auto output = program.store(command);
+        for (auto at = output.find(program.folder()); at != std::string::npos;
+             at = output.find(program.folder()))
+            output.replace(at, program.folder().size() + 1, "");
+        std::printf("\n$ pinedoor store %s\n%s", shown_command.c_str(), output.c_str());
+        return output;
     };
-    show.say("An operator looks, and settles what is in doubt by what the books say.");
-    const auto doubtful = store("list --state in-doubt");
-    std::istringstream words(doubtful);
+    demo.print_step("An operator looks, and settles what is in doubt by what the books say.");
+    const auto in_doubt_list = store("list --state in-doubt");
+    std::istringstream fields(in_doubt_list);
     std::string time, state, record;
-    words >> time >> state >> record;
+    fields >> time >> state >> record;
     store("show " + record);
     store("resolve " + record + " answered --who ann --why \"it is in the server's books\"");
     store("list");
@@ -93,11 +95,12 @@
     store("prune --before 30d");
     store("follow --for 0.3");
     store("show");
-    int most = 0;
+    int max_runs = 0;
     for (auto& server : servers) {
-        for (const auto& [text, runs] : server.runs()) most = text == "read-a" ? most : std::max(most, runs);
+        for (const auto& [text, runs] : server.runs())
+            max_runs = text == "read-a" ? max_runs : std::max(max_runs, runs);
     }
-    std::printf("\nThe index servers ran no booth more than %d time.\n", most);
+    std::printf("\nThe index servers ran no booth more than %d time.\n", max_runs);
     program.kill(SIGTERM);
-    return program.wait() == 0 && most == 1 && state == "in-doubt" ? 0 : 1;
+    return program.wait() == 0 && max_runs == 1 && state == "in-doubt" ? 0 : 1;
 }
--- a/src/lab/commands.cpp
+++ b/src/lab/commands.cpp
@@ -40,18 +40,18 @@
 }
 
 // Set by SIGINT for as long as it lives; a second SIGINT ends the program as usual.
-class Stop {
+class InterruptFlag {
 public:
-    Stop() {
+    InterruptFlag() {
         flag() = false;
         struct sigaction action {};
         action.sa_handler = [](int) { flag() = true; };
         action.sa_flags = static_cast<int>(SA_RESETHAND);
         sigaction(SIGINT, &action, &before_);
     }
-    ~Stop() { sigaction(SIGINT, &before_, nullptr); }
-    Stop(const Stop&) = delete;
-    Stop& operator=(const Stop&) = delete;
+    ~InterruptFlag() { sigaction(SIGINT, &before_, nullptr); }
+    InterruptFlag(const InterruptFlag&) = delete;
+    InterruptFlag& operator=(const InterruptFlag&) = delete;
     static std::atomic<bool>& flag() {
         static std::atomic<bool> kFlag = false;
         return kFlag;
@@ -61,39 +61,40 @@
     struct sigaction before_ {};
 };
 
-class Bar {  // of progress, where somebody looks at it
+class ProgressBar {  // of progress, where somebody looks at it
 public:
-    explicit Bar(const char* what) : what_(what), shown_(isatty(2) != 0) {}
-    ~Bar() {
-        if (shown_) std::fprintf(stderr, "\r\033[K");
+    explicit ProgressBar(const char* what) : what_(what), on_terminal_(isatty(2) != 0) {}
+    ~ProgressBar() {
+        if (on_terminal_) std::fprintf(stderr, "\r\033[K");
     }
     void show(std::size_t done, std::size_t of, const std::string& more = "") const {
-        if (!shown_ || of == 0) return;
-        constexpr std::size_t kWide = 40;
-        const auto filled = done * kWide / of;
+        if (!on_terminal_ || of == 0) return;
+        constexpr std::size_t kWidth = 40;
+        const auto filled = done * kWidth / of;
         std::fprintf(stderr, "\r\033[K%s [%s%s] %zu of %zu %s", what_, std::string(filled, '#').c_str(),
-                     std::string(kWide - filled, ' ').c_str(), done, of, more.c_str());
+                     std::string(kWidth - filled, ' ').c_str(), done, of, more.c_str());
     }
 
 private:
     const char* what_;
-    const bool shown_;
+    const bool on_terminal_;
 };
 
 unsigned threads_or_all(unsigned threads) {
     return threads > 0 ? threads : std::max(1U, std::thread::hardware_concurrency());
 }
 
-void print_breaches(const std::vector<Breach>& found) {
-    for (const auto& each : found) std::printf("  %s: %s\n", name_of(each.rule).c_str(), each.what.c_str());
-    if (found.empty()) std::printf("  no rule broken\n");
+void print_breaches(const std::vector<Breach>& breaches) {
+    for (const auto& each : breaches)
+        std::printf("  %s: %s\n", name_of(each.rule).c_str(), each.what.c_str());
+    if (breaches.empty()) std::printf("  no rule broken\n");
 }
 
 bool is_world(const std::string& path) { return path.ends_with(".toml"); }
 
 // A log, made if the path is a world's.
-struct Log {
-    Log(const std::string& from, std::optional<std::uint64_t> seed, PolicyKind policy) : path(from) {
+struct RunLog {
+    RunLog(const std::string& from, std::optional<std::uint64_t> seed, PolicyKind policy) : path(from) {
         if (!is_world(from)) {
             if (!std::filesystem::exists(from))
                 throw stated::BadStated(from + ": cannot be read; name a world or a log");
@@ -107,7 +108,7 @@
         const int fd = mkstemp(path.data());
         if (fd < 0) throw stated::BadStated(path + ": cannot be written");
         close(fd);
-        own = true;
+        is_temporary = true;
         std::ofstream log(path, std::ios::binary);
         const auto totals =
             Simulation(world, policy, [&log](const std::string& line) { log << line << '\n'; }).run();
@@ -115,14 +116,14 @@
         char text[200];
         std::snprintf(text, sizeof text, "seed %llu, %s: service %.4f", static_cast<Number>(world.seed),
                       std::string(name_of(policy)).c_str(), totals.service());
-        told = text;
+        subtitle = text;
         name = world.name;
     }
-    ~Log() {
-        if (own) std::filesystem::remove(path);
+    ~RunLog() {
+        if (is_temporary) std::filesystem::remove(path);
     }
-    Log(const Log&) = delete;
-    Log& operator=(const Log&) = delete;
+    RunLog(const RunLog&) = delete;
+    RunLog& operator=(const RunLog&) = delete;
 
     Timeline read() const {
         Timeline timeline;
@@ -132,8 +133,8 @@
         return timeline;
     }
 
-    std::string path, toml, told, name;
-    bool own = false;
+    std::string path, toml, subtitle, name;
+    bool is_temporary = false;
 };
 
 }  // namespace
@@ -154,17 +155,17 @@
 }
 
 // Where a run's lines go: to a file, to the checker, to both, or nowhere.
-struct Lines {
-    explicit Lines(const RunWords& words) : path(words.log), checks(words.check) {
+struct LogSink {
+    explicit LogSink(const RunOptions& options) : path(options.log), check_rules(options.check) {
         if (path.empty()) return;
         file.open(path, std::ios::binary);
         if (!file) throw stated::BadStated(path + ": cannot be written");
     }
-    std::function<void(const std::string&)> taker() {
-        if (!file.is_open() && !checks) return {};
+    std::function<void(const std::string&)> sink() {
+        if (!file.is_open() && !check_rules) return {};
         return [this](const std::string& line) {
             if (file.is_open()) file << line << '\n';
-            if (checks) checker.take(line);
+            if (check_rules) checker.take(line);
         };
     }
     void close() {
@@ -172,31 +173,31 @@
             throw stated::BadStated(path + ": cannot be written; is the disk full?");
     }
     std::string path;
-    bool checks;
+    bool check_rules;
     std::ofstream file;
     RuleChecker checker;
 };
 
-int verdict_on(Lines& lines, const Totals& totals) {
-    if (lines.checks) {
-        const auto found = lines.checker.finish();
-        print_breaches(found);
-        if (!found.empty()) return kBroken;
+int exit_code_of(LogSink& log_lines, const Totals& totals) {
+    if (log_lines.check_rules) {
+        const auto breaches = log_lines.checker.finish();
+        print_breaches(breaches);
+        if (!breaches.empty()) return kExitRuleBroken;
     }
-    return totals.broken() > 0 ? kBroken : kDone;
+    return totals.broken() > 0 ? kExitRuleBroken : kExitSuccess;
 }
 
 }  // namespace
 
-int run_world(const World& world, PolicyKind policy, const RunWords& words) {
-    Lines lines(words);
-    const auto began = Clock::now();
-    const auto totals = Simulation(world, policy, lines.taker()).run();
-    const double took = seconds_since(began);
-    lines.close();
-    if (words.json) {
+int run_world(const World& world, PolicyKind policy, const RunOptions& options) {
+    LogSink log_lines(options);
+    const auto start = Clock::now();
+    const auto totals = Simulation(world, policy, log_lines.sink()).run();
+    const double duration_s = seconds_since(start);
+    log_lines.close();
+    if (options.json) {
         std::printf("%s\n", totals.to_json().c_str());
-        return totals.broken() > 0 ? kBroken : kDone;
+        return totals.broken() > 0 ? kExitRuleBroken : kExitSuccess;
     }
     std::printf("%s, seed %llu, %s: service %.4f\n", world.name.c_str(), static_cast<Number>(world.seed),
                 std::string(name_of(policy)).c_str(), totals.service());
@@ -206,45 +207,46 @@
         "of "
         "it in the module, %.1f us a turn\n",
         static_cast<Number>(totals.sends), static_cast<Number>(totals.run),
-        static_cast<Number>(totals.run_twice), static_cast<Number>(totals.events), took,
-        static_cast<double>(world.length) / 1e4 / took, 100 * totals.turns_seconds / took,
+        static_cast<Number>(totals.run_twice), static_cast<Number>(totals.events), duration_s,
+        static_cast<double>(world.length) / 1e4 / duration_s, 100 * totals.turns_seconds / duration_s,
         totals.turns > 0 ? totals.turns_seconds / static_cast<double>(totals.turns) * 1e6 : 0);
-    return verdict_on(lines, totals);
+    return exit_code_of(log_lines, totals);
 }
 
-int live(const World& world, const std::string& program, std::size_t connections, const RunWords& words) {
-    Lines lines(words);
-    const Bar bar("on sockets, seconds");
-    LiveWords how{program, connections, {}};
-    const auto last = static_cast<std::size_t>(world.length / 10'000);
-    how.watch = [&bar, last](int second, std::size_t open) {
-        bar.show(std::min(static_cast<std::size_t>(second), last), last, std::to_string(open) + " open");
+int live(const World& world, const std::string& program, std::size_t connections, const RunOptions& options) {
+    LogSink log_lines(options);
+    const ProgressBar bar("on sockets, seconds");
+    LiveWords live_options{program, connections, {}};
+    const auto last_second = static_cast<std::size_t>(world.length / 10'000);
+    live_options.watch = [&bar, last_second](int second, std::size_t open) {
+        bar.show(std::min(static_cast<std::size_t>(second), last_second), last_second,
+                 std::to_string(open) + " open");
     };
-    const auto totals = play_live(world, how, lines.taker());
-    lines.close();
-    if (words.json) {
+    const auto totals = play_live(world, live_options, log_lines.sink());
+    log_lines.close();
+    if (options.json) {
         std::printf("%s\n", totals.to_json().c_str());
-        return totals.broken() > 0 ? kBroken : kDone;
+        return totals.broken() > 0 ? kExitRuleBroken : kExitSuccess;
     }
     std::printf("%s, seed %llu, on sockets: service %.4f\n", world.name.c_str(),
                 static_cast<Number>(world.seed), totals.service());
     print_clients(totals);
     std::uint64_t tries = 0;
     for (const auto& each : totals.clients) tries += each.tries;
-    const auto each_us = [tries](double seconds) {
+    const auto us_per_try = [tries](double seconds) {
         return seconds / static_cast<double>(std::max<std::uint64_t>(1, tries)) * 1e6;
     };
     std::printf(
         "  sends %llu, parts run %llu, run twice %llu; front nodes %.0f us of CPU a request, the laboratory "
         "%.0f; %zu connections of clients%s%s\n",
         static_cast<Number>(totals.sends), static_cast<Number>(totals.run),
-        static_cast<Number>(totals.run_twice), each_us(totals.node_cpu_seconds),
-        each_us(totals.own_cpu_seconds), totals.most_connections,
+        static_cast<Number>(totals.run_twice), us_per_try(totals.node_cpu_seconds),
+        us_per_try(totals.own_cpu_seconds), totals.most_connections,
         totals.without_room > 0 ? (", " + std::to_string(totals.without_room) + " found none free").c_str()
                                 : "",
         totals.bad_exits > 0 ? ", A FRONT NODE DID NOT END WITH 0" : "");
-    const int verdict = verdict_on(lines, totals);
-    return totals.bad_exits > 0 ? kBroken : verdict;
+    const int verdict = exit_code_of(log_lines, totals);
+    return totals.bad_exits > 0 ? kExitRuleBroken : verdict;
 }
 
 int fleet(const FleetWorld& world, const std::string& program, std::size_t connections,
@@ -255,77 +257,81 @@
         file.open(log, std::ios::binary);
         if (!file) throw stated::BadStated(log + ": cannot be written");
     }
-    const Bar bar("fleet, seconds");
-    LiveWords how{program, connections, {}};
-    const auto last = static_cast<std::size_t>(world.world.length / 10'000);
-    how.watch = [&bar, last](int second, std::size_t open) {
-        bar.show(std::min(static_cast<std::size_t>(second), last), last, std::to_string(open) + " open");
+    const ProgressBar bar("fleet, seconds");
+    LiveWords live_options{program, connections, {}};
+    const auto last_second = static_cast<std::size_t>(world.world.length / 10'000);
+    live_options.watch = [&bar, last_second](int second, std::size_t open) {
+        bar.show(std::min(static_cast<std::size_t>(second), last_second), last_second,
+                 std::to_string(open) + " open");
     };
     LimitReader limit(world.fleet.limit_per_second, world.fleet.limit_burst, world.fleet.limit_of);
-    const auto seen = play_fleet(world, how, [&](const std::string& line) {
+    const auto result = play_fleet(world, live_options, [&](const std::string& line) {
         reader.take(line);
         limit.take(line);
         if (file.is_open()) file << line << '\n';
     });
-    std::ostringstream words;
-    print_verdict(words, world, seen, reader);
-    std::printf("%s", words.str().c_str());
-    bool over = false;
+    std::ostringstream verdict_text;
+    print_verdict(verdict_text, world, result, reader);
+    std::printf("%s", verdict_text.str().c_str());
+    bool over_limit = false;
     if (world.fleet.limit_per_second > 0) {
-        over = limit.worst_excess() > world.world.nodes;
+        over_limit = limit.worst_excess() > world.world.nodes;
         std::printf(
             "limit: passed %.1f a second of %g; worst window %+.1f beyond rate and burst, %d allowed%s\n",
             static_cast<double>(limit.passed(0, world.world.length)) * 10'000 /
                 static_cast<double>(world.world.length),
-            world.fleet.limit_per_second, limit.worst_excess(), world.world.nodes, over ? ": OVER" : "");
+            world.fleet.limit_per_second, limit.worst_excess(), world.world.nodes,
+            over_limit ? ": OVER" : "");
     }
     const auto breaches = reader.finish();
     print_breaches(breaches);
-    return over || !breaches.empty() || seen.totals.broken() > 0 || seen.totals.bad_exits > 0 ? kBroken
-                                                                                              : kDone;
+    return over_limit || !breaches.empty() || result.totals.broken() > 0 || result.totals.bad_exits > 0
+               ? kExitRuleBroken
+               : kExitSuccess;
 }
 
 int fleet_hunt(const FleetWorld& base, const std::string& program, std::size_t connections,
-               const FleetHuntWords& words) {
-    FleetHunter hunter(base, base.world.seed, words.most);
-    const Stop stop;
-    const LiveWords how{program, connections, {}};
+               const FleetHuntOptions& options) {
+    FleetHunter hunter(base, base.world.seed, options.max_faults);
+    const InterruptFlag stop;
+    const LiveWords live_options{program, connections, {}};
     const auto play = [&](const FleetWorld& world) {
         RuleChecker checker;
-        const auto seen = play_fleet(world, how, [&](const std::string& line) { checker.take(line); });
-        return badness_of(world, seen, checker.finish());
+        const auto result =
+            play_fleet(world, live_options, [&](const std::string& line) { checker.take(line); });
+        return badness_of(world, result, checker.finish());
     };
-    for (int round = 1; round <= words.rounds && !Stop::flag(); ++round) {
+    for (int round = 1; round <= options.rounds && !InterruptFlag::flag(); ++round) {
         const auto world = hunter.next();
-        const double bad = play(world);
-        hunter.told(bad);
-        std::fprintf(stderr, "%d of %d: %zu faults, %.3f; the worst so far %.3f\n", round, words.rounds,
-                     world.faults.size(), bad, hunter.worst_bad());
+        const double badness = play(world);
+        hunter.told(badness);
+        std::fprintf(stderr, "%d of %d: %zu faults, %.3f; the worst so far %.3f\n", round, options.rounds,
+                     world.faults.size(), badness, hunter.worst_bad());
     }
-    if (!hunter.worst()) return kStopped;
+    if (!hunter.worst()) return kExitInterrupted;
     auto worst = *hunter.worst();
-    double found = hunter.worst_bad();
+    double found_badness = hunter.worst_bad();
     // The first smaller world that is still nearly as bad is taken, until none is.
-    for (bool smaller = true; smaller && !Stop::flag();) {
+    for (bool smaller = true; smaller && !InterruptFlag::flag();) {
         smaller = false;
         for (const auto& each : reductions(worst)) {
-            if (Stop::flag() || play(each) < words.keep * found) continue;
+            if (InterruptFlag::flag() || play(each) < options.keep_ratio * found_badness) continue;
             worst = each;
             smaller = true;
             break;
         }
     }
-    char told[64];
-    std::snprintf(told, sizeof told, "# Found by fleet --hunt: %.3f\n", found);
-    if (words.out.empty()) {
-        std::printf("%s%s", told, worst.to_toml().c_str());
-        return kDone;
+    char header[64];
+    std::snprintf(header, sizeof header, "# Found by fleet --hunt: %.3f\n", found_badness);
+    if (options.out.empty()) {
+        std::printf("%s%s", header, worst.to_toml().c_str());
+        return kExitSuccess;
     }
-    std::ofstream file(words.out, std::ios::binary);
-    if (!(file << told << worst.to_toml()) || !file.flush())
-        throw stated::BadStated(words.out + ": cannot be written");
-    std::printf("%s\n", words.out.c_str());
-    return kDone;
+    std::ofstream file(options.out, std::ios::binary);
+    if (!(file << header << worst.to_toml()) || !file.flush())
+        throw stated::BadStated(options.out + ": cannot be written");
+    std::printf("%s\n", options.out.c_str());
+    return kExitSuccess;
 }
 
 int replay_node(const std::string& path, int node) {
@@ -334,7 +340,7 @@
     const auto lines = life_of_node(log, node);
     if (lines.empty()) throw stated::BadStated("there is no front node " + std::to_string(node) + " in it");
     for (const auto& line : lines) std::printf("%s\n", line.c_str());
-    return kDone;
+    return kExitSuccess;
 }
 
 namespace {
@@ -351,28 +357,29 @@
         static_cast<Number>(s.ends.pushed_back),
         static_cast<Number>(s.ends.failed + s.ends.gone + s.ends.lost), s.ms.quantile(0.5),
         s.ms.quantile(0.99));
-    std::string letters, on;
+    std::string server_letters, active_faults;
     for (int id = 0; id < world.servers.count; ++id) {
-        if (id > 0 && id % world.places() == 0) letters += ' ';
+        if (id > 0 && id % world.places() == 0) server_letters += ' ';
         const auto found = run.servers().find(id);
         if (found == run.servers().end()) {
-            letters += '_';
+            server_letters += '_';
             continue;
         }
         const auto& server = found->second;
-        const bool ails = std::any_of(server.troubles.begin(), server.troubles.end(),
-                                      [](const Timeline::Spell& each) { return each.until < 0; });
+        const bool faulty = std::any_of(server.troubles.begin(), server.troubles.end(),
+                                        [](const Timeline::Spell& each) { return each.until < 0; });
         const auto runs = server.runs.find(static_cast<int>(second) - 1);
-        const auto bad = server.bad.find(static_cast<int>(second) - 1);
-        letters += ails                                             ? 'X'
-                   : bad != server.bad.end()                        ? '!'
-                   : runs == server.runs.end() || runs->second == 0 ? '_'
-                   : runs->second < 20                              ? '.'
-                   : runs->second < 60                              ? 'o'
-                                                                    : 'O';
+        const auto failed = server.bad.find(static_cast<int>(second) - 1);
+        server_letters += faulty                                           ? 'X'
+                          : failed != server.bad.end()                     ? '!'
+                          : runs == server.runs.end() || runs->second == 0 ? '_'
+                          : runs->second < 20                              ? '.'
+                          : runs->second < 60                              ? 'o'
+                                                                           : 'O';
     }
-    for (const auto& each : run.troubles()) on += each.until < 0 ? ' ' + each.what : std::string();
-    std::printf("       servers %s%s%s\n", letters.c_str(), on.empty() ? "" : "   now wrong:", on.c_str());
+    for (const auto& each : run.troubles()) active_faults += each.until < 0 ? ' ' + each.what : std::string();
+    std::printf("       servers %s%s%s\n", server_letters.c_str(),
+                active_faults.empty() ? "" : "   now wrong:", active_faults.c_str());
     std::fflush(stdout);
 }
 
@@ -388,29 +395,29 @@
         static_cast<double>(world.length) / 1e4);
     Timeline timeline;
     RuleChecker checker;
-    LiveWords how{program, 2'000, {}};
-    how.watch = [&](int second, std::size_t) {
+    LiveWords live_options{program, 2'000, {}};
+    live_options.watch = [&](int second, std::size_t) {
         print_second(timeline, world, static_cast<std::size_t>(second));
     };
-    const auto totals = play_live(world, how, [&](const std::string& line) {
+    const auto totals = play_live(world, live_options, [&](const std::string& line) {
         timeline.take(line);
         checker.take(line);
     });
     timeline.finish();
     std::printf("\nservice %.4f\n", totals.service());
     print_clients(totals);
-    const auto found = checker.finish();
-    print_breaches(found);
-    char told[100];
-    std::snprintf(told, sizeof told, "seed %llu, on sockets: service %.4f", static_cast<Number>(world.seed),
-                  totals.service());
+    const auto breaches = checker.finish();
+    print_breaches(breaches);
+    char subtitle[100];
+    std::snprintf(subtitle, sizeof subtitle, "seed %llu, on sockets: service %.4f",
+                  static_cast<Number>(world.seed), totals.service());
     if (!report_path.empty()) {
-        const auto page = report_page(timeline, {world.name, world.to_toml(), told});
+        const auto page = report_page(timeline, {world.name, world.to_toml(), subtitle});
         std::ofstream file(report_path, std::ios::binary);
         if (!(file << page) || !file.flush()) throw stated::BadStated(report_path + ": cannot be written");
         std::printf("\nOpen %s in a browser: where the loss went, and when.\n", report_path.c_str());
     }
-    return totals.broken() > 0 || !found.empty() || totals.bad_exits > 0 ? kBroken : kDone;
+    return totals.broken() > 0 || !breaches.empty() || totals.bad_exits > 0 ? kExitRuleBroken : kExitSuccess;
 }
 
 int judge_log(const std::string& path) {
@@ -418,93 +425,94 @@
     if (!log) throw stated::BadStated(path + ": cannot be read; name a log that exists");
     RuleChecker checker;
     for (std::string line; std::getline(log, line);) checker.take(line);
-    const auto found = checker.finish();
-    print_breaches(found);
-    return found.empty() ? kDone : kBroken;
+    const auto breaches = checker.finish();
+    print_breaches(breaches);
+    return breaches.empty() ? kExitSuccess : kExitRuleBroken;
 }
 
-int compare_variants(const CompareWords& words) {
+int compare_variants(const CompareOptions& options) {
     Experiment experiment;
-    for (const auto& path : words.worlds) experiment.worlds.push_back({path, World::read_file(path)});
-    for (const auto& text : words.variants) experiment.variants.push_back(Variant::read(text));
+    for (const auto& path : options.worlds) experiment.worlds.push_back({path, World::read_file(path)});
+    for (const auto& text : options.variants) experiment.variants.push_back(Variant::read(text));
     for (const auto& world : experiment.worlds) {  // a mistake in a change is told before anything is played
         for (const auto& variant : experiment.variants)
             World::from_text(world.world.to_toml(), world.path, variant.changes);
     }
-    experiment.seeds = words.seeds;
+    experiment.seeds = options.seeds;
     std::optional<Results> results;
-    if (!words.results.empty()) results.emplace(words.results, build_of_this_program());
+    if (!options.results.empty()) results.emplace(options.results, build_of_this_program());
     Outcomes outcomes;
-    std::size_t found = 0;
+    std::size_t reused = 0;
     {
-        const Stop stop;
-        const Bar bar("playing");
-        outcomes = play_all(experiment, results ? &*results : nullptr, threads_or_all(words.threads),
-                            Stop::flag(), [&](const Progress& progress) {
-                                found = progress.found;
-                                bar.show(progress.done, progress.of);
+        const InterruptFlag stop;
+        const ProgressBar bar("playing");
+        outcomes = play_all(experiment, results ? &*results : nullptr, threads_or_all(options.threads),
+                            InterruptFlag::flag(), [&](const Progress& progress) {
+                                reused = progress.reused;
+                                bar.show(progress.done, progress.total);
                             });
     }
-    if (!outcomes.whole) {
+    if (!outcomes.complete) {
         std::fprintf(
             stderr, "pinedoor-lab: stopped%s\n",
             results ? "; the same command goes on from here" : "; with --results it could go on from here");
-        return kStopped;
+        return kExitInterrupted;
     }
     std::uint64_t broken = 0;
     for (std::size_t w = 0; w < experiment.worlds.size(); ++w) {
         const auto& world = experiment.worlds[w].world;
-        std::printf("%s, %d seeds from %llu; against %s\n", world.name.c_str(), words.seeds,
+        std::printf("%s, %d seeds from %llu; against %s\n", world.name.c_str(), options.seeds,
                     static_cast<Number>(world.seed), experiment.variants[0].name.c_str());
-        std::size_t wide = 14;
-        for (const auto& variant : experiment.variants) wide = std::max(wide, variant.name.size());
-        std::printf("  %-*s %8s %9s %20s %6s\n", static_cast<int>(wide), "variant", "service", "less",
+        std::size_t width = 14;
+        for (const auto& variant : experiment.variants) width = std::max(width, variant.name.size());
+        std::printf("  %-*s %8s %9s %20s %6s\n", static_cast<int>(width), "variant", "service", "less",
                     "95% of it", "broken");
         for (std::size_t v = 0; v < experiment.variants.size(); ++v) {
             const auto& service = outcomes.service[w][v];
             double sum = 0;
             for (const double each : service) sum += each;
-            const auto differs = compare(outcomes.service[w][0], service, 0.95, world.seed);
+            const auto difference = compare(outcomes.service[w][0], service, 0.95, world.seed);
             broken += outcomes.broken[w][v];
-            std::printf("  %-*s %8.4f %+9.4f  %+8.4f to %+8.4f %6llu%s\n", static_cast<int>(wide),
-                        experiment.variants[v].name.c_str(), sum / words.seeds, differs.mean, differs.least,
-                        differs.most, static_cast<Number>(outcomes.broken[w][v]),
-                        v > 0 && !differs.shown() ? "  no difference shown" : "");
+            std::printf("  %-*s %8.4f %+9.4f  %+8.4f to %+8.4f %6llu%s\n", static_cast<int>(width),
+                        experiment.variants[v].name.c_str(), sum / options.seeds, difference.mean,
+                        difference.lower, difference.upper, static_cast<Number>(outcomes.broken[w][v]),
+                        v > 0 && !difference.shown() ? "  no difference shown" : "");
         }
     }
-    if (found > 0) std::printf("%zu runs were kept by an earlier run\n", found);
-    return broken > 0 ? kBroken : kDone;
+    if (reused > 0) std::printf("%zu runs were kept by an earlier run\n", reused);
+    return broken > 0 ? kExitRuleBroken : kExitSuccess;
 }
 
 namespace {
 
 // How bad a world is, over seeds; the larger the worse.
-double badness(const World& world, const HuntWords& words) {
+double badness(const World& world, const HuntOptions& options) {
     double sum = 0;
-    for (int i = 0; i < words.seeds; ++i) {
-        auto mine = world;
-        mine.seed = world.seed + static_cast<std::uint64_t>(i);
-        if (words.goal == "rule") {
+    for (int i = 0; i < options.seeds; ++i) {
+        auto seeded_world = world;
+        seeded_world.seed = world.seed + static_cast<std::uint64_t>(i);
+        if (options.goal == "rule") {
             RuleChecker checker;
-            Simulation(mine, PolicyKind::kPinedoor, [&checker](const std::string& line) {
+            Simulation(seeded_world, PolicyKind::kPinedoor, [&checker](const std::string& line) {
                 checker.take(line);
             }).run();
-            const auto found = checker.finish();
-            double nearest = static_cast<double>(found.size());
+            const auto breaches = checker.finish();
+            double highest_ratio = static_cast<double>(breaches.size());
             for (const auto rule : {Breach::Rule::kNoneLost, Breach::Rule::kDrainsKept,
                                     Breach::Rule::kNoColdServerOver, Breach::Rule::kBudget})
-                nearest = std::max(nearest, checker.nearest(rule));
-            sum += nearest;
+                highest_ratio = std::max(highest_ratio, checker.nearest(rule));
+            sum += highest_ratio;
             continue;
         }
-        const auto totals = Simulation(mine).run();
-        const double best = words.goal == "gap" ? Simulation(mine, PolicyKind::kSeesAll).run().service() : 1;
+        const auto totals = Simulation(seeded_world).run();
+        const double best =
+            options.goal == "gap" ? Simulation(seeded_world, PolicyKind::kSeesAll).run().service() : 1;
         sum += best - totals.service() + static_cast<double>(totals.broken());
     }
-    return sum / words.seeds;
+    return sum / options.seeds;
 }
 
-std::string in_words(const Trouble& trouble) {
+std::string describe(const Trouble& trouble) {
     char text[200];
     std::snprintf(text, sizeof text, "%s %.1f-%.1f s, share %.2f, factor %.2f%s",
                   name_of(trouble.kind).c_str(), static_cast<double>(trouble.from) / 1e4,
@@ -515,67 +523,69 @@
 
 }  // namespace
 
-int hunt(const World& base, const HuntWords& words) {
-    const Stop stop;
-    Hunter hunter(base, base.seed, words.most);
-    const auto threads = threads_or_all(words.threads);
-    const auto play_some = [&](const std::vector<World>& worlds) {
-        std::vector<double> bad(worlds.size(), 0);
-        on_threads(worlds.size(), threads, Stop::flag(),
-                   [&](std::size_t i) { bad[i] = badness(worlds[i], words); });
-        return bad;
+int hunt(const World& base, const HuntOptions& options) {
+    const InterruptFlag stop;
+    Hunter hunter(base, base.seed, options.max_troubles);
+    const auto threads = threads_or_all(options.threads);
+    const auto play_worlds = [&](const std::vector<World>& worlds) {
+        std::vector<double> badness_values(worlds.size(), 0);
+        on_threads(worlds.size(), threads, InterruptFlag::flag(),
+                   [&](std::size_t i) { badness_values[i] = badness(worlds[i], options); });
+        return badness_values;
     };
-    std::printf("hunting for %s in %s: %d rounds of %d worlds, %d seeds each\n", words.goal.c_str(),
-                base.name.c_str(), words.rounds, words.each, words.seeds);
-    for (int round = 0; round < words.rounds && !Stop::flag(); ++round) {
-        const auto bad = play_some(hunter.next(static_cast<std::size_t>(words.each)));
-        if (Stop::flag()) break;
-        const double before = hunter.found() ? hunter.how_bad() : -1;
-        hunter.told(bad);
-        if (hunter.how_bad() <= before) continue;
-        std::printf("round %d: %.4f\n", round + 1, hunter.how_bad());
-        for (const auto& each : hunter.worst().troubles) std::printf("    %s\n", in_words(each).c_str());
+    std::printf("hunting for %s in %s: %d rounds of %d worlds, %d seeds each\n", options.goal.c_str(),
+                base.name.c_str(), options.rounds, options.worlds_per_round, options.seeds);
+    for (int round = 0; round < options.rounds && !InterruptFlag::flag(); ++round) {
+        const auto badness_values =
+            play_worlds(hunter.next(static_cast<std::size_t>(options.worlds_per_round)));
+        if (InterruptFlag::flag()) break;
+        const double previous = hunter.found() ? hunter.worst_badness() : -1;
+        hunter.record_badness(badness_values);
+        if (hunter.worst_badness() <= previous) continue;
+        std::printf("round %d: %.4f\n", round + 1, hunter.worst_badness());
+        for (const auto& each : hunter.worst().troubles) std::printf("    %s\n", describe(each).c_str());
         std::fflush(stdout);
     }
-    if (!hunter.found()) return kStopped;
+    if (!hunter.found()) return kExitInterrupted;
     auto smallest = hunter.worst();
-    const double least = hunter.how_bad() * words.keep;
-    double now = hunter.how_bad();
-    for (bool smaller = true; smaller && !Stop::flag();) {  // the first that still shows it, in their order
+    const double min_badness = hunter.worst_badness() * options.keep_ratio;
+    double current_badness = hunter.worst_badness();
+    for (bool smaller = true;
+         smaller && !InterruptFlag::flag();) {  // the first that still shows it, in their order
         smaller = false;
-        const auto tries = reductions(smallest);
-        for (std::size_t from = 0; from < tries.size() && !smaller; from += threads) {
-            const std::vector<World> some(
-                tries.begin() + static_cast<std::ptrdiff_t>(from),
-                tries.begin() + static_cast<std::ptrdiff_t>(std::min(tries.size(), from + threads)));
-            const auto bad = play_some(some);
-            if (Stop::flag()) break;
-            for (std::size_t i = 0; i < some.size() && !smaller; ++i) {
-                if (bad[i] < least) continue;
-                smallest = some[i];
-                now = bad[i];
+        const auto candidates = reductions(smallest);
+        for (std::size_t from = 0; from < candidates.size() && !smaller; from += threads) {
+            const std::vector<World> batch(candidates.begin() + static_cast<std::ptrdiff_t>(from),
+                                           candidates.begin() + static_cast<std::ptrdiff_t>(std::min(
+                                                                    candidates.size(), from + threads)));
+            const auto badness_values = play_worlds(batch);
+            if (InterruptFlag::flag()) break;
+            for (std::size_t i = 0; i < batch.size() && !smaller; ++i) {
+                if (badness_values[i] < min_badness) continue;
+                smallest = batch[i];
+                current_badness = badness_values[i];
                 smaller = true;
             }
         }
     }
-    std::printf("shrunk: %.4f with %d servers, %d nodes, %.1f s, %zu kinds of clients\n", now,
+    std::printf("shrunk: %.4f with %d servers, %d nodes, %.1f s, %zu kinds of clients\n", current_badness,
                 smallest.servers.count, smallest.nodes, static_cast<double>(smallest.length) / 1e4,
                 smallest.clients.size());
-    for (const auto& each : smallest.troubles) std::printf("    %s\n", in_words(each).c_str());
-    smallest.name = base.name + "-" + words.goal;
-    if (words.out.empty()) {
+    for (const auto& each : smallest.troubles) std::printf("    %s\n", describe(each).c_str());
+    smallest.name = base.name + "-" + options.goal;
+    if (options.out.empty()) {
         std::printf("%s", smallest.to_toml().c_str());
-    } else if (!(std::ofstream(words.out) << smallest.to_toml())) {
-        throw stated::BadStated(words.out + ": cannot be written");
+    } else if (!(std::ofstream(options.out) << smallest.to_toml())) {
+        throw stated::BadStated(options.out + ": cannot be written");
     }
-    return Stop::flag() ? kStopped : kDone;
+    return InterruptFlag::flag() ? kExitInterrupted : kExitSuccess;
 }
 
 int scale(const World& world, const std::string& what, const std::vector<double>& factors) {
     std::printf("%s, %s times the factor\n", world.name.c_str(), what.c_str());
     std::printf("  %8s %8s %9s %10s %10s %12s %12s %9s\n", "factor", "service", "asked", "sends", "CPU s",
                 "module us/req", "module us/turn", "MB");
-    std::vector<double> x, module, all;
+    std::vector<double> log_factors, log_module_times, log_cpu_times;
     for (const double factor : factors) {
         auto scaled = world;
         const auto times = [factor](int count) {
@@ -594,89 +604,90 @@
                 each.per_second /= factor;
             }
         }
-        struct Seen {
+        struct RunResult {
             double service = 0, cpu = 0, module = 0, turns = 0, asked = 0, sends = 0, mb = 0;
-        } seen;
-        int ends[2];
-        if (pipe(ends) != 0) throw stated::BadStated("no pipe");
+        } result;
+        int pipe_ends[2];
+        if (pipe(pipe_ends) != 0) throw stated::BadStated("no pipe");
         const pid_t child = fork();  // a process of its own, so its memory is its own
         if (child == 0) {
             const auto totals = Simulation(scaled).run();
             rusage used{};
             getrusage(RUSAGE_SELF, &used);
-            seen.service = totals.service();
-            seen.cpu =
+            result.service = totals.service();
+            result.cpu =
                 static_cast<double>(used.ru_utime.tv_sec) + static_cast<double>(used.ru_utime.tv_usec) / 1e6;
-            seen.module = totals.turns_seconds;
-            seen.turns = static_cast<double>(totals.turns);
-            for (const auto& each : totals.clients) seen.asked += static_cast<double>(each.tries);
-            seen.sends = static_cast<double>(totals.sends);
-            seen.mb = static_cast<double>(used.ru_maxrss) / 1024;
-            const auto written = write(ends[1], &seen, sizeof seen);
-            _exit(written == sizeof seen ? 0 : 1);
+            result.module = totals.turns_seconds;
+            result.turns = static_cast<double>(totals.turns);
+            for (const auto& each : totals.clients) result.asked += static_cast<double>(each.tries);
+            result.sends = static_cast<double>(totals.sends);
+            result.mb = static_cast<double>(used.ru_maxrss) / 1024;
+            const auto written = write(pipe_ends[1], &result, sizeof result);
+            _exit(written == sizeof result ? 0 : 1);
         }
-        close(ends[1]);
-        const auto got = read(ends[0], &seen, sizeof seen);
-        close(ends[0]);
+        close(pipe_ends[1]);
+        const auto bytes_read = read(pipe_ends[0], &result, sizeof result);
+        close(pipe_ends[0]);
         int status = 0;
         waitpid(child, &status, 0);
-        if (got != sizeof seen || status != 0) throw stated::BadStated("a run ended without its figures");
-        std::printf("  %8.2f %8.4f %9.0f %10.0f %10.2f %13.1f %14.2f %9.0f\n", factor, seen.service,
-                    seen.asked, seen.sends, seen.cpu, seen.module / std::max(1.0, seen.asked) * 1e6,
-                    seen.module / std::max(1.0, seen.turns) * 1e6, seen.mb);
+        if (bytes_read != sizeof result || status != 0)
+            throw stated::BadStated("a run ended without its figures");
+        std::printf("  %8.2f %8.4f %9.0f %10.0f %10.2f %13.1f %14.2f %9.0f\n", factor, result.service,
+                    result.asked, result.sends, result.cpu, result.module / std::max(1.0, result.asked) * 1e6,
+                    result.module / std::max(1.0, result.turns) * 1e6, result.mb);
         std::fflush(stdout);
-        x.push_back(std::log(factor));
-        module.push_back(std::log(std::max(1e-9, seen.module / std::max(1.0, seen.asked))));
-        all.push_back(std::log(std::max(1e-9, seen.cpu / std::max(1.0, seen.asked))));
+        log_factors.push_back(std::log(factor));
+        log_module_times.push_back(std::log(std::max(1e-9, result.module / std::max(1.0, result.asked))));
+        log_cpu_times.push_back(std::log(std::max(1e-9, result.cpu / std::max(1.0, result.asked))));
     }
-    if (x.size() < 2) return kDone;
-    const auto slope = [&x](const std::vector<double>& y) {  // least squares
-        double mean_x = 0, mean_y = 0, above = 0, below = 0;
-        for (std::size_t i = 0; i < x.size(); ++i) {
-            mean_x += x[i] / static_cast<double>(x.size());
-            mean_y += y[i] / static_cast<double>(x.size());
+    if (log_factors.size() < 2) return kExitSuccess;
+    const auto slope = [&log_factors](const std::vector<double>& y) {  // least squares
+        double mean_x = 0, mean_y = 0, numerator = 0, denominator = 0;
+        for (std::size_t i = 0; i < log_factors.size(); ++i) {
+            mean_x += log_factors[i] / static_cast<double>(log_factors.size());
+            mean_y += y[i] / static_cast<double>(log_factors.size());
         }
-        for (std::size_t i = 0; i < x.size(); ++i) {
-            above += (x[i] - mean_x) * (y[i] - mean_y);
-            below += (x[i] - mean_x) * (x[i] - mean_x);
+        for (std::size_t i = 0; i < log_factors.size(); ++i) {
+            numerator += (log_factors[i] - mean_x) * (y[i] - mean_y);
+            denominator += (log_factors[i] - mean_x) * (log_factors[i] - mean_x);
         }
-        return below > 0 ? above / below : 0;
+        return denominator > 0 ? numerator / denominator : 0;
     };
     std::printf("  time a request grows as the factor to the power of %.2f in the module, %.2f in all\n",
-                slope(module), slope(all));
-    return kDone;
+                slope(log_module_times), slope(log_cpu_times));
+    return kExitSuccess;
 }
 
 int replay(const std::string& path, std::optional<std::uint64_t> multiget,
            std::optional<std::uint64_t> seed) {
-    const Log log(path, seed, PolicyKind::kPinedoor);
+    const RunLog log(path, seed, PolicyKind::kPinedoor);
     if (!multiget) {
         const auto worst = log.read().worst(1);
         if (worst.empty()) {
             std::printf("every multiget was answered in time; name one by its number\n");
-            return kDone;
+            return kExitSuccess;
         }
         multiget = worst[0].multiget;
         std::printf("of those that went worst, number %llu: %s after %.1f ms\n",
                     static_cast<Number>(*multiget), worst[0].end.c_str(),
-                    static_cast<double>(worst[0].took) / 10);
+                    static_cast<double>(worst[0].latency) / 10);
     }
     const auto life = life_of(log.path, *multiget);
     if (life.empty()) throw stated::BadStated("there is no multiget " + std::to_string(*multiget) + " in it");
     for (const auto& line : life) std::printf("%s\n", line.c_str());
-    return kDone;
+    return kExitSuccess;
 }
 
 int report(const std::string& path, std::optional<std::uint64_t> seed, PolicyKind policy,
            const std::string& out, const std::string& plots) {
-    const Log log(path, seed, policy);
+    const RunLog log(path, seed, policy);
     const auto timeline = log.read();
     if (!plots.empty()) write_plots(timeline, plots);
-    const auto page = report_page(timeline, {log.name.empty() ? path : log.name, log.toml, log.told});
+    const auto page = report_page(timeline, {log.name.empty() ? path : log.name, log.toml, log.subtitle});
     std::ofstream file(out, std::ios::binary);
     if (!(file << page) || !file.flush()) throw stated::BadStated(out + ": cannot be written");
     std::printf("%s\n", out.c_str());
-    return kDone;
+    return kExitSuccess;
 }
 
 }  // namespace pinedoor::lab
--- a/src/lab/commands.hpp
+++ b/src/lab/commands.hpp
@@ -13,51 +13,51 @@
 
 namespace pinedoor::lab {
 
-inline constexpr int kDone = 0;
-inline constexpr int kBroken = 3;     // a rule was broken
-inline constexpr int kStopped = 130;  // by SIGINT; what was kept stays kept
+inline constexpr int kExitSuccess = 0;
+inline constexpr int kExitRuleBroken = 3;     // a rule was broken
+inline constexpr int kExitInterrupted = 130;  // by SIGINT; what was kept stays kept
 
-struct RunWords {
+struct RunOptions {
     std::string log;  // a file; empty: none
     bool check = false, json = false;
 };
-int run_world(const World& world, PolicyKind policy, const RunWords& words);
+int run_world(const World& world, PolicyKind policy, const RunOptions& options);
 // On sockets, with real front nodes: `program` is pinedoor.
-int live(const World& world, const std::string& program, std::size_t connections, const RunWords& words);
+int live(const World& world, const std::string& program, std::size_t connections, const RunOptions& options);
 // The same to look at: a few lines each second, and a report at the end.
 int watch(const World& world, const std::string& program, const std::string& report_path);
 // Many front nodes with faults between the processes; `log`: a file, empty: none.
 // Plays schedules of faults on it, one after the other, and writes the worst, shrunk, as a world.
-struct FleetHuntWords {
+struct FleetHuntOptions {
     int rounds = 0;
-    std::size_t most = 4;  // faults
-    double keep = 0.8;     // of what was found, in the shrunk world
-    std::string out;       // empty: printed
+    std::size_t max_faults = 4;  // faults
+    double keep_ratio = 0.8;     // of what was found, in the shrunk world
+    std::string out;             // empty: printed
 };
 int fleet_hunt(const FleetWorld& world, const std::string& program, std::size_t connections,
-               const FleetHuntWords& words);
+               const FleetHuntOptions& options);
 // One front node's life across all processes, from a log.
 int replay_node(const std::string& path, int node);
 int fleet(const FleetWorld& world, const std::string& program, std::size_t connections,
           const std::string& log);
 int judge_log(const std::string& path);
 
-struct CompareWords {
+struct CompareOptions {
     std::vector<std::string> worlds, variants;  // the first variant is what the others are compared with
     int seeds = 10;
     unsigned threads = 0;  // 0: one a core
     std::string results;   // a file; empty: nothing is kept
 };
-int compare_variants(const CompareWords& words);
+int compare_variants(const CompareOptions& options);
 
-struct HuntWords {
+struct HuntOptions {
     std::string goal = "loss";  // loss, gap (to who sees all), rule (nearness to a broken one)
-    int rounds = 12, each = 16, seeds = 2, most = 4;
+    int rounds = 12, worlds_per_round = 16, seeds = 2, max_troubles = 4;
     unsigned threads = 0;
-    double keep = 0.8;  // of what was found, in the shrunk world
-    std::string out;    // a world's file; empty: printed
+    double keep_ratio = 0.8;  // of what was found, in the shrunk world
+    std::string out;          // a world's file; empty: printed
 };
-int hunt(const World& base, const HuntWords& words);
+int hunt(const World& base, const HuntOptions& options);
 
 int scale(const World& world, const std::string& what, const std::vector<double>& factors);
 // `path`: a world's TOML or a log. Without a multiget: one of those that went worst.
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -11,24 +11,24 @@
 
 using namespace pinedoor::lab;
 
-constexpr int kCannot = 1;
-constexpr int kNotUnderstood = 2;
+constexpr int kExitError = 1;
+constexpr int kExitUsage = 2;
 
-World::Changes read_changes(const std::vector<std::string>& words) {
+World::Changes read_changes(const std::vector<std::string>& items) {
     World::Changes changes;
-    for (const auto& word : words) {
-        const auto equal = word.find('=');
+    for (const auto& item : items) {
+        const auto equal = item.find('=');
         if (equal == std::string::npos)
-            throw pinedoor::stated::BadStated("--set " + word +
+            throw pinedoor::stated::BadStated("--set " + item +
                                               ": write key=value, such as servers.count=24");
-        changes.emplace_back(word.substr(0, equal), word.substr(equal + 1));
+        changes.emplace_back(item.substr(0, equal), item.substr(equal + 1));
     }
     return changes;
 }
 
-class Words {
+class CommandLine {
 public:
-    explicit Words(CLI::App& app) {
+    explicit CommandLine(CLI::App& app) {
         app.require_subcommand(1);
         app.footer(
             "Examples:\n"
@@ -115,7 +115,7 @@
             ->add_option("--hunt", fleet_hunt_.rounds,
                          "Search so many schedules of faults for the worst, and shrink it")
             ->check(CLI::Range(1, 100'000));
-        fleet->add_option("--faults", fleet_hunt_.most, "Of a schedule that is hunted for, at most")
+        fleet->add_option("--faults", fleet_hunt_.max_faults, "Of a schedule that is hunted for, at most")
             ->capture_default_str()
             ->check(CLI::Range(1, 100));
         fleet->add_option("--out", fleet_hunt_.out,
@@ -164,16 +164,16 @@
                          "loss of service; gap to who sees all; rule: the day nearest to a broken one")
             ->check(CLI::IsMember({"loss", "gap", "rule"}));
         hunt->add_option("--rounds", hunt_.rounds)->capture_default_str()->check(CLI::Range(1, 100'000));
-        hunt->add_option("--each", hunt_.each, "Worlds a round")
+        hunt->add_option("--each", hunt_.worlds_per_round, "Worlds a round")
             ->capture_default_str()
             ->check(CLI::Range(1, 10'000));
         hunt->add_option("--seeds", hunt_.seeds, "For each world")
             ->capture_default_str()
             ->check(CLI::Range(1, 1'000));
-        hunt->add_option("--troubles", hunt_.most, "At most")
+        hunt->add_option("--troubles", hunt_.max_troubles, "At most")
             ->capture_default_str()
             ->check(CLI::Range(1, 100));
-        hunt->add_option("--keep", hunt_.keep, "Of what was found, in the shrunk world")
+        hunt->add_option("--keep", hunt_.keep_ratio, "Of what was found, in the shrunk world")
             ->capture_default_str()
             ->check(CLI::Range(0.0, 1.0));
         hunt->add_option("--threads", hunt_.threads, "Runs at a time; 0: one a core");
@@ -237,7 +237,7 @@
         });
     }
 
-    int code_ = kDone;
+    int code_ = kExitSuccess;
     std::string path_, policy_ = "pinedoor", key_, what_ = "fleet", out_ = "report.html", plots_;
     std::string program_;
     std::size_t connections_ = 2'000;
@@ -245,24 +245,24 @@
     int node_ = -1;
     std::vector<std::string> changes_, values_;
     std::vector<double> factors_{1, 2, 4, 8};
-    RunWords run_;
-    CompareWords compare_;
-    HuntWords hunt_;
-    FleetHuntWords fleet_hunt_;
+    RunOptions run_;
+    CompareOptions compare_;
+    HuntOptions hunt_;
+    FleetHuntOptions fleet_hunt_;
 };
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int count, char** arguments) {
     CLI::App app{"Worlds of emulated servers and clients, and what pinedoor makes of them", "pinedoor-lab"};
-    Words read(app);
+    CommandLine command_line(app);
     try {
-        app.parse(count, words);
-        return read.code();
+        app.parse(count, arguments);
+        return command_line.code();
     } catch (const CLI::ParseError& error) {
-        return app.exit(error) == 0 ? kDone : kNotUnderstood;
+        return app.exit(error) == 0 ? kExitSuccess : kExitUsage;
     } catch (const std::exception& error) {
         std::fprintf(stderr, "pinedoor-lab: %s\n", error.what());
-        return kCannot;
+        return kExitError;
     }
 }
--- a/src/lab/read/checker.cpp
+++ b/src/lab/read/checker.cpp
@@ -7,24 +7,24 @@
 namespace {
 
 using Rule = Breach::Rule;
-constexpr int kMostOfOne = 100;
-constexpr double kRounding = 0.00005;
+constexpr int kMaxBreachesPerRule = 100;
+constexpr double kShareTolerance = 0.00005;
 
 // "17.3": the multiget and the shard.
-std::pair<std::uint64_t, int> read_part(std::istringstream& words) {
+std::pair<std::uint64_t, int> read_part(std::istringstream& fields) {
     std::uint64_t multiget = 0;
     char dot = 0;
     int shard = -1;
-    words >> multiget >> dot >> shard;
+    fields >> multiget >> dot >> shard;
     return {multiget, shard};
 }
 
 // The number behind a word that is expected there.
 template <class Number>
-Number after(std::istringstream& words) {
+Number read_value(std::istringstream& fields) {
     std::string name;
     Number number{};
-    words >> name >> number;
+    fields >> name >> number;
     return number;
 }
 
@@ -42,216 +42,229 @@
     return "further sends in budget";
 }
 
-void RuleChecker::breach(Rule rule, Time at, const std::string& what) {
-    if (++counts_[rule] <= kMostOfOne) found_.push_back({rule, std::to_string(at) + ": " + what});
+void RuleChecker::record_breach(Rule rule, Time time, const std::string& what) {
+    if (++counts_[rule] <= kMaxBreachesPerRule)
+        breaches_.push_back({rule, std::to_string(time) + ": " + what});
 }
 
-void RuleChecker::see(Rule rule, double seen, double allowed) {
-    auto& nearest = near_[rule];
-    nearest = std::max(nearest, allowed > 0 ? seen / allowed : seen > 0 ? 2.0 : 0.0);
+void RuleChecker::record_ratio(Rule rule, double observed, double allowed) {
+    auto& highest = highest_ratio_[rule];
+    highest = std::max(highest, allowed > 0 ? observed / allowed : observed > 0 ? 2.0 : 0.0);
 }
 
-RuleChecker::Multiget* RuleChecker::open(Time at, std::uint64_t number, const std::string& doing) {
+RuleChecker::Multiget* RuleChecker::end_multiget(Time time, std::uint64_t number, const std::string& event) {
     const auto found = multigets_.find(number);
     const auto name = "multiget " + std::to_string(number);
     if (found == multigets_.end()) {
-        breach(Rule::kHonestAnswers, at, name + ", which nobody asked for, " + doing);
+        record_breach(Rule::kHonestAnswers, time, name + ", which nobody asked for, " + event);
         return nullptr;
     }
     auto& multiget = found->second;
-    if (multiget.over) {
-        breach(Rule::kNoneLost, at, name + " " + doing + " though it has ended");
+    if (multiget.ended) {
+        record_breach(Rule::kNoneLost, time, name + " " + event + " though it has ended");
         return nullptr;
     }
-    multiget.over = true;
-    see(Rule::kNoneLost, static_cast<double>(std::max<Time>(0, at - multiget.until)),
-        static_cast<double>(grace_));
-    if (at > multiget.until + grace_) breach(Rule::kNoneLost, at, name + " " + doing + " after its time");
+    multiget.ended = true;
+    record_ratio(Rule::kNoneLost, static_cast<double>(std::max<Time>(0, time - multiget.deadline)),
+                 static_cast<double>(grace_));
+    if (time > multiget.deadline + grace_)
+        record_breach(Rule::kNoneLost, time, name + " " + event + " after its time");
     return &multiget;
 }
 
 void RuleChecker::take(const std::string& line) {
-    std::istringstream words(line);
-    Time at = 0;
+    std::istringstream fields(line);
+    Time time = 0;
     std::string what;
-    if (!(words >> at >> what)) return;
-    last_ = at;
+    if (!(fields >> time >> what)) return;
+    last_time_ = time;
     if (what == "world") {
-        cold_from_ = after<double>(words);
-        warm_after_ = after<Time>(words);
-        fall_ = after<double>(words);
-        tip_ = after<Time>(words);
-        rate_ = after<double>(words);
-        floor_ = after<double>(words);
-        ratio_ = after<double>(words);
-        look_back_ = after<Time>(words);
-        stop_ = after<Time>(words);
-        grace_ = after<Time>(words);
+        cold_from_ = read_value<double>(fields);
+        warm_after_ = read_value<Time>(fields);
+        overload_factor_ = read_value<double>(fields);
+        overload_span_ = read_value<Time>(fields);
+        server_rate_ = read_value<double>(fields);
+        budget_floor_ = read_value<double>(fields);
+        budget_ratio_ = read_value<double>(fields);
+        budget_window_ = read_value<Time>(fields);
+        drain_time_ = read_value<Time>(fields);
+        grace_ = read_value<Time>(fields);
     } else if (what == "kind") {
         int kind = 0;
-        words >> kind;
-        auto& told = kinds_[kind];
-        told.repeat = after<std::string>(words);
-        told.least = after<double>(words);
-        told.window = after<Time>(words);
+        fields >> kind;
+        auto& kind_rules = kinds_[kind];
+        kind_rules.repeat = read_value<std::string>(fields);
+        kind_rules.least_share = read_value<double>(fields);
+        kind_rules.window = read_value<Time>(fields);
     } else if (what == "ask") {
         std::uint64_t number = 0;
-        words >> number;
-        const int node = after<int>(words);
+        fields >> number;
+        const int node = read_value<int>(fields);
         auto& multiget = multigets_[number];
-        multiget.kind = after<int>(words);
-        multiget.until = after<Time>(words);
-        words >> what;
+        multiget.kind = read_value<int>(fields);
+        multiget.deadline = read_value<Time>(fields);
+        fields >> what;
         int shard = 0;
         char colon = 0;
-        for (double weight = 0; words >> shard >> colon >> weight;) multiget.weights[shard] = weight;
-        const auto taken = 1 + static_cast<double>(multiget.weights.size());
-        nodes_[node].taken.emplace_back(at, taken);
-        nodes_[node].taken_sum += taken;
+        for (double weight = 0; fields >> shard >> colon >> weight;) multiget.weights[shard] = weight;
+        const auto accepted = 1 + static_cast<double>(multiget.weights.size());
+        nodes_[node].accepted.emplace_back(time, accepted);
+        nodes_[node].accepted_sum += accepted;
     } else if (what == "same") {
         std::uint64_t number = 0;
-        words >> number;
-        first_tries_[number] = after<std::uint64_t>(words);
+        fields >> number;
+        first_tries_[number] = read_value<std::uint64_t>(fields);
     } else if (what == "send") {
-        take_send(at, words);
+        check_send(time, fields);
     } else if (what == "reach") {
-        take_reach(at, words);
+        check_reach(time, fields);
     } else if (what == "run") {
-        take_run(at, words);
+        check_run(time, fields);
     } else if (what == "back") {
-        const auto [number, shard] = read_part(words);
-        words >> what;
-        if (what == "returned") multigets_[number].in.insert(shard);
+        const auto [number, shard] = read_part(fields);
+        fields >> what;
+        if (what == "returned") multigets_[number].returned.insert(shard);
     } else if (what == "answer") {
-        take_answer(at, words);
+        check_answer(time, fields);
     } else if (what == "push" || what == "fail" || what == "gone") {
         std::uint64_t number = 0;
-        words >> number;
-        open(at, number, what == "push" ? "is pushed back" : what == "fail" ? "has failed" : "is gone");
+        fields >> number;
+        end_multiget(time, number,
+                     what == "push"   ? "is pushed back"
+                     : what == "fail" ? "has failed"
+                                      : "is gone");
     } else if (what == "told") {
         int node = 0;
-        words >> node;
-        const int server = after<int>(words);
-        words >> what;
+        fields >> node;
+        const int server = read_value<int>(fields);
+        fields >> what;
         if (what == "ready")
-            nodes_[node].gone.erase(server);
+            nodes_[node].removed.erase(server);
         else
-            nodes_[node].gone.emplace(server, at);
+            nodes_[node].removed.emplace(server, time);
     } else if (what == "start") {
         int server = 0;
-        words >> server;
-        cold_[server] = {at, {}};
+        fields >> server;
+        cold_servers_[server] = {time, {}};
     } else if (what == "killed" || what == "begun") {
         // Another process, which is told all anew; what was told to nobody, between the two, counts for
         // nothing.
         int node = 0;
-        words >> node;
+        fields >> node;
         nodes_[node] = {};
     }
 }
 
-void RuleChecker::take_answer(Time at, std::istringstream& words) {
+void RuleChecker::check_answer(Time time, std::istringstream& fields) {
     std::uint64_t number = 0;
-    std::string how, skipped;
-    words >> number >> how >> skipped;
-    auto* multiget = open(at, number, "is answered");
+    std::string completeness, label;
+    fields >> number >> completeness >> label;
+    auto* multiget = end_multiget(time, number, "is answered");
     if (multiget == nullptr) return;
     const auto name = "multiget " + std::to_string(number);
-    double sum = 0;
+    double weight_sum = 0;
     std::size_t parts = 0;
-    for (int shard = 0; words >> shard; ++parts) {
-        if (!multiget->in.contains(shard))
-            breach(Rule::kHonestAnswers, at,
-                   name + " is answered with shard " + std::to_string(shard) + ", which is not in");
-        sum += multiget->weights.contains(shard) ? multiget->weights.at(shard) : 0;
+    for (int shard = 0; fields >> shard; ++parts) {
+        if (!multiget->returned.contains(shard))
+            record_breach(Rule::kHonestAnswers, time,
+                          name + " is answered with shard " + std::to_string(shard) + ", which is not in");
+        weight_sum += multiget->weights.contains(shard) ? multiget->weights.at(shard) : 0;
     }
-    if (how == "whole" && parts < multiget->weights.size())
-        breach(Rule::kHonestAnswers, at, name + " is called whole and is not");
-    if (sum + kRounding < kinds_[multiget->kind].least)
-        breach(Rule::kHonestAnswers, at, name + " is answered below its least share");
+    if (completeness == "whole" && parts < multiget->weights.size())
+        record_breach(Rule::kHonestAnswers, time, name + " is called whole and is not");
+    if (weight_sum + kShareTolerance < kinds_[multiget->kind].least_share)
+        record_breach(Rule::kHonestAnswers, time, name + " is answered below its least share");
 }
 
-void RuleChecker::take_send(Time at, std::istringstream& words) {
-    const auto [number, shard] = read_part(words);
-    auto& node = nodes_[after<int>(words)];
-    const int server = after<int>(words);
-    const int which = after<int>(words);
+void RuleChecker::check_send(Time time, std::istringstream& fields) {
+    const auto [number, shard] = read_part(fields);
+    auto& node = nodes_[read_value<int>(fields)];
+    const int server = read_value<int>(fields);
+    const int send_number = read_value<int>(fields);
     const auto name = "a part of multiget " + std::to_string(number);
-    if (const auto gone = node.gone.find(server); gone != node.gone.end())
-        see(Rule::kDrainsKept, static_cast<double>(at - gone->second), static_cast<double>(stop_));
-    if (const auto gone = node.gone.find(server); gone != node.gone.end() && at > gone->second + stop_) {
-        breach(Rule::kDrainsKept, at,
-               name + " is sent to server " + std::to_string(server) + ", told gone at " +
-                   std::to_string(gone->second));
+    if (const auto removed = node.removed.find(server); removed != node.removed.end())
+        record_ratio(Rule::kDrainsKept, static_cast<double>(time - removed->second),
+                     static_cast<double>(drain_time_));
+    if (const auto removed = node.removed.find(server);
+        removed != node.removed.end() && time > removed->second + drain_time_) {
+        record_breach(Rule::kDrainsKept, time,
+                      name + " is sent to server " + std::to_string(server) + ", told gone at " +
+                          std::to_string(removed->second));
     }
-    if (which == 0 || look_back_ == 0) return;
-    node.further.push_back(at);
-    while (!node.further.empty() && node.further.front() <= at - look_back_) node.further.pop_front();
-    while (!node.taken.empty() && node.taken.front().first <= at - look_back_) {
-        node.taken_sum -= node.taken.front().second;
-        node.taken.pop_front();
+    if (send_number == 0 || budget_window_ == 0) return;
+    node.further_sends.push_back(time);
+    while (!node.further_sends.empty() && node.further_sends.front() <= time - budget_window_)
+        node.further_sends.pop_front();
+    while (!node.accepted.empty() && node.accepted.front().first <= time - budget_window_) {
+        node.accepted_sum -= node.accepted.front().second;
+        node.accepted.pop_front();
     }
-    see(Rule::kBudget, static_cast<double>(node.further.size()), floor_ + ratio_ * node.taken_sum);
-    if (static_cast<double>(node.further.size()) > floor_ + ratio_ * node.taken_sum + 1e-9) {
-        breach(Rule::kBudget, at,
-               name + " is sent again as number " + std::to_string(node.further.size()) +
-                   " of the window, which allows " + std::to_string(floor_ + ratio_ * node.taken_sum));
+    record_ratio(Rule::kBudget, static_cast<double>(node.further_sends.size()),
+                 budget_floor_ + budget_ratio_ * node.accepted_sum);
+    if (static_cast<double>(node.further_sends.size()) >
+        budget_floor_ + budget_ratio_ * node.accepted_sum + 1e-9) {
+        record_breach(Rule::kBudget, time,
+                      name + " is sent again as number " + std::to_string(node.further_sends.size()) +
+                          " of the window, which allows " +
+                          std::to_string(budget_floor_ + budget_ratio_ * node.accepted_sum));
     }
 }
 
 // What a cold server bears grows with its warmth; it goes down when it is sent a multiple of that for a
 // while.
-void RuleChecker::take_reach(Time at, std::istringstream& words) {
-    read_part(words);
-    const int server = after<int>(words);
-    const auto found = cold_.find(server);
-    if (found == cold_.end() || warm_after_ == 0) return;
+void RuleChecker::check_reach(Time time, std::istringstream& fields) {
+    read_part(fields);
+    const int server = read_value<int>(fields);
+    const auto found = cold_servers_.find(server);
+    if (found == cold_servers_.end() || warm_after_ == 0) return;
     auto& cold = found->second;
-    const auto age = at - cold.started;
+    const auto age = time - cold.started;
     if (age >= warm_after_) {
-        cold_.erase(found);
+        cold_servers_.erase(found);
         return;
     }
-    cold.reached.push_back(at);
-    while (cold.reached.front() <= at - tip_) cold.reached.pop_front();
+    cold.arrivals.push_back(time);
+    while (cold.arrivals.front() <= time - overload_span_) cold.arrivals.pop_front();
     const double warmth =
         cold_from_ + (1 - cold_from_) * static_cast<double>(age) / static_cast<double>(warm_after_);
-    const double limit = fall_ * warmth * rate_ * static_cast<double>(tip_);
-    see(Rule::kNoColdServerOver, static_cast<double>(cold.reached.size()), limit + 1);
-    if (static_cast<double>(cold.reached.size()) > limit + 1) {
-        breach(Rule::kNoColdServerOver, at,
-               "cold server " + std::to_string(server) + " was sent " + std::to_string(cold.reached.size()) +
-                   " parts within its span, over " + std::to_string(limit));
-        cold.reached.clear();
+    const double limit = overload_factor_ * warmth * server_rate_ * static_cast<double>(overload_span_);
+    record_ratio(Rule::kNoColdServerOver, static_cast<double>(cold.arrivals.size()), limit + 1);
+    if (static_cast<double>(cold.arrivals.size()) > limit + 1) {
+        record_breach(Rule::kNoColdServerOver, time,
+                      "cold server " + std::to_string(server) + " was sent " +
+                          std::to_string(cold.arrivals.size()) + " parts within its span, over " +
+                          std::to_string(limit));
+        cold.arrivals.clear();
     }
 }
 
-void RuleChecker::take_run(Time at, std::istringstream& words) {
-    const auto part = read_part(words);
+void RuleChecker::check_run(Time time, std::istringstream& fields) {
+    const auto part = read_part(fields);
     const auto found = multigets_.find(part.first);
     if (found == multigets_.end()) {
-        breach(Rule::kNoEffectTwice, at, "a part runs that nobody asked for");
+        record_breach(Rule::kNoEffectTwice, time, "a part runs that nobody asked for");
         return;
     }
     const auto& kind = kinds_[found->second.kind];
     if (kind.repeat == "retriable") return;
     const auto first = first_tries_.find(part.first);
     auto& runs = runs_[{first == first_tries_.end() ? part.first : first->second, part.second}];
-    const bool twice = !runs.empty() && (kind.repeat == "non-retriable" || at > runs.front() + kind.window);
-    runs.push_back(at);
-    if (twice) {
-        breach(Rule::kNoEffectTwice, at,
-               "shard " + std::to_string(part.second) + " of multiget " + std::to_string(part.first) +
-                   " runs again, first at " + std::to_string(runs.front()));
+    const bool repeated =
+        !runs.empty() && (kind.repeat == "non-retriable" || time > runs.front() + kind.window);
+    runs.push_back(time);
+    if (repeated) {
+        record_breach(Rule::kNoEffectTwice, time,
+                      "shard " + std::to_string(part.second) + " of multiget " + std::to_string(part.first) +
+                          " runs again, first at " + std::to_string(runs.front()));
     }
 }
 
 std::vector<Breach> RuleChecker::finish() {
     for (const auto& [number, multiget] : multigets_) {
-        if (!multiget.over && last_ > multiget.until + grace_)
-            breach(Rule::kNoneLost, last_, "multiget " + std::to_string(number) + " has no end");
+        if (!multiget.ended && last_time_ > multiget.deadline + grace_)
+            record_breach(Rule::kNoneLost, last_time_, "multiget " + std::to_string(number) + " has no end");
     }
-    return std::move(found_);
+    return std::move(breaches_);
 }
 
 }  // namespace pinedoor::lab
--- a/src/lab/read/checker.hpp
+++ b/src/lab/read/checker.hpp
@@ -44,54 +44,54 @@
     // 1 is broken. Further sends of their budget, parts of what a cold server bears, sends after a server was
     // told gone of the time for that, ends after their time of the grace.
     double nearest(Breach::Rule rule) const {
-        const auto found = near_.find(rule);
-        return found == near_.end() ? 0 : found->second;
+        const auto found = highest_ratio_.find(rule);
+        return found == highest_ratio_.end() ? 0 : found->second;
     }
 
 private:
     using Time = std::int64_t;
     struct Kind {
         std::string repeat;
-        double least = 1;
+        double least_share = 1;
         Time window = 0;
     };
     struct Multiget {
         int kind = 0;
-        Time until = 0;
+        Time deadline = 0;
         std::map<int, double> weights;
-        std::set<int> in;
-        bool over = false;
+        std::set<int> returned;
+        bool ended = false;
     };
     struct Node {
-        std::map<int, Time> gone;  // servers told gone, and when
-        std::deque<std::pair<Time, double>> taken;
-        double taken_sum = 0;
-        std::deque<Time> further;
+        std::map<int, Time> removed;  // servers told gone, and when
+        std::deque<std::pair<Time, double>> accepted;
+        double accepted_sum = 0;
+        std::deque<Time> further_sends;
     };
-    struct Cold {
+    struct ColdServer {
         Time started = 0;
-        std::deque<Time> reached;
+        std::deque<Time> arrivals;
     };
 
-    void breach(Breach::Rule rule, Time at, const std::string& what);
-    void see(Breach::Rule rule, double seen, double allowed);
-    Multiget* open(Time at, std::uint64_t number, const std::string& doing);
-    void take_answer(Time at, std::istringstream& words);
-    void take_send(Time at, std::istringstream& words);
-    void take_reach(Time at, std::istringstream& words);
-    void take_run(Time at, std::istringstream& words);
+    void record_breach(Breach::Rule rule, Time time, const std::string& what);
+    void record_ratio(Breach::Rule rule, double observed, double allowed);
+    Multiget* end_multiget(Time time, std::uint64_t number, const std::string& event);
+    void check_answer(Time time, std::istringstream& fields);
+    void check_send(Time time, std::istringstream& fields);
+    void check_reach(Time time, std::istringstream& fields);
+    void check_run(Time time, std::istringstream& fields);
 
-    double cold_from_ = 1, fall_ = 0, rate_ = 0, floor_ = 0, ratio_ = 0;
-    Time warm_after_ = 0, tip_ = 0, look_back_ = 0, stop_ = 0, grace_ = 0, last_ = 0;
+    double cold_from_ = 1, overload_factor_ = 0, server_rate_ = 0, budget_floor_ = 0, budget_ratio_ = 0;
+    Time warm_after_ = 0, overload_span_ = 0, budget_window_ = 0, drain_time_ = 0, grace_ = 0, last_time_ = 0;
     std::map<int, Kind> kinds_;
     std::map<std::uint64_t, Multiget> multigets_;
     std::map<std::uint64_t, std::uint64_t> first_tries_;
     std::map<std::pair<std::uint64_t, int>, std::vector<Time>> runs_;  // by the first try
     std::map<int, Node> nodes_;
-    std::map<int, Cold> cold_;
-    std::vector<Breach> found_;
+    std::map<int, ColdServer> cold_servers_;
+    std::vector<Breach> breaches_;
     std::map<Breach::Rule, int> counts_;
-    std::map<Breach::Rule, double> near_;
+    std::map<Breach::Rule, double> highest_ratio_;
 };
 
 }  // namespace pinedoor::lab
--- a/src/lab/read/report.cpp
+++ b/src/lab/read/report.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr Time kSecond = 10'000;
-constexpr std::size_t kMostServers = 60;  // rows of the picture of servers; those with most trouble first
+constexpr std::size_t kMaxChartServers = 60;  // rows of the picture of servers; those with most trouble first
 
 std::string escaped(const std::string& text) {
     std::string out;
@@ -75,12 +75,13 @@
     for (std::size_t i = 0; i < last; ++i) {
         const auto& s = run.seconds()[i];
         const auto d = [](std::uint64_t count) { return static_cast<double>(count); };
-        const auto bad = s.ends.failed + s.ends.gone + s.ends.lost;
+        const auto failures = s.ends.failed + s.ends.gone + s.ends.lost;
         // Stacked: the topmost is drawn first and holds all below it.
-        const double good = d(s.ends.whole) + d(s.ends.in_part) - d(s.ends.late);
-        const double whole = std::max(0.0, good - d(s.ends.in_part));
-        ends.rows.push_back({whole, good, good + d(s.ends.late), good + d(s.ends.late + s.ends.pushed_back),
-                             good + d(s.ends.late + s.ends.pushed_back + bad)});
+        const double in_time = d(s.ends.whole) + d(s.ends.in_part) - d(s.ends.late);
+        const double whole = std::max(0.0, in_time - d(s.ends.in_part));
+        ends.rows.push_back({whole, in_time, in_time + d(s.ends.late),
+                             in_time + d(s.ends.late + s.ends.pushed_back),
+                             in_time + d(s.ends.late + s.ends.pushed_back + failures)});
         if (s.ms.count() == 0)
             times.rows.push_back({NAN, NAN, NAN});
         else
@@ -94,9 +95,9 @@
 
 // gnuplot's script for one plot, the troubles as grey bands with their names.
 std::string script_of(const Plot& plot, const Timeline& run, const std::string& terminal,
-                      const std::string& to) {
+                      const std::string& output_path) {
     std::ostringstream out;
-    out << "set terminal " << terminal << "\nset output '" << to << "'\n"
+    out << "set terminal " << terminal << "\nset output '" << output_path << "'\n"
         << "set title '" << plot.title << "'\nset xlabel 'seconds'\nset ylabel '" << plot.axis << "'\n"
         << "set grid ytics lc rgb '#dddddd'\nset border 3\nset tics nomirror\nset key above horizontal\n"
         << "set xrange [0:" << std::max<std::size_t>(1, plot.rows.size()) << "]\n";
@@ -123,9 +124,9 @@
     out << "END\nset datafile missing '?'\nplot ";
     const bool stacked = plot.styles[0].starts_with("filled");
     for (std::size_t i = 0; i < plot.columns.size(); ++i) {
-        const auto which = stacked ? plot.columns.size() - 1 - i : i;
-        out << (i > 0 ? ", " : "") << "$data using 1:" << which + 2 << " with " << plot.styles[which]
-            << " title '" << plot.columns[which] << "'";
+        const auto column = stacked ? plot.columns.size() - 1 - i : i;
+        out << (i > 0 ? ", " : "") << "$data using 1:" << column + 2 << " with " << plot.styles[column]
+            << " title '" << plot.columns[column] << "'";
     }
     out << "\nunset output\n";
     return out.str();
@@ -135,23 +136,23 @@
     const auto file = folder + "/plots.gnuplot";
     std::ofstream(file) << script;
     const int code = std::system(("gnuplot '" + file + "' > '" + folder + "/gnuplot.out' 2>&1").c_str());
-    std::ostringstream said;
-    said << std::ifstream(folder + "/gnuplot.out").rdbuf();
+    std::ostringstream output;
+    output << std::ifstream(folder + "/gnuplot.out").rdbuf();
     std::filesystem::remove(folder + "/gnuplot.out");
     if (code != 0)
         throw stated::BadStated("gnuplot failed; install Debian's package gnuplot-nox (it said: " +
-                                said.str().substr(0, 200) + ")");
+                                output.str().substr(0, 200) + ")");
     std::filesystem::remove(file);
 }
 
-struct Folder {
-    Folder() {
+struct TempFolder {
+    TempFolder() {
         std::string name = (std::getenv("TMPDIR") != nullptr ? std::getenv("TMPDIR") : "/tmp");
         name += "/pinedoor-report-XXXXXX";
         if (mkdtemp(name.data()) == nullptr) throw stated::BadStated(name + ": cannot be made");
         path = name;
     }
-    ~Folder() { std::filesystem::remove_all(path); }
+    ~TempFolder() { std::filesystem::remove_all(path); }
     std::string path;
 };
 
@@ -163,9 +164,9 @@
     return begin == std::string::npos ? "" : svg.substr(begin);
 }
 
-void table_of_ends(std::ostringstream& out, const std::string& what,
+void table_of_ends(std::ostringstream& out, const std::string& heading,
                    const std::vector<std::pair<std::string, Timeline::Ends>>& rows) {
-    out << "<div class=wide><table><tr><th>" << what
+    out << "<div class=wide><table><tr><th>" << heading
         << "<th>asked<th>whole<th>in part<th>late<th>pushed back<th>failed<th>gone<th>lost<th>not "
            "good</tr>\n";
     for (const auto& [name, e] : rows) {
@@ -180,17 +181,17 @@
 
 // A row for each server, a column for each second: how much came to nothing good there, what it had in truth
 // (a line above), and when front nodes put it aside (a dot).
-std::string picture_of_servers(const Timeline& run) {
-    std::vector<std::pair<std::uint64_t, int>> order;
+std::string server_chart(const Timeline& run) {
+    std::vector<std::pair<std::uint64_t, int>> ranked;
     for (const auto& [id, server] : run.servers()) {
-        std::uint64_t bad = server.troubles.size() * 1'000'000;
-        for (const auto& [second, count] : server.bad) bad += count;
-        order.emplace_back(bad, id);
+        std::uint64_t failures = server.troubles.size() * 1'000'000;
+        for (const auto& [second, count] : server.bad) failures += count;
+        ranked.emplace_back(failures, id);
     }
-    std::sort(order.begin(), order.end(), [](const auto& a, const auto& b) {
+    std::sort(ranked.begin(), ranked.end(), [](const auto& a, const auto& b) {
         return a.first != b.first ? a.first > b.first : a.second < b.second;
     });
-    const auto shown = std::min(order.size(), kMostServers);
+    const auto shown = std::min(ranked.size(), kMaxChartServers);
     const auto seconds = std::max<std::size_t>(1, run.seconds().size());
     constexpr double kLeft = 60, kWidth = 900, kRow = 12;
     const double step = kWidth / static_cast<double>(seconds);
@@ -198,17 +199,17 @@
     out << "<svg viewBox='0 0 " << kLeft + kWidth << ' ' << kRow * static_cast<double>(shown) + 20
         << "' role=img aria-label='servers by second'>\n";
     for (std::size_t row = 0; row < shown; ++row) {
-        const auto& server = run.servers().at(order[row].second);
+        const auto& server = run.servers().at(ranked[row].second);
         const double y = kRow * static_cast<double>(row);
-        out << "<text x=0 y=" << y + 9 << " font-size=9>" << order[row].second << "</text>";
+        out << "<text x=0 y=" << y + 9 << " font-size=9>" << ranked[row].second << "</text>";
         for (std::size_t s = 0; s < seconds; ++s) {
             const auto at = [&](const std::map<int, std::uint64_t>& counts) {
                 const auto found = counts.find(static_cast<int>(s));
                 return found == counts.end() ? 0.0 : static_cast<double>(found->second);
             };
-            const double runs = at(server.runs), bad = at(server.bad);
-            if (runs + bad == 0) continue;
-            const double share = bad / (runs + bad);
+            const double runs = at(server.runs), failures = at(server.bad);
+            if (runs + failures == 0) continue;
+            const double share = failures / (runs + failures);
             const int red = 200 + static_cast<int>(20 * share), other = 232 - static_cast<int>(180 * share);
             out << "<rect x=" << number(kLeft + step * static_cast<double>(s), 1) << " y=" << y + 2
                 << " width=" << number(step, 1) << " height=" << kRow - 3 << " fill='rgb(" << red << ','
@@ -230,8 +231,8 @@
         << " font-size=10>0 s</text><text x=" << kLeft + kWidth - 40
         << " y=" << kRow * static_cast<double>(shown) + 14 << " font-size=10>" << seconds
         << " s</text></svg>\n";
-    if (shown < order.size())
-        out << "<p>The " << shown << " with most trouble of " << order.size() << ".</p>\n";
+    if (shown < ranked.size())
+        out << "<p>The " << shown << " with most trouble of " << ranked.size() << ".</p>\n";
     return out.str();
 }
 
@@ -251,8 +252,8 @@
     run_gnuplot(script, folder);
 }
 
-std::string report_page(const Timeline& run, const ReportWords& words) {
-    const Folder folder;
+std::string report_page(const Timeline& run, const ReportText& text) {
+    const TempFolder folder;
     std::string script;
     const auto plots = plots_of(run);
     for (const auto& plot : plots)
@@ -263,7 +264,7 @@
     std::ostringstream out;
     out << "<!doctype html><html lang=en><meta charset=utf-8><meta name=viewport "
            "content='width=device-width'>"
-        << "<title>" << escaped(words.title)
+        << "<title>" << escaped(text.title)
         << "</title><style>body{font:15px/1.5 sans-serif;max-width:960px;margin:1em "
            "auto;padding:0 1em;color:#222}table{border-collapse:collapse;font-size:14px}td,th{padding:.2em "
            ".7em;text-align:right;border-bottom:1px solid "
@@ -272,7 +273,7 @@
            "f5f5f5;padding:"
            "1em;font-size:13px}"
            "h2{margin-top:2em}</style>\n<h1>"
-        << escaped(words.title) << "</h1><p>" << escaped(words.told) << "</p>\n";
+        << escaped(text.title) << "</h1><p>" << escaped(text.subtitle) << "</p>\n";
     Timeline::Ends sum;
     std::vector<std::pair<std::string, Timeline::Ends>> kinds, troubles;
     for (const auto& [kind, ends] : run.ends_by_kind()) {
@@ -302,16 +303,16 @@
            "there came to nothing good. A blue line: something was wrong with it in truth. A dot: a front "
            "node put it "
            "aside.</p>\n<div class=wide>"
-        << picture_of_servers(run) << "</div>";
+        << server_chart(run) << "</div>";
     out << "<h2>The worst</h2>\n<p><code>pinedoor-lab replay</code> tells the life of each.</p>\n<div "
            "class=wide><table>"
            "<tr><th>multiget<th>end<th>after</tr>\n";
     for (const auto& each : run.worst(12))
         out << "<tr><td>" << each.multiget << "<td>" << each.end << "<td>"
-            << number(static_cast<double>(each.took) / 10, 1) << " ms</tr>\n";
+            << number(static_cast<double>(each.latency) / 10, 1) << " ms</tr>\n";
     out << "</table></div>\n";
-    if (!words.world_toml.empty())
-        out << "<h2>The world</h2>\n<details><summary>as TOML</summary><pre>" << escaped(words.world_toml)
+    if (!text.world_toml.empty())
+        out << "<h2>The world</h2>\n<details><summary>as TOML</summary><pre>" << escaped(text.world_toml)
             << "</pre></details>\n";
     out << "</html>\n";
     return out.str();
--- a/src/lab/read/report.hpp
+++ b/src/lab/read/report.hpp
@@ -7,14 +7,14 @@
 
 namespace pinedoor::lab {
 
-struct ReportWords {
+struct ReportText {
     std::string title;
     std::string world_toml;  // empty: the log's maker is not known
-    std::string told;        // such as "seed 3, pinedoor: service 0.9998"
+    std::string subtitle;    // such as "seed 3, pinedoor: service 0.9998"
 };
 
 // The page. Throws stated::BadStated if gnuplot is missing or fails.
-std::string report_page(const Timeline& run, const ReportWords& words);
+std::string report_page(const Timeline& run, const ReportText& text);
 // ends.svg, latency.svg, sends.svg, and the same as PNG, in a folder that is made if need be. Throws
 // likewise.
 void write_plots(const Timeline& run, const std::string& folder);
--- a/src/lab/read/timeline.hpp
+++ b/src/lab/read/timeline.hpp
@@ -40,7 +40,7 @@
     };
     struct Slow {  // one of those that went worst
         std::uint64_t multiget = 0;
-        Time took = 0;
+        Time latency = 0;
         std::string end;
     };
 
@@ -59,16 +59,17 @@
     std::uint64_t parts() const { return parts_; }
 
 private:
-    struct Open {
+    struct OpenRequest {
         int kind = 0;
         Time asked = 0;
         std::string troubles;
         std::string tenant;
     };
-    Second& second(Time at);
-    void end(Time at, std::uint64_t multiget, const std::string& how, const std::string& more);
-    void trouble(Time at, std::map<std::string, std::size_t>& open, std::vector<Spell>& spells,
-                 const std::string& what, bool begins);
+    Second& second(Time time);
+    void end_request(Time time, std::uint64_t multiget, const std::string& event,
+                     const std::string& completeness);
+    void update_spell(Time time, std::map<std::string, std::size_t>& open, std::vector<Spell>& spells,
+                      const std::string& what, bool begins);
 
     std::vector<Second> seconds_;
     std::map<int, std::string> kinds_;
@@ -77,14 +78,16 @@
     std::map<std::string, Ends> by_trouble_;
     std::map<std::string, Ends> by_tenant_;
     std::vector<Spell> troubles_;
-    std::map<std::string, std::size_t> on_;  // those that are on, to where they stand in troubles_
+    std::map<std::string, std::size_t>
+        active_troubles_;  // those that are on, to where they stand in troubles_
     std::map<int, OfServer> servers_;
-    std::map<int, std::map<std::string, std::size_t>> on_at_;
-    std::map<std::uint64_t, Open> open_;
-    std::map<std::string, std::vector<int>> out_;  // by part: the servers it was sent to and has no word from
+    std::map<int, std::map<std::string, std::size_t>> active_server_troubles_;
+    std::map<std::uint64_t, OpenRequest> open_requests_;
+    std::map<std::string, std::vector<int>>
+        outstanding_;  // by part: the servers it was sent to and has no word from
     std::vector<Slow> worst_;
     std::uint64_t sends_ = 0, parts_ = 0;
-    Time last_ = 0;
+    Time last_time_ = 0;
 };
 
 // The lines of a log that tell of one multiget, in words and with the time since it was asked. Empty: not in
--- a/src/lab/study/compare.hpp
+++ b/src/lab/study/compare.hpp
@@ -8,9 +8,9 @@
 
 struct Difference {
     double mean = 0;   // of second less first, over pairs
-    double least = 0;  // a bootstrap interval about it
-    double most = 0;
-    bool shown() const { return least > 0 || most < 0; }  // else no difference is shown
+    double lower = 0;  // a bootstrap interval about it
+    double upper = 0;
+    bool shown() const { return lower > 0 || upper < 0; }  // else no difference is shown
 };
 
 // `confidence` such as 0.95; the percentile bootstrap over pairs, drawn from the seed. Empty or unlike
--- a/src/lab/study/experiment.cpp
+++ b/src/lab/study/experiment.cpp
@@ -13,10 +13,10 @@
     std::atomic<std::size_t> next = 0;
     std::exception_ptr failure;
     std::mutex mutex;
-    const auto work = [&] {
-        for (auto mine = next++; mine < count && !stop; mine = next++) {
+    const auto worker = [&] {
+        for (auto index = next++; index < count && !stop; index = next++) {
             try {
-                job(mine);
+                job(index);
             } catch (...) {
                 const std::lock_guard lock(mutex);
                 if (!failure) failure = std::current_exception();
@@ -25,8 +25,8 @@
         }
     };
     std::vector<std::thread> pool;
-    for (unsigned i = 1; i < std::max(1U, threads); ++i) pool.emplace_back(work);
-    work();
+    for (unsigned i = 1; i < std::max(1U, threads); ++i) pool.emplace_back(worker);
+    worker();
     for (auto& thread : pool) thread.join();
     if (failure) std::rethrow_exception(failure);
 }
@@ -44,42 +44,43 @@
         outcomes.service.emplace_back(variants, std::vector<double>(seeds, -1));
         outcomes.broken.emplace_back(variants, 0);
     }
-    Progress seen{0, experiment.worlds.size() * variants * seeds, 0};
+    Progress progress_now{0, experiment.worlds.size() * variants * seeds, 0};
     std::mutex mutex;
-    const auto note = [&](std::size_t world, std::size_t variant, std::size_t seed, const Played& played) {
+    const auto record = [&](std::size_t world, std::size_t variant, std::size_t seed, const Played& played) {
         outcomes.service[world][variant][seed] = played.service;
         outcomes.broken[world][variant] += played.broken;
-        ++seen.done;
-        if (progress) progress(seen);
+        ++progress_now.done;
+        if (progress) progress(progress_now);
     };
     std::vector<std::size_t> jobs;
-    for (std::size_t job = 0; job < seen.of; ++job) {
+    for (std::size_t job = 0; job < progress_now.total; ++job) {
         const auto world = job / (variants * seeds), variant = job / seeds % variants, seed = job % seeds;
         const RunName name{ids[world], experiment.variants[variant].name,
                            experiment.worlds[world].world.seed + seed};
-        const auto kept = results != nullptr ? results->find(name) : std::nullopt;
-        if (!kept) {
+        const auto stored = results != nullptr ? results->find(name) : std::nullopt;
+        if (!stored) {
             jobs.push_back(job);
             continue;
         }
-        ++seen.found;
-        note(world, variant, seed, *kept);
+        ++progress_now.reused;
+        record(world, variant, seed, *stored);
     }
-    on_threads(jobs.size(), threads, stop, [&](std::size_t which) {
-        const auto job = jobs[which];
+    on_threads(jobs.size(), threads, stop, [&](std::size_t index) {
+        const auto job = jobs[index];
         const auto world = job / (variants * seeds), variant = job / seeds % variants, seed = job % seeds;
-        const auto& told = experiment.worlds[world];
-        const auto began = std::chrono::steady_clock::now();
+        const auto& named_world = experiment.worlds[world];
+        const auto start = std::chrono::steady_clock::now();
         const auto played =
-            play(tomls[world], told.path, experiment.variants[variant], told.world.seed + seed);
-        const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
+            play(tomls[world], named_world.path, experiment.variants[variant], named_world.world.seed + seed);
+        const double duration_s =
+            std::chrono::duration<double>(std::chrono::steady_clock::now() - start).count();
         const std::lock_guard lock(mutex);
         if (results != nullptr)
-            results->keep({ids[world], experiment.variants[variant].name, told.world.seed + seed}, played,
-                          took);
-        note(world, variant, seed, played);
+            results->save({ids[world], experiment.variants[variant].name, named_world.world.seed + seed},
+                          played, duration_s);
+        record(world, variant, seed, played);
     });
-    outcomes.whole = seen.done == seen.of;
+    outcomes.complete = progress_now.done == progress_now.total;
     return outcomes;
 }
 
--- a/src/lab/study/experiment.hpp
+++ b/src/lab/study/experiment.hpp
@@ -21,7 +21,7 @@
     int seeds = 10;  // from each world's own on
 };
 struct Progress {
-    std::size_t done = 0, of = 0, found = 0;  // found: kept by an earlier run
+    std::size_t done = 0, total = 0, reused = 0;  // found: kept by an earlier run
 };
 
 // service[world][variant][seed]; negative where it was not played. With `results` what it holds is not played
@@ -30,7 +30,7 @@
 struct Outcomes {
     std::vector<std::vector<std::vector<double>>> service;
     std::vector<std::vector<std::uint64_t>> broken;
-    bool whole = true;
+    bool complete = true;
 };
 Outcomes play_all(const Experiment& experiment, Results* results, unsigned threads,
                   const std::atomic<bool>& stop, const std::function<void(const Progress&)>& progress);
--- a/src/lab/study/hunt.hpp
+++ b/src/lab/study/hunt.hpp
@@ -16,28 +16,28 @@
 class Hunter {
 public:
     // `base`: all but the troubles stays as it is there. `most`: troubles in a world.
-    Hunter(World base, std::uint64_t seed, int most);
+    Hunter(World base, std::uint64_t seed, int max_troubles);
 
     std::vector<World> next(std::size_t count);  // the same until told() what came of them
     // How bad each of next()'s was: larger is worse. As many as next() gave, else std::invalid_argument.
-    void told(const std::vector<double>& how_bad);
+    void record_badness(const std::vector<double>& badness);
 
     const World& worst() const { return kept_.front().world; }
-    double how_bad() const { return kept_.front().bad; }
+    double worst_badness() const { return kept_.front().badness; }
     bool found() const { return !kept_.empty(); }
 
 private:
     struct Kept {
         World world;
-        double bad = 0;
+        double badness = 0;
     };
     Trouble draw();
     World vary(const World& world);
 
     const World base_;
-    const std::size_t most_;
+    const std::size_t max_troubles_;
     Chance chance_;
-    std::vector<World> out_;
+    std::vector<World> pending_;
     std::vector<Kept> kept_;  // worst first
 };
 
--- a/src/lab/study/results.cpp
+++ b/src/lab/study/results.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::int64_t kSchema = 1;
 
-std::string precise(double value) {
+std::string to_text(double value) {
     std::array<char, 40> text{};
     std::snprintf(text.data(), text.size(), "%.17g", value);
     return text.data();
@@ -42,8 +42,8 @@
     db_.run("CREATE TABLE IF NOT EXISTS lab_meta(schema INTEGER NOT NULL)");
     const auto schema = db_.run("SELECT schema FROM lab_meta");
     if (schema.empty()) {
-        const auto others = db_.run("SELECT count(*) FROM sqlite_master WHERE type = 'table'");
-        if (store::number_of(others[0][0]) > 1)
+        const auto tables = db_.run("SELECT count(*) FROM sqlite_master WHERE type = 'table'");
+        if (store::number_of(tables[0][0]) > 1)
             throw store::SqlError(store::SqlError::Kind::kSchema,
                                   path + " holds something else; name another file");
         db_.run("INSERT INTO lab_meta(schema) VALUES ($1)", {kSchema});
@@ -77,15 +77,15 @@
                   static_cast<std::uint64_t>(store::number_of(rows[0][1])), store::text_of(rows[0][2])};
 }
 
-void Results::keep(const RunName& run, const Played& played, double seconds) {
+void Results::save(const RunName& run, const Played& played, double seconds) {
     const auto now =
         std::chrono::duration_cast<std::chrono::seconds>(std::chrono::system_clock::now().time_since_epoch())
             .count();
     db_.run(
         "INSERT INTO runs(build, world, variant, seed, service, broken, totals, seconds, at) "
         "VALUES ($1, $2, $3, $4, $5, $6, $7, $8, $9) ON CONFLICT DO NOTHING",
-        {build_, run.world, run.variant, static_cast<std::int64_t>(run.seed), precise(played.service),
-         static_cast<std::int64_t>(played.broken), played.json, precise(seconds),
+        {build_, run.world, run.variant, static_cast<std::int64_t>(run.seed), to_text(played.service),
+         static_cast<std::int64_t>(played.broken), played.json, to_text(seconds),
          static_cast<std::int64_t>(now)});
 }
 
--- a/src/lab/study/results.hpp
+++ b/src/lab/study/results.hpp
@@ -33,7 +33,7 @@
 
     std::string add_world(const std::string& name, const std::string& toml_without_seed);
     std::optional<Played> find(const RunName& run);
-    void keep(const RunName& run, const Played& played, double seconds);
+    void save(const RunName& run, const Played& played, double seconds);
     std::uint64_t count();
 
 private:
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -21,7 +21,7 @@
 using namespace pinedoor;
 using namespace pinedoor::lab;
 
-const char* const kSmall = R"(
+const char* const kSmallWorld = R"(
 seconds = 4
 nodes = 3
 replicas = 3
@@ -49,7 +49,7 @@
 )";
 
 std::string troubles(std::initializer_list<const char*> kinds) {
-    std::string text = kSmall;
+    std::string text = kSmallWorld;
     for (const char* kind : kinds)
         text += "[[troubles]]\nkind = \"" + std::string(kind) +
                 "\"\nfrom_s = 1\nuntil_s = 2.5\nshare = 0.35\nevery_ms = 400\nfor_ms = 150\n" +
@@ -84,12 +84,12 @@
 
 TEST_CASE(
     "under every trouble each request has one end, none is lost, and what must not run twice does not") {
-    double calm = 0;
-    for (std::uint64_t seed = 1; seed <= 2; ++seed) calm += play(kSmall, seed).second.service();
-    CHECK(calm > 2 * 0.9);
+    double calm_service = 0;
+    for (std::uint64_t seed = 1; seed <= 2; ++seed) calm_service += play(kSmallWorld, seed).second.service();
+    CHECK(calm_service > 2 * 0.9);
     for (const auto& name : trouble_names()) {
         const char* kind = name.c_str();
-        double troubled = 0;
+        double service_under_fault = 0;
         for (std::uint64_t seed = 1; seed <= 2; ++seed) {
             CAPTURE(kind);
             CAPTURE(seed);
@@ -100,15 +100,15 @@
                 CHECK(each.lost == 0);
                 CHECK(each.whole + each.in_part + each.pushed_back + each.failed == each.asked);
             }
-            troubled += totals.service();
+            service_under_fault += totals.service();
         }
         CAPTURE(name);
         const std::set<std::string> harmless{"discovery-down", "rolling", "shift",
                                              "node-restarted", "reload",  "bad-clients"};
         if (name == "node-killed") CHECK(play(troubles({kind}), 1).second.node_kills == 1);
         if (!harmless.contains(name) && name != "node-killed" && name != "full")
-            CHECK(troubled < calm);  // the trouble is there
-        CHECK(troubled > 2 * 0.5);
+            CHECK(service_under_fault < calm_service);  // the trouble is there
+        CHECK(service_under_fault > 2 * 0.5);
     }
 }
 
@@ -117,27 +117,27 @@
     Chance chance(seed);
     const auto exponential = [&](double mean) { return -mean * std::log1p(-chance.one()); };
     ServerModel model(cores, 1'000'000);
-    std::vector<double> came;
-    std::multimap<double, int> ends;
-    double now = 0, next = exponential(1 / (load * cores)), waited = 0;
+    std::vector<double> arrival_times;
+    std::multimap<double, int> completions;
+    double now = 0, next_arrival = exponential(1 / (load * cores)), total_wait = 0;
     constexpr std::uint32_t kJobs = 400'000;
-    while (came.size() < kJobs) {
-        if (ends.empty() || next < ends.begin()->first) {
-            now = next;
-            next += exponential(1 / (load * cores));
-            came.push_back(now);
-            if (model.offer(static_cast<Job>(came.size() - 1)) == ServerModel::Taken::kBegun)
-                ends.emplace(now + exponential(1), 0);
+    while (arrival_times.size() < kJobs) {
+        if (completions.empty() || next_arrival < completions.begin()->first) {
+            now = next_arrival;
+            next_arrival += exponential(1 / (load * cores));
+            arrival_times.push_back(now);
+            if (model.offer(static_cast<Job>(arrival_times.size() - 1)) == ServerModel::Taken::kBegun)
+                completions.emplace(now + exponential(1), 0);
         } else {
-            now = ends.begin()->first;
-            ends.erase(ends.begin());
+            now = completions.begin()->first;
+            completions.erase(completions.begin());
             if (const auto job = model.ended()) {
-                waited += now - came[*job];
-                ends.emplace(now + exponential(1), 0);
+                total_wait += now - arrival_times[*job];
+                completions.emplace(now + exponential(1), 0);
             }
         }
     }
-    return waited / kJobs;
+    return total_wait / kJobs;
 }
 
 TEST_CASE("the server's queue waits as M/M/1 and M/M/c do") {
@@ -165,23 +165,23 @@
         ServerModel model(1, 1'000'000);
         constexpr std::uint32_t kJobs = 400'000;
         constexpr double kLoad = 0.7;
-        std::vector<double> came;
-        double now = 0, next = 0, ends = 1e300, waited = 0;
-        while (came.size() < kJobs) {
-            if (next < ends) {
-                now = next;
-                next += -std::log1p(-chance.one()) / kLoad;
-                came.push_back(now);
-                if (model.offer(static_cast<Job>(came.size() - 1)) == ServerModel::Taken::kBegun)
-                    ends = now + draw(chance);
+        std::vector<double> arrival_times;
+        double now = 0, next_arrival = 0, completion = 1e300, total_wait = 0;
+        while (arrival_times.size() < kJobs) {
+            if (next_arrival < completion) {
+                now = next_arrival;
+                next_arrival += -std::log1p(-chance.one()) / kLoad;
+                arrival_times.push_back(now);
+                if (model.offer(static_cast<Job>(arrival_times.size() - 1)) == ServerModel::Taken::kBegun)
+                    completion = now + draw(chance);
             } else {
-                now = ends;
+                now = completion;
                 const auto job = model.ended();
-                if (job) waited += now - came[*job];
-                ends = job ? now + draw(chance) : 1e300;
+                if (job) total_wait += now - arrival_times[*job];
+                completion = job ? now + draw(chance) : 1e300;
             }
         }
-        CHECK(waited / kJobs == doctest::Approx(kLoad * (1 + variation) / 2 / (1 - kLoad)).epsilon(0.04));
+        CHECK(total_wait / kJobs == doctest::Approx(kLoad * (1 + variation) / 2 / (1 - kLoad)).epsilon(0.04));
     }
 }
 
@@ -199,9 +199,9 @@
     Simulation(world, PolicyKind::kPinedoor, [&one](const std::string& line) { one += line; }).run();
     Simulation(again, PolicyKind::kPinedoor, [&two](const std::string& line) { two += line; }).run();
     CHECK(one == two);
-    CHECK_THROWS(World::from_text(kSmall, "w.toml", {{"clients.7.retries", "2"}}));
-    CHECK_THROWS(World::from_text(kSmall, "w.toml", {{"servers.count", "many"}}));
-    CHECK_THROWS(World::from_text(kSmall, "w.toml", {{"servers.counts", "3"}}));
+    CHECK_THROWS(World::from_text(kSmallWorld, "w.toml", {{"clients.7.retries", "2"}}));
+    CHECK_THROWS(World::from_text(kSmallWorld, "w.toml", {{"servers.count", "many"}}));
+    CHECK_THROWS(World::from_text(kSmallWorld, "w.toml", {{"servers.counts", "3"}}));
 }
 
 TEST_CASE(
@@ -221,13 +221,13 @@
     CHECK(again.clients[1].tries > again.clients[1].asked);
     CHECK(again.run_twice == 0);
     CHECK(again.broken() == 0);
-    const auto calm = totals_of(kSmall, {});
-    const auto bursts = totals_of(kSmall, {{"clients.0.burst_every_s", "1"},
-                                           {"clients.0.burst_for_s", "0.5"},
-                                           {"clients.0.burst_factor", "3"}});
+    const auto calm = totals_of(kSmallWorld, {});
+    const auto bursts = totals_of(kSmallWorld, {{"clients.0.burst_every_s", "1"},
+                                                {"clients.0.burst_for_s", "0.5"},
+                                                {"clients.0.burst_factor", "3"}});
     CHECK(static_cast<double>(bursts.clients[0].asked) ==
           doctest::Approx(2 * static_cast<double>(calm.clients[0].asked)).epsilon(0.15));
-    const auto left = totals_of(kSmall, {{"clients.0.leave_ms", "1"}});
+    const auto left = totals_of(kSmallWorld, {{"clients.0.leave_ms", "1"}});
     CHECK(left.clients[0].left > left.clients[0].asked / 2);
     CHECK(left.broken() == 0);
 }
@@ -235,8 +235,8 @@
 TEST_CASE(
     "tenants have their shares, heavy weights lie in few parts, a shift moves requests to a zone's nodes") {
     auto world = World::from_text(
-        std::string(kSmall) + "[[tenants]]\nname = \"a\"\nshare = 3\n[[tenants]]\nname = \"b\"\n", "w.toml",
-        {{"clients.0.heavy_weights", "true"}, {"clients.0.parts", "3"}, {"nodes", "7"}});
+        std::string(kSmallWorld) + "[[tenants]]\nname = \"a\"\nshare = 3\n[[tenants]]\nname = \"b\"\n",
+        "w.toml", {{"clients.0.heavy_weights", "true"}, {"clients.0.parts", "3"}, {"nodes", "7"}});
     Chance chance(3);
     int of_b = 0;
     double heaviest = 0, even = 0;
@@ -271,7 +271,7 @@
 
 TEST_CASE("cold keys, a call's own work, far zones and lost messages each make answers later") {
     const auto median = [](const World::Changes& changes) {
-        return Simulation(World::from_text(kSmall, "w.toml", changes)).run().clients[0].ms.quantile(0.5);
+        return Simulation(World::from_text(kSmallWorld, "w.toml", changes)).run().clients[0].ms.quantile(0.5);
     };
     const double plain = median({});
     CHECK(median({{"clients.0.keys", "100000"}, {"servers.keys_held", "1"}, {"servers.unheld_factor", "2"}}) >
@@ -318,14 +318,14 @@
     }
 }
 
-std::vector<Breach> judged(const std::string& log) {
+std::vector<Breach> breaches_of(const std::string& log) {
     RuleChecker checker;
     std::istringstream lines(log);
     for (std::string line; std::getline(lines, line);) checker.take(line);
     return checker.finish();
 }
 
-bool names(const std::vector<Breach>& found, Breach::Rule rule) {
+bool contains_rule(const std::vector<Breach>& found, Breach::Rule rule) {
     return std::any_of(found.begin(), found.end(), [rule](const Breach& each) { return each.rule == rule; });
 }
 
@@ -334,7 +334,7 @@
     using Rule = Breach::Rule;
     for (const char* kind : {"crash", "hang", "errors", "node-killed"}) {
         CAPTURE(kind);
-        const auto found = judged(play(troubles({kind}), 3).first);
+        const auto found = breaches_of(play(troubles({kind}), 3).first);
         for (const auto& each : found) {
             const auto what = name_of(each.rule) + " " + each.what;
             FAIL_CHECK(what);
@@ -347,96 +347,103 @@
         "0 kind 2 repeat deduped least 1 window 300\n"
         "10 ask 1 node 0 kind 0 until 900 parts 1:0.6 2:0.4\n11 send 1.1 node 0 server 4 number 0\n"
         "12 run 1.1 server 4\n20 back 1.1 returned\n";
-    const std::string end = "30 answer 1 part shards 1\n2000 done\n";
-    CHECK(judged(log + end).empty());
-    CHECK(names(judged(log + "2000 done\n"), Rule::kNoneLost));
-    CHECK(names(judged(log + "921 answer 1 part shards 1\n"), Rule::kNoneLost));
-    CHECK(names(judged(log + end + "40 push 1\n"), Rule::kNoneLost));
-    CHECK(names(judged(log + "30 answer 1 whole shards 1\n"), Rule::kHonestAnswers));
-    CHECK(names(judged(log + "30 answer 1 part shards 1 2\n"), Rule::kHonestAnswers));
-    CHECK(names(judged(log + "30 back 1.2 returned\n31 answer 1 part shards 2\n"), Rule::kHonestAnswers));
-    CHECK(names(judged(log + end + "40 push 77\n"), Rule::kHonestAnswers));
+    const std::string ending = "30 answer 1 part shards 1\n2000 done\n";
+    CHECK(breaches_of(log + ending).empty());
+    CHECK(contains_rule(breaches_of(log + "2000 done\n"), Rule::kNoneLost));
+    CHECK(contains_rule(breaches_of(log + "921 answer 1 part shards 1\n"), Rule::kNoneLost));
+    CHECK(contains_rule(breaches_of(log + ending + "40 push 1\n"), Rule::kNoneLost));
+    CHECK(contains_rule(breaches_of(log + "30 answer 1 whole shards 1\n"), Rule::kHonestAnswers));
+    CHECK(contains_rule(breaches_of(log + "30 answer 1 part shards 1 2\n"), Rule::kHonestAnswers));
+    CHECK(contains_rule(breaches_of(log + "30 back 1.2 returned\n31 answer 1 part shards 2\n"),
+                        Rule::kHonestAnswers));
+    CHECK(contains_rule(breaches_of(log + ending + "40 push 77\n"), Rule::kHonestAnswers));
     const std::string once = "40 ask 2 node 0 kind 1 until 900 parts 1:1\n41 run 2.1 server 4\n";
-    CHECK(judged(log + end + once + "50 fail 2\n").empty());
-    CHECK(names(judged(log + end + once + "45 run 2.1 server 5\n50 fail 2\n"), Rule::kNoEffectTwice));
-    const std::string marked = "40 ask 2 node 0 kind 2 until 900 parts 1:1\n41 run 2.1 server 4\n";
-    CHECK(judged(log + end + marked + "341 run 2.1 server 5\n350 fail 2\n").empty());
-    CHECK(names(judged(log + end + marked + "342 run 2.1 server 5\n350 fail 2\n"), Rule::kNoEffectTwice));
-    const std::string gone = "12 told 0 server 4 gone\n";
-    CHECK(judged(log + gone + "262 send 1.2 node 0 server 4 number 0\n" + end).empty());
-    CHECK(names(judged(log + gone + "263 send 1.2 node 0 server 4 number 0\n" + end), Rule::kDrainsKept));
-    CHECK(judged(log + gone + "20 told 0 server 4 ready\n263 send 1.2 node 0 server 4 number 0\n" + end)
+    CHECK(breaches_of(log + ending + once + "50 fail 2\n").empty());
+    CHECK(contains_rule(breaches_of(log + ending + once + "45 run 2.1 server 5\n50 fail 2\n"),
+                        Rule::kNoEffectTwice));
+    const std::string deduped = "40 ask 2 node 0 kind 2 until 900 parts 1:1\n41 run 2.1 server 4\n";
+    CHECK(breaches_of(log + ending + deduped + "341 run 2.1 server 5\n350 fail 2\n").empty());
+    CHECK(contains_rule(breaches_of(log + ending + deduped + "342 run 2.1 server 5\n350 fail 2\n"),
+                        Rule::kNoEffectTwice));
+    const std::string removed = "12 told 0 server 4 gone\n";
+    CHECK(breaches_of(log + removed + "262 send 1.2 node 0 server 4 number 0\n" + ending).empty());
+    CHECK(contains_rule(breaches_of(log + removed + "263 send 1.2 node 0 server 4 number 0\n" + ending),
+                        Rule::kDrainsKept));
+    CHECK(breaches_of(log + removed + "20 told 0 server 4 ready\n263 send 1.2 node 0 server 4 number 0\n" +
+                      ending)
               .empty());
     // What was told to a front node that was not there is unknown to the one that begins: it goes by its
     // known list.
-    CHECK(judged(log + "11 killed 0\n" + gone + "200 begun 0\n263 send 1.2 node 0 server 4 number 0\n" + end)
+    CHECK(breaches_of(log + "11 killed 0\n" + removed +
+                      "200 begun 0\n263 send 1.2 node 0 server 4 number 0\n" + ending)
               .empty());
-    std::string further = log, flood = log + "20 start 4\n";
+    std::string further = log, overload = log + "20 start 4\n";
     for (int i = 1; i <= 3; ++i) further += "2" + std::to_string(i) + " send 1.1 node 0 server 5 number 1\n";
-    CHECK(names(judged(further + end), Rule::kBudget));
-    CHECK(judged(further.substr(0, further.rfind("23 ")) + end).empty());
-    for (int i = 0; i < 9; ++i) flood += "21 reach 1.1 server 4\n";
-    CHECK(names(judged(flood + end), Rule::kNoColdServerOver));
-    CHECK(judged(flood.substr(0, flood.rfind("21 ")) + end).empty());
+    CHECK(contains_rule(breaches_of(further + ending), Rule::kBudget));
+    CHECK(breaches_of(further.substr(0, further.rfind("23 ")) + ending).empty());
+    for (int i = 0; i < 9; ++i) overload += "21 reach 1.1 server 4\n";
+    CHECK(contains_rule(breaches_of(overload + ending), Rule::kNoColdServerOver));
+    CHECK(breaches_of(overload.substr(0, overload.rfind("21 ")) + ending).empty());
 }
 
 // The module with a fault built in.
-class Faulty : public Policy {
+class DefectivePolicy : public Policy {
 public:
-    Faulty(char fault, const NodeTerms& terms)
-        : fault_(fault), inner_(make_policy(PolicyKind::kPinedoor, terms)) {}
+    DefectivePolicy(char defect, const NodeTerms& terms)
+        : defect_(defect), inner_(make_policy(PolicyKind::kPinedoor, terms)) {}
     std::vector<Action> turn(Time now, const std::vector<Event>& events) override {
         std::vector<Action> out;
         for (auto action : inner_->turn(now, events)) {
             if (auto* answer = std::get_if<Answer>(&action)) {
-                if (fault_ == 'l' && ++seen_ % 50 == 0) continue;
-                if (fault_ == 'h') answer->whole = true;
+                if (defect_ == 'l' && ++answers_ % 50 == 0) continue;
+                if (defect_ == 'h') answer->whole = true;
             }
             const auto* send = std::get_if<Send>(&action);
             out.push_back(action);
-            if (fault_ == 't' && send != nullptr) out.push_back(*send);
+            if (defect_ == 't' && send != nullptr) out.push_back(*send);
         }
         return out;
     }
 
 private:
-    char fault_;
-    int seen_ = 0;
+    char defect_;
+    int answers_ = 0;
     std::unique_ptr<Policy> inner_;
 };
 
 TEST_CASE("the checker finds a fault that is built into a front node") {
     using Rule = Breach::Rule;
-    for (const auto& [fault, rule] : {std::pair{'l', Rule::kNoneLost},
-                                      {'h', Rule::kHonestAnswers},
-                                      {'t', Rule::kNoEffectTwice},
-                                      {'t', Rule::kBudget}}) {
+    for (const auto& [defect, rule] : {std::pair{'l', Rule::kNoneLost},
+                                       {'h', Rule::kHonestAnswers},
+                                       {'t', Rule::kNoEffectTwice},
+                                       {'t', Rule::kBudget}}) {
         const auto world = World::from_text(troubles({"hang", "errors"}), "w.toml");
         RuleChecker checker;
         Simulation(
-            world, [f = fault](const NodeTerms& terms) { return std::make_unique<Faulty>(f, terms); },
+            world,
+            [f = defect](const NodeTerms& terms) { return std::make_unique<DefectivePolicy>(f, terms); },
             [&checker](const std::string& line) { checker.take(line); })
             .run();
-        CAPTURE(fault);
-        CHECK(names(checker.finish(), rule));
+        CAPTURE(defect);
+        CHECK(contains_rule(checker.finish(), rule));
     }
 }
 
 TEST_CASE("pairs show a difference that is there, and none where there is none") {
     Chance chance(5);
-    std::vector<double> a, b, c;
+    std::vector<double> baseline, better_variant, equal_variant;
     for (int i = 0; i < 40; ++i) {
-        const double day = chance.one();  // days differ more than variants do
-        a.push_back(day);
-        b.push_back(day + 0.01 + 0.01 * chance.one());
-        c.push_back(day + 0.02 * (chance.one() - 0.5));
+        const double world_service = chance.one();  // days differ more than variants do
+        baseline.push_back(world_service);
+        better_variant.push_back(world_service + 0.01 + 0.01 * chance.one());
+        equal_variant.push_back(world_service + 0.02 * (chance.one() - 0.5));
     }
-    const auto better = compare(a, b, 0.95, 1);
-    CHECK(better.shown());
-    CHECK(better.mean == doctest::Approx(0.015).epsilon(0.1));
-    CHECK(better.least < better.mean);
-    CHECK(!compare(a, c, 0.95, 1).shown());
-    CHECK_THROWS(compare(a, {}, 0.95, 1));
+    const auto difference = compare(baseline, better_variant, 0.95, 1);
+    CHECK(difference.shown());
+    CHECK(difference.mean == doctest::Approx(0.015).epsilon(0.1));
+    CHECK(difference.lower < difference.mean);
+    CHECK(!compare(baseline, equal_variant, 0.95, 1).shown());
+    CHECK_THROWS(compare(baseline, {}, 0.95, 1));
 }
 
 TEST_CASE("servers that turn everything away are their own trouble: the others answer in whole") {
@@ -472,7 +479,7 @@
 }
 
 TEST_CASE("a world with a mistake is refused with its line and key") {
-    const auto fault = [](const std::string& text) -> std::string {
+    const auto error_of = [](const std::string& text) -> std::string {
         try {
             World::from_text(text, "w.toml");
             return "none";
@@ -480,18 +487,18 @@
             return error.what();
         }
     };
-    CHECK(fault(kSmall) == "none");
-    CHECK(fault("seconds = 3\n") == "w.toml:1: clients are missing; write at least one [[clients]]");
-    CHECK(fault("node = 3\n[[clients]]\n") == "w.toml:1: node is unknown; did you mean nodes?");
-    CHECK(fault("[[clients]]\nparts = [5, 2]\n") ==
+    CHECK(error_of(kSmallWorld) == "none");
+    CHECK(error_of("seconds = 3\n") == "w.toml:1: clients are missing; write at least one [[clients]]");
+    CHECK(error_of("node = 3\n[[clients]]\n") == "w.toml:1: node is unknown; did you mean nodes?");
+    CHECK(error_of("[[clients]]\nparts = [5, 2]\n") ==
           "w.toml:2: clients.parts is no range; write [least, most]");
-    CHECK(fault("[[clients]]\n[[troubles]]\nkind = \"zone-lost\"\n") ==
+    CHECK(error_of("[[clients]]\n[[troubles]]\nkind = \"zone-lost\"\n") ==
           "w.toml:2: troubles.zone is missing; write which zone, from 0");
-    CHECK(fault("[servers]\ncount = 2\n[[clients]]\n") ==
+    CHECK(error_of("[servers]\ncount = 2\n[[clients]]\n") ==
           "w.toml:1: replicas are more than there are servers");
-    CHECK(fault("[[clients]]\n[[troubles]]\nkind = \"flood\"\n")
+    CHECK(error_of("[[clients]]\n[[troubles]]\nkind = \"flood\"\n")
               .starts_with("w.toml:3: troubles.kind is 'flood'; it must be"));
-    CHECK(fault("[[clients]]\n[[troubles]]\nfrom_s = 3\nuntil_s = 2\n") ==
+    CHECK(error_of("[[clients]]\n[[troubles]]\nfrom_s = 3\nuntil_s = 2\n") ==
           "w.toml:4: troubles.until_s is before from_s");
 }
 
