--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -1,7 +1,7 @@
-// What verdicts of the whole fleet bring and cost, in simulated time: the decision module, the deciders of
-// words and verdicts, and gossip as bytes, of many front nodes before servers of which a quarter hang. `./dev
-// bench fleet [NODES [ZONES]]`: with a number only that fleet. Membership is taken as known; loopback has the
-// processes (docs/fleet.md).
+// Measures the effect and the cost of fleet-wide verdicts in simulated time. Runs the decision module, the
+// exchange of reports and verdicts, and gossip as bytes on the wire, for many front nodes in front of servers
+// of which a quarter hang. Run with `./dev bench fleet [NODES [ZONES]]`; with NODES only that fleet is run.
+// Membership is assumed to be known; docs/fleet.md covers real processes on loopback.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -29,18 +29,18 @@
 
 struct Scenario {
     int nodes = 30;
-    double per_node = 5;  // multigets a second
+    double per_node = 5;  // multigets per second
     double loss = 0;
     bool verdicts = true;
-    double misreporting = 0;  // share of the nodes
+    double misreporting = 0;  // share of nodes that report the opposite of what they observe
     int zones = 1;
 };
 struct Result {
     Time left_after = -1, back_after = -1;
-    double share_after_2_s = 0;      // share of sends to hung servers, from 2 s on
-    double served = 0;               // in time, of what was asked while they hung
-    double bytes = 0, messages = 0;  // a node and second, while they hung
-    double wrongly_aside = 0;        // of node and sound server, in the mean, that a word had aside at a time
+    double share_after_2_s = 0;      // share of sends to hung servers, from 2 s after the start of the hang
+    double served = 0;               // share answered in time of the multigets asked during the hang
+    double bytes = 0, messages = 0;  // per node and second, during the hang
+    double wrongly_aside = 0;        // mean share of (node, healthy server) pairs set aside by reports
 };
 
 class Fleet {
@@ -120,14 +120,14 @@
         Time timer_due = 0, next_look = 0, last_read = 0;
         std::uint64_t changes = 0;
         Id next_multiget = 1;
-        std::map<std::pair<Id, int>, PendingSend> pending_sends;  // by part and send
-        std::map<Id, int> send_counts;                            // of a part
-        std::map<Id, Time> open_multigets;                        // multigets: when they came
+        std::map<std::pair<Id, int>, PendingSend> pending_sends;  // by part and send number
+        std::map<Id, int> send_counts;                            // sends so far, by part
+        std::map<Id, Time> open_multigets;                        // arrival time, by multiget
     };
     static peers::At at(int index) { return {1, static_cast<std::uint16_t>(index + 1)}; }
     static ServerId server(int index) { return {static_cast<std::uint32_t>(index + 1), 1}; }
     static std::string name_of(ServerId id) { return "s-" + std::to_string(id.address - 1); }
-    // One of the four that hold a shard.
+    // A quarter of the servers hang: one of the four replicas of each shard.
     static bool is_hang_target(ServerId id) { return (id.address - 1) / kShards == 1; }
     bool hangs(ServerId id) const { return now_ >= kHangStart && now_ < kHangEnd && is_hang_target(id); }
     double draw() { return static_cast<double>(random_() >> 11U) / static_cast<double>(1ULL << 53U); }
@@ -201,7 +201,7 @@
         for (Id i = 0; i < 6; ++i) node.send_counts.erase(multiget * 8 + i);
     }
 
-    // As service/fleet_side does.
+    // Same sequence as in service/fleet_side.
     void exchange_reports(Node& node) {
         node.next_look = now_ + kLookInterval;
         const bool changed = std::exchange(node.changes, node.gossip.changes()) != node.gossip.changes();
@@ -259,7 +259,7 @@
     std::map<std::string, int> zones_;
     std::vector<std::unique_ptr<Node>> nodes_;
     std::vector<std::pair<int, peers::Talk>> in_flight_;
-    std::map<Time, std::pair<double, double>> sends_;  // by turn: all, to hung servers
+    std::map<Time, std::pair<double, double>> sends_;  // by turn: all sends, sends to servers that hang
     std::uint64_t asked_in_hang_ = 0, in_time_ = 0, messages_ = 0, bytes_ = 0, wrongly_aside_ = 0,
                   pairs_checked_ = 0;
 };
--- a/bench/lab.cpp
+++ b/bench/lab.cpp
@@ -1,4 +1,5 @@
-// The laboratory's structures against plain ones, as ratios within one run; prints the tables of docs/lab.md.
+// Compares the laboratory's data structures with standard ones, as ratios within one run. Prints the tables
+// of docs/lab.md.
 #include <algorithm>
 #include <boost/histogram.hpp>
 #include <chrono>
@@ -21,7 +22,7 @@
     return std::chrono::duration<double>(Clock::now() - start).count();
 }
 
-struct QueuedEvent {  // as large as the simulation's
+struct QueuedEvent {  // same size as the simulation's events
     Time time = 0;
     std::uint64_t order = 0;
     std::uint32_t words[4] = {};
@@ -30,11 +31,11 @@
     }
 };
 
-// Holds `size` and, a million times, takes the next and pushes another: ns for each.
+// Keeps `size` events queued and, a million times, pops the next and pushes another; returns ns per pair.
 template <class Push, class Pop>
 double ns_per_pop_push(std::size_t size, Push push, Pop pop) {
     std::mt19937_64 chance(1);
-    const auto delay = [&chance] {  // most near, some as far as a time-out
+    const auto delay = [&chance] {  // mostly short delays, some as long as a timeout
         const auto draw = chance();
         return static_cast<Time>(draw % 8 == 0 ? 1 + draw / 8 % 8'000 : 1 + draw / 8 % 200);
     };
@@ -46,7 +47,7 @@
 }
 
 void measure_wheel() {
-    std::printf("\nTake the next event and push another, ns (median of 5, in turn)\n");
+    std::printf("\nPop the next event and push another, ns (median of 5, alternating)\n");
     std::printf("  %10s %12s %12s %8s\n", "held", "queue", "wheel", "ratio");
     for (const std::size_t size : {100U, 1'000U, 10'000U, 100'000U, 1'000'000U}) {
         std::vector<double> queues, wheels;
@@ -78,7 +79,7 @@
 }
 
 void measure_sketch() {
-    std::printf("\nA million times to an answer, then the 50th, 99th and 99.9th percentile\n");
+    std::printf("\nA million latencies added, then the 50th, 99th and 99.9th percentile read\n");
     std::printf("  %-28s %10s %10s %14s %12s\n", "way", "add, ns", "ask, us", "worst error", "bytes");
     std::mt19937_64 chance(1);
     std::lognormal_distribution<double> draw(2, 1.5);
@@ -123,7 +124,7 @@
     {
         namespace bh = boost::histogram;
         auto start = Clock::now();
-        // Its logarithmic axis needs its bounds beforehand: 0.001 ms to 1,000,000 ms, 1% wide.
+        // The logarithmic axis needs its bounds in advance: 0.001 ms to 1,000,000 ms, 1% wide.
         auto histogram =
             bh::make_histogram(bh::axis::regular<double, bh::axis::transform::log>(1'036, 0.001, 1'000'000));
         for (const double each : times) histogram(each);
--- a/bench/peers.cpp
+++ b/bench/peers.cpp
@@ -1,6 +1,7 @@
-// What membership costs and how well it finds out, in simulated time: this decider, plain SWIM (no local
-// health, no shortening by confirmation, no last look), and plain heartbeats. `./dev bench peers [SECONDS
-// [MEMBERS [FROM]]]`; with more than 300 members only the first table, from so many members on.
+// Measures the cost and the accuracy of membership in simulated time: this implementation, plain SWIM (no
+// local health, no shortening by confirmation, no last look) and plain heartbeats. Run with
+// `./dev bench peers [SECONDS [MEMBERS [FROM]]]`; with MEMBERS above 300 only the first table is printed, for
+// FROM members and more.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -14,14 +15,14 @@
 constexpr Time kSecond = 10'000;
 
 struct Row {
-    double known_after = -1;    // seconds until a death is known to all, median of three
-    double false_per_hour = 0;  // members that lived and were found dead, each once, in an hour of the fleet
-    double bytes = 0, messages = 0;  // a member and second, without whole states once they are known
+    double known_after = -1;         // seconds until all members know of a death, median of three
+    double false_per_hour = 0;       // live members declared dead, per hour of the fleet
+    double bytes = 0, messages = 0;  // per member and second, after the initial exchange of full states
 };
 
-// Each passes on that each has joined: that lasts the longer the more they are.
+// Waits until the announcements of the joins have subsided; their duration grows with the number of members.
 void wait_for_quiet(SimulatedPeers& fleet, int count) {
-    constexpr double kQuietRate = 1'000;  // bytes a member and second
+    constexpr double kQuietRate = 1'000;  // bytes per member and second
     const auto bytes = [&] {
         std::uint64_t sum = 0;
         for (int i = 0; i < count; ++i) sum += fleet.node(i).bytes;
@@ -32,7 +33,7 @@
         const auto before = bytes();
         fleet.run(5 * kSecond);
         rate = (bytes() - before) / 5 / count;
-        std::fprintf(stderr, "%.0f s: %.0f bytes a member and second\n",
+        std::fprintf(stderr, "%.0f s: %.0f bytes per member and second\n",
                      static_cast<double>(fleet.now()) / kSecond, rate);
     }
 }
@@ -45,7 +46,7 @@
     if (!fleet.run_until(120 * kSecond, [&] { return fleet.all_know(static_cast<std::size_t>(count)); }))
         return row;
     fleet.loss = loss;
-    fleet.run((count > 300 ? 60 : 150) * kSecond);  // past the first exchanges
+    fleet.run((count > 300 ? 60 : 150) * kSecond);  // skips the initial exchanges
     if (count > 300) wait_for_quiet(fleet, count);
     std::uint64_t sent = 0, bytes = 0;
     for (int i = 0; i < count; ++i) sent += fleet.node(i).sent, bytes += fleet.node(i).bytes;
@@ -56,7 +57,7 @@
             fleet.run(std::min(10 * kSecond, end - fleet.now()));
             continue;
         }
-        fleet.stop(member);  // for 3 s of every 10
+        fleet.stop(member);  // suspended for 3 s of every 10 s
         fleet.run(3 * kSecond);
         fleet.wake(member);
         fleet.run(7 * kSecond);
@@ -80,8 +81,9 @@
     return row;
 }
 
-// Everybody tells everybody each second, and who was not heard for five is dead: the simplest that could
-// work. False deaths are what the losses alone make of it, five on end, a pair of members at a time.
+// Baseline, computed rather than simulated: every member sends to every other member each second, and a
+// member is declared dead after five seconds without a message. False deaths come from message loss alone:
+// five consecutive losses between a pair of members.
 Row heartbeats(int count, double loss) {
     Row row;
     row.known_after = 5.5;
--- a/bench/scale.cpp
+++ b/bench/scale.cpp
@@ -1,6 +1,6 @@
-// What one front node needs as the fleet grows: its traffic stays the same, index servers become more. Real
-// sockets, the program itself; every index server is an address of 127.0.0.0/8 behind one listener. Prints
-// one row a fleet: CPU, memory, descriptors, connections, bytes of lists, share served.
+// Measures the resources of one front node with constant traffic as the number of index servers grows. Uses
+// the real program on real sockets; every index server is an address of 127.0.0.0/8 behind one listener.
+// Prints one row per fleet: CPU, memory, descriptors, connections, bytes of server lists and share served.
 #include <poll.h>
 
 #include <chrono>
@@ -23,7 +23,7 @@
 
 constexpr auto kRunTime = std::chrono::seconds(20);
 constexpr auto kChangeInterval = std::chrono::milliseconds(200);
-// A front node of three hundred sends some thirty attempts a second.
+// At this interval a front node in a fleet of 300 sends about thirty attempts per second.
 constexpr auto kRequestInterval = std::chrono::milliseconds(180);
 constexpr int kPartsPerRequest = 6;
 constexpr int kShardsPerPlace = 4;
@@ -55,7 +55,7 @@
     return text + "]}";
 }
 
-// Answers every part at once.
+// Stand-in for all index servers; answers every part immediately.
 class Servers {
 public:
     Servers() : listener_(net::listen_on({0, 0})) {
@@ -106,7 +106,8 @@
     std::thread thread_;
 };
 
-// Tells the whole list once a call, and then that one server changes, five times a second.
+// Stand-in for discovery: sends the whole server list once per call, then a change of one server every
+// kChangeInterval.
 class Discovery {
 public:
     Discovery(const Fleet& fleet, std::uint16_t port) : fleet_(fleet), port_(port) {
@@ -149,7 +150,7 @@
     std::thread thread_;
 };
 
-// A number of a process as /proc/PID/status tells it, behind its name.
+// Reads a numeric field of /proc/PID/status.
 long status_of(pid_t process, const std::string& name) {
     std::ifstream status("/proc/" + std::to_string(process) + "/status");
     for (std::string field; status >> field;) {
--- a/bench/start.cpp
+++ b/bench/start.cpp
@@ -1,5 +1,6 @@
-// What a front node that has just started turns away before idle servers, in simulated time: a table a row a
-// load, the first 2 s and 8 s. `./dev bench start`.
+// Measures the share of multigets that a newly started front node pushes back, answers in part or answers
+// late although the servers are idle, in simulated time. Prints one row per load, for the first 2 s and the
+// first 8 s. Run with `./dev bench start`.
 #include <cstdio>
 
 #include "closed_loop.hpp"
--- a/bench/store.cpp
+++ b/bench/store.cpp
@@ -1,8 +1,8 @@
-// The store of record's measurements, as ratios within one run; prints the tables of docs/store.md.
+// Benchmarks of the store of record. Compare ratios within one run. Prints the tables of docs/store.md.
 //
 //   pinedoor_bench_store [FOLDER [commits|recovery|latency|memory]]
 //
-// The files lie in the folder: on a disk, or in memory (default: the current one).
+// FOLDER, by default the current one, holds the files; it may be on a disk or in memory.
 #include <sys/resource.h>
 
 #include <algorithm>
@@ -55,7 +55,7 @@
     std::string folder;
 };
 
-// Entries a second through a backend, `at_once` in each write, one write after the other.
+// Entries per second written to a backend, with `at_once` entries in each write and one write at a time.
 double entries_per_second(Backend& backend, net::Scheduler& scheduler, std::size_t at_once,
                           double for_seconds) {
     bool open = false, done = false;
@@ -84,7 +84,7 @@
 }
 
 void measure_commits(const TempFolder& files) {
-    std::printf("\nOutcomes a second, one write after the other\n");
+    std::printf("\nOutcomes per second, one write at a time\n");
     std::printf("  %-12s %10s %10s %10s %10s\n", "store", "1 a write", "16", "128", "512");
     for (const bool postgres : {false, true}) {
         std::printf("  %-12s", postgres ? "PostgreSQL*" : "SQLite");
@@ -124,12 +124,12 @@
         std::printf(" %10.0f", static_cast<double>(number) / seconds_since(start));
     }
     std::printf(
-        "\n  * the stand-in of this repository, which keeps its rows in SQLite: its ratios tell, not its "
-        "figures\n");
+        "\n  * the stand-in of this repository, which stores its rows in SQLite: only its ratios are "
+        "meaningful\n");
 }
 
 void measure_recovery(const TempFolder& files) {
-    std::printf("\nRecovery of the spill: read and checked, then all of it into SQLite\n");
+    std::printf("\nRecovery of the spill: reading and checking, then replay into SQLite\n");
     std::printf("  %10s %10s %12s %12s %14s\n", "entries", "MB", "read, s", "replay, s", "entries/s");
     for (const std::uint64_t count : {1'000U, 10'000U, 100'000U}) {
         RealFiles real;
@@ -162,7 +162,7 @@
     }
 }
 
-// Open loop: multigets leave when they should, and their time counts from then.
+// Open loop: multigets are sent at fixed times, and latency counts from the scheduled time.
 struct Latencies {
     double median = 0, p99 = 0, missed = 0;
 };
@@ -201,7 +201,7 @@
 
 void measure_latency(const TempFolder& files, double for_seconds) {
     std::printf(
-        "\nTime to the answer, ms (median, 99th percentile, not answered), three runs in turn; `again` is "
+        "\nLatency, ms (median, 99th percentile, not answered), median of three alternating runs; `again` is "
         "not recorded\n");
     std::printf("  %-10s %6s %28s %28s %28s\n", "op type", "per s", "store off", "SQLite", "PostgreSQL*");
     for (const int per_second : {100, 2'000}) {
@@ -227,7 +227,7 @@
                     }
                     program.start().client();
                     if (kind > 0) program.counter_at("store_condition", 1);
-                    drive(program, op_type, 100, 0.5);  // warms up
+                    drive(program, op_type, 100, 0.5);  // warm-up
                     results[static_cast<std::size_t>(kind)].push_back(
                         drive(program, op_type, per_second, for_seconds));
                     program.kill(SIGTERM);
--- a/demo/main.cpp
+++ b/demo/main.cpp
@@ -1,6 +1,7 @@
-// Serves real multigets end to end on loopback: a front node with its store of record on, three stand-in
-// index servers, a discovery, and a client that prints what it asks and is told. In the middle the front node
-// dies by SIGKILL; then the client asks again, and the store tells what became of everything.
+// Serves real multigets end to end on loopback: a front node with its store of record enabled, three stand-in
+// index servers, a discovery stand-in, and a client that prints its requests and the answers. The front node
+// is killed with SIGKILL during a request; after its restart the client repeats its requests, and the store's
+// commands show the recorded outcomes.
 #include <cstdio>
 
 #include "stand_ins/counting.hpp"
@@ -38,10 +39,11 @@
     program.with_settings("[store]\nkind = \"sqlite\"\nfolder = \"@/store\"\nlease_ms = 1000\n").start();
     DemoClient demo{program};
     demo.print_step(
-        "A front node, three index servers and a discovery are up. `again` may run twice, `once` must not.");
+        "A front node, three index servers and a discovery are running. `again` may run twice, `once` must "
+        "not.");
     program.client();
     if (program.counter_at("servers_known", 3) != 3 || program.counter_at("store_condition", 1) != 1) {
-        std::fprintf(stderr, "demo: the front node did not come up\n%s", program.log().c_str());
+        std::fprintf(stderr, "demo: the front node did not start\n%s", program.log().c_str());
         return 1;
     }
     demo.send_request("again", {1, 2, 3, 4}, "read-a");
@@ -49,7 +51,7 @@
     demo.send_request("once", {5}, "booth-a", "a");
     demo.send_request("once", {6}, "booth-f", "f");
     demo.print_step(
-        "The next one runs at its server, which says nothing; in the middle of it the front node is killed.");
+        "The next request runs at a server that does not reply; the front node is killed while it waits.");
     auto client = program.client();
     client.say(post("once", "demo-killed", asks({7}, "booth-s"), 4'000, "Idempotency-Key: \"s\"\r\n"));
     const auto part_has_run = [&servers] {
@@ -59,17 +61,18 @@
     };
     for (int tries = 0; tries < 3'000 && !part_has_run(); ++tries) usleep(1'000);
     program.kill(SIGKILL);
-    std::printf("  asks 1 shard,  once  booth-s   key s\n    -> %s (the connection is gone)\n",
+    std::printf("  asks 1 shard,  once  booth-s   key s\n    -> %s (the connection is closed)\n",
                 client.answer().c_str());
     demo.print_step(
-        "It starts again and is asked again: what was answered is told again, what is in doubt is never run "
-        "again.");
+        "It restarts and the client repeats its requests: recorded answers are returned, and parts in doubt "
+        "are not "
+        "run again.");
     program.start().client();
     program.counter_at("store_condition", 1);
     demo.send_request("once", {5}, "booth-a", "a");
     demo.send_request("once", {7}, "booth-s", "s");
     const auto store = [&](const std::string& command) {
-        auto shown_command = command;  // without this run's own folder
+        auto shown_command = command;  // without the temporary folder of this run
         for (auto at = shown_command.find(program.folder()); at != std::string::npos;
              at = shown_command.find(program.folder()))
             shown_command.replace(at, program.folder().size() + 1, "");
@@ -80,7 +83,7 @@
         std::printf("\n$ pinedoor store %s\n%s", shown_command.c_str(), output.c_str());
         return output;
     };
-    demo.print_step("An operator looks, and settles what is in doubt by what the books say.");
+    demo.print_step("An operator lists the records and resolves the one in doubt from the server's books.");
     const auto in_doubt_list = store("list --state in-doubt");
     std::istringstream fields(in_doubt_list);
     std::string time, state, record;
@@ -100,7 +103,7 @@
         for (const auto& [text, runs] : server.runs())
             max_runs = text == "read-a" ? max_runs : std::max(max_runs, runs);
     }
-    std::printf("\nThe index servers ran no booth more than %d time.\n", max_runs);
+    std::printf("\nThe index servers ran each non-retriable part at most %d time.\n", max_runs);
     program.kill(SIGTERM);
     return program.wait() == 0 && max_runs == 1 && state == "in-doubt" ? 0 : 1;
 }
--- a/src/lab/commands.cpp
+++ b/src/lab/commands.cpp
@@ -39,7 +39,7 @@
     return std::chrono::duration<double>(Clock::now() - began).count();
 }
 
-// Set by SIGINT for as long as it lives; a second SIGINT ends the program as usual.
+// While an object exists, SIGINT sets flag(). A second SIGINT terminates the program as usual.
 class InterruptFlag {
 public:
     InterruptFlag() {
@@ -61,7 +61,8 @@
     struct sigaction before_ {};
 };
 
-class ProgressBar {  // of progress, where somebody looks at it
+// Progress bar on standard error; shown only if that is a terminal.
+class ProgressBar {
 public:
     explicit ProgressBar(const char* what) : what_(what), on_terminal_(isatty(2) != 0) {}
     ~ProgressBar() {
@@ -92,7 +93,7 @@
 
 bool is_world(const std::string& path) { return path.ends_with(".toml"); }
 
-// A log, made if the path is a world's.
+// A log file. If the path is a world's, the world is simulated and its log kept until destruction.
 struct RunLog {
     RunLog(const std::string& from, std::optional<std::uint64_t> seed, PolicyKind policy) : path(from) {
         if (!is_world(from)) {
@@ -154,7 +155,7 @@
     }
 }
 
-// Where a run's lines go: to a file, to the checker, to both, or nowhere.
+// Passes the log lines of a run to a file, to the checker, to both, or to neither.
 struct LogSink {
     explicit LogSink(const RunOptions& options) : path(options.log), check_rules(options.check) {
         if (path.empty()) return;
@@ -205,7 +206,7 @@
     std::printf(
         "  sends %llu, parts run %llu, run twice %llu; %llu events in %.2f s, %.1f times real time; %.0f%% "
         "of "
-        "it in the module, %.1f us a turn\n",
+        "it in the module, %.1f us per turn\n",
         static_cast<Number>(totals.sends), static_cast<Number>(totals.run),
         static_cast<Number>(totals.run_twice), static_cast<Number>(totals.events), duration_s,
         static_cast<double>(world.length) / 1e4 / duration_s, 100 * totals.turns_seconds / duration_s,
@@ -237,13 +238,15 @@
         return seconds / static_cast<double>(std::max<std::uint64_t>(1, tries)) * 1e6;
     };
     std::printf(
-        "  sends %llu, parts run %llu, run twice %llu; front nodes %.0f us of CPU a request, the laboratory "
-        "%.0f; %zu connections of clients%s%s\n",
+        "  sends %llu, parts run %llu, run twice %llu; front nodes %.0f us of CPU per request, the "
+        "laboratory "
+        "%.0f; %zu client connections%s%s\n",
         static_cast<Number>(totals.sends), static_cast<Number>(totals.run),
         static_cast<Number>(totals.run_twice), us_per_try(totals.node_cpu_seconds),
         us_per_try(totals.own_cpu_seconds), totals.most_connections,
-        totals.without_room > 0 ? (", " + std::to_string(totals.without_room) + " found none free").c_str()
-                                : "",
+        totals.without_room > 0
+            ? (", " + std::to_string(totals.without_room) + " requests found no free connection").c_str()
+            : "",
         totals.bad_exits > 0 ? ", A FRONT NODE DID NOT END WITH 0" : "");
     const int verdict = exit_code_of(log_lines, totals);
     return totals.bad_exits > 0 ? kExitRuleBroken : verdict;
@@ -277,7 +280,7 @@
     if (world.fleet.limit_per_second > 0) {
         over_limit = limit.worst_excess() > world.world.nodes;
         std::printf(
-            "limit: passed %.1f a second of %g; worst window %+.1f beyond rate and burst, %d allowed%s\n",
+            "limit: passed %.1f per second of %g; worst window %+.1f beyond rate and burst, %d allowed%s\n",
             static_cast<double>(limit.passed(0, world.world.length)) * 10'000 /
                 static_cast<double>(world.world.length),
             world.fleet.limit_per_second, limit.worst_excess(), world.world.nodes,
@@ -305,13 +308,13 @@
         const auto world = hunter.next();
         const double badness = play(world);
         hunter.told(badness);
-        std::fprintf(stderr, "%d of %d: %zu faults, %.3f; the worst so far %.3f\n", round, options.rounds,
+        std::fprintf(stderr, "%d of %d: %zu faults, badness %.3f; worst so far %.3f\n", round, options.rounds,
                      world.faults.size(), badness, hunter.worst_bad());
     }
     if (!hunter.worst()) return kExitInterrupted;
     auto worst = *hunter.worst();
     double found_badness = hunter.worst_bad();
-    // The first smaller world that is still nearly as bad is taken, until none is.
+    // Repeatedly replaces the world by the first reduction that is still at least keep_ratio times as bad.
     for (bool smaller = true; smaller && !InterruptFlag::flag();) {
         smaller = false;
         for (const auto& each : reductions(worst)) {
@@ -338,14 +341,15 @@
     std::ifstream log(path, std::ios::binary);
     if (!log) throw stated::BadStated(path + ": cannot be read; name a log that exists");
     const auto lines = life_of_node(log, node);
-    if (lines.empty()) throw stated::BadStated("there is no front node " + std::to_string(node) + " in it");
+    if (lines.empty())
+        throw stated::BadStated("there is no front node " + std::to_string(node) + " in the log");
     for (const auto& line : lines) std::printf("%s\n", line.c_str());
     return kExitSuccess;
 }
 
 namespace {
 
-// What the second before this one brought, and how the servers are: a letter each.
+// Prints the counts of the previous second and the state of each server as one letter.
 void print_second(const Timeline& run, const World& world, std::size_t second) {
     if (second == 0 || second > run.seconds().size()) return;
     const auto& s = run.seconds()[second - 1];
@@ -379,7 +383,7 @@
     }
     for (const auto& each : run.troubles()) active_faults += each.until < 0 ? ' ' + each.what : std::string();
     std::printf("       servers %s%s%s\n", server_letters.c_str(),
-                active_faults.empty() ? "" : "   now wrong:", active_faults.c_str());
+                active_faults.empty() ? "" : "   active faults:", active_faults.c_str());
     std::fflush(stdout);
 }
 
@@ -387,9 +391,9 @@
 
 int watch(const World& world, const std::string& program, const std::string& report_path) {
     std::printf(
-        "%s: %d index servers in %d zones, %d front nodes (real processes on loopback), for %.0f s.\nA "
+        "%s: %d index servers in %d zones, %d front nodes (real processes on loopback), for %.0f s.\nEach "
         "letter is a "
-        "server: X something is wrong with it in truth, ! sends there came to nothing, _ idle, . o O its "
+        "server: X faulty, ! sends to it failed, _ idle, . o O low to high "
         "load.\n\n",
         world.name.c_str(), world.servers.count, world.zones, world.nodes,
         static_cast<double>(world.length) / 1e4);
@@ -415,7 +419,7 @@
         const auto page = report_page(timeline, {world.name, world.to_toml(), subtitle});
         std::ofstream file(report_path, std::ios::binary);
         if (!(file << page) || !file.flush()) throw stated::BadStated(report_path + ": cannot be written");
-        std::printf("\nOpen %s in a browser: where the loss went, and when.\n", report_path.c_str());
+        std::printf("\nOpen %s in a browser for the report.\n", report_path.c_str());
     }
     return totals.broken() > 0 || !breaches.empty() || totals.bad_exits > 0 ? kExitRuleBroken : kExitSuccess;
 }
@@ -434,7 +438,7 @@
     Experiment experiment;
     for (const auto& path : options.worlds) experiment.worlds.push_back({path, World::read_file(path)});
     for (const auto& text : options.variants) experiment.variants.push_back(Variant::read(text));
-    for (const auto& world : experiment.worlds) {  // a mistake in a change is told before anything is played
+    for (const auto& world : experiment.worlds) {  // reports an invalid change before any run starts
         for (const auto& variant : experiment.variants)
             World::from_text(world.world.to_toml(), world.path, variant.changes);
     }
@@ -485,7 +489,7 @@
 
 namespace {
 
-// How bad a world is, over seeds; the larger the worse.
+// Mean badness of a world over the seeds; larger is worse.
 double badness(const World& world, const HuntOptions& options) {
     double sum = 0;
     for (int i = 0; i < options.seeds; ++i) {
@@ -550,8 +554,8 @@
     auto smallest = hunter.worst();
     const double min_badness = hunter.worst_badness() * options.keep_ratio;
     double current_badness = hunter.worst_badness();
-    for (bool smaller = true;
-         smaller && !InterruptFlag::flag();) {  // the first that still shows it, in their order
+    // Takes the first reduction, in order, that still shows the effect.
+    for (bool smaller = true; smaller && !InterruptFlag::flag();) {
         smaller = false;
         const auto candidates = reductions(smallest);
         for (std::size_t from = 0; from < candidates.size() && !smaller; from += threads) {
@@ -582,7 +586,7 @@
 }
 
 int scale(const World& world, const std::string& what, const std::vector<double>& factors) {
-    std::printf("%s, %s times the factor\n", world.name.c_str(), what.c_str());
+    std::printf("%s, %s multiplied by the factor\n", world.name.c_str(), what.c_str());
     std::printf("  %8s %8s %9s %10s %10s %12s %12s %9s\n", "factor", "service", "asked", "sends", "CPU s",
                 "module us/req", "module us/turn", "MB");
     std::vector<double> log_factors, log_module_times, log_cpu_times;
@@ -591,14 +595,14 @@
         const auto times = [factor](int count) {
             return std::max(1, static_cast<int>(std::lround(count * factor)));
         };
-        if (what == "servers" || what == "fleet") {  // and what they bear
+        if (what == "servers" || what == "fleet") {  // with the load scaled alike
             scaled.servers.count = times(world.servers.count);
             scaled.shards = times(world.shards);
             for (auto& each : scaled.clients) each.per_second *= factor;
         }
         if (what == "nodes" || what == "fleet") scaled.nodes = times(world.nodes);
         if (what == "parts") {
-            for (auto& each : scaled.clients) {  // so many more parts, so many fewer requests
+            for (auto& each : scaled.clients) {  // more parts per request, fewer requests
                 each.parts.a *= factor;
                 each.parts.b *= factor;
                 each.per_second /= factor;
@@ -608,8 +612,8 @@
             double service = 0, cpu = 0, module = 0, turns = 0, asked = 0, sends = 0, mb = 0;
         } result;
         int pipe_ends[2];
-        if (pipe(pipe_ends) != 0) throw stated::BadStated("no pipe");
-        const pid_t child = fork();  // a process of its own, so its memory is its own
+        if (pipe(pipe_ends) != 0) throw stated::BadStated("cannot create a pipe");
+        const pid_t child = fork();  // a separate process, so that its memory is measured alone
         if (child == 0) {
             const auto totals = Simulation(scaled).run();
             rusage used{};
@@ -631,7 +635,7 @@
         int status = 0;
         waitpid(child, &status, 0);
         if (bytes_read != sizeof result || status != 0)
-            throw stated::BadStated("a run ended without its figures");
+            throw stated::BadStated("a run ended without reporting its results");
         std::printf("  %8.2f %8.4f %9.0f %10.0f %10.2f %13.1f %14.2f %9.0f\n", factor, result.service,
                     result.asked, result.sends, result.cpu, result.module / std::max(1.0, result.asked) * 1e6,
                     result.module / std::max(1.0, result.turns) * 1e6, result.mb);
@@ -653,7 +657,7 @@
         }
         return denominator > 0 ? numerator / denominator : 0;
     };
-    std::printf("  time a request grows as the factor to the power of %.2f in the module, %.2f in all\n",
+    std::printf("  time per request grows as the factor to the power of %.2f in the module, %.2f in all\n",
                 slope(log_module_times), slope(log_cpu_times));
     return kExitSuccess;
 }
@@ -664,16 +668,17 @@
     if (!multiget) {
         const auto worst = log.read().worst(1);
         if (worst.empty()) {
-            std::printf("every multiget was answered in time; name one by its number\n");
+            std::printf("every multiget was answered in time; give the number of one\n");
             return kExitSuccess;
         }
         multiget = worst[0].multiget;
-        std::printf("of those that went worst, number %llu: %s after %.1f ms\n",
+        std::printf("one of the worst multigets, number %llu: %s after %.1f ms\n",
                     static_cast<Number>(*multiget), worst[0].end.c_str(),
                     static_cast<double>(worst[0].latency) / 10);
     }
     const auto life = life_of(log.path, *multiget);
-    if (life.empty()) throw stated::BadStated("there is no multiget " + std::to_string(*multiget) + " in it");
+    if (life.empty())
+        throw stated::BadStated("there is no multiget " + std::to_string(*multiget) + " in the log");
     for (const auto& line : life) std::printf("%s\n", line.c_str());
     return kExitSuccess;
 }
--- a/src/lab/read/checker.cpp
+++ b/src/lab/read/checker.cpp
@@ -10,7 +10,7 @@
 constexpr int kMaxBreachesPerRule = 100;
 constexpr double kShareTolerance = 0.00005;
 
-// "17.3": the multiget and the shard.
+// Reads a part identifier such as "17.3": multiget number and shard.
 std::pair<std::uint64_t, int> read_part(std::istringstream& fields) {
     std::uint64_t multiget = 0;
     char dot = 0;
@@ -19,7 +19,7 @@
     return {multiget, shard};
 }
 
-// The number behind a word that is expected there.
+// Skips a field name and reads the value that follows it.
 template <class Number>
 Number read_value(std::istringstream& fields) {
     std::string name;
@@ -56,19 +56,19 @@
     const auto found = multigets_.find(number);
     const auto name = "multiget " + std::to_string(number);
     if (found == multigets_.end()) {
-        record_breach(Rule::kHonestAnswers, time, name + ", which nobody asked for, " + event);
+        record_breach(Rule::kHonestAnswers, time, name + ", which has no \"ask\" line, " + event);
         return nullptr;
     }
     auto& multiget = found->second;
     if (multiget.ended) {
-        record_breach(Rule::kNoneLost, time, name + " " + event + " though it has ended");
+        record_breach(Rule::kNoneLost, time, name + " " + event + " after it had already ended");
         return nullptr;
     }
     multiget.ended = true;
     record_ratio(Rule::kNoneLost, static_cast<double>(std::max<Time>(0, time - multiget.deadline)),
                  static_cast<double>(grace_));
     if (time > multiget.deadline + grace_)
-        record_breach(Rule::kNoneLost, time, name + " " + event + " after its time");
+        record_breach(Rule::kNoneLost, time, name + " " + event + " after its deadline");
     return &multiget;
 }
 
@@ -132,7 +132,7 @@
         end_multiget(time, number,
                      what == "push"   ? "is pushed back"
                      : what == "fail" ? "has failed"
-                                      : "is gone");
+                                      : "lost its connection");
     } else if (what == "told") {
         int node = 0;
         fields >> node;
@@ -147,8 +147,8 @@
         fields >> server;
         cold_servers_[server] = {time, {}};
     } else if (what == "killed" || what == "begun") {
-        // Another process, which is told all anew; what was told to nobody, between the two, counts for
-        // nothing.
+        // The new process receives its server list from scratch, so state recorded for the previous
+        // process, or while none was running, does not apply to it.
         int node = 0;
         fields >> node;
         nodes_[node] = {};
@@ -166,14 +166,15 @@
     std::size_t parts = 0;
     for (int shard = 0; fields >> shard; ++parts) {
         if (!multiget->returned.contains(shard))
-            record_breach(Rule::kHonestAnswers, time,
-                          name + " is answered with shard " + std::to_string(shard) + ", which is not in");
+            record_breach(
+                Rule::kHonestAnswers, time,
+                name + " is answered with shard " + std::to_string(shard) + ", which has not returned");
         weight_sum += multiget->weights.contains(shard) ? multiget->weights.at(shard) : 0;
     }
     if (completeness == "whole" && parts < multiget->weights.size())
-        record_breach(Rule::kHonestAnswers, time, name + " is called whole and is not");
+        record_breach(Rule::kHonestAnswers, time, name + " is answered as whole but lacks parts");
     if (weight_sum + kShareTolerance < kinds_[multiget->kind].least_share)
-        record_breach(Rule::kHonestAnswers, time, name + " is answered below its least share");
+        record_breach(Rule::kHonestAnswers, time, name + " is answered below its least_share");
 }
 
 void RuleChecker::check_send(Time time, std::istringstream& fields) {
@@ -188,8 +189,8 @@
     if (const auto removed = node.removed.find(server);
         removed != node.removed.end() && time > removed->second + drain_time_) {
         record_breach(Rule::kDrainsKept, time,
-                      name + " is sent to server " + std::to_string(server) + ", told gone at " +
-                          std::to_string(removed->second));
+                      name + " is sent to server " + std::to_string(server) +
+                          ", which was reported removed at " + std::to_string(removed->second));
     }
     if (send_number == 0 || budget_window_ == 0) return;
     node.further_sends.push_back(time);
@@ -204,14 +205,15 @@
     if (static_cast<double>(node.further_sends.size()) >
         budget_floor_ + budget_ratio_ * node.accepted_sum + 1e-9) {
         record_breach(Rule::kBudget, time,
-                      name + " is sent again as number " + std::to_string(node.further_sends.size()) +
-                          " of the window, which allows " +
+                      name + " is sent further as number " + std::to_string(node.further_sends.size()) +
+                          " of the window; allowed: " +
                           std::to_string(budget_floor_ + budget_ratio_ * node.accepted_sum));
     }
 }
 
-// What a cold server bears grows with its warmth; it goes down when it is sent a multiple of that for a
-// while.
+// A cold server's sustained throughput grows linearly from the share cold_from to the full rate while it
+// warms up. The rule is broken when it receives more than `fall` times that throughput within a span of
+// `tip`.
 void RuleChecker::check_reach(Time time, std::istringstream& fields) {
     read_part(fields);
     const int server = read_value<int>(fields);
@@ -232,8 +234,8 @@
     if (static_cast<double>(cold.arrivals.size()) > limit + 1) {
         record_breach(Rule::kNoColdServerOver, time,
                       "cold server " + std::to_string(server) + " was sent " +
-                          std::to_string(cold.arrivals.size()) + " parts within its span, over " +
-                          std::to_string(limit));
+                          std::to_string(cold.arrivals.size()) +
+                          " parts within the span; limit: " + std::to_string(limit));
         cold.arrivals.clear();
     }
 }
@@ -242,7 +244,7 @@
     const auto part = read_part(fields);
     const auto found = multigets_.find(part.first);
     if (found == multigets_.end()) {
-        record_breach(Rule::kNoEffectTwice, time, "a part runs that nobody asked for");
+        record_breach(Rule::kNoEffectTwice, time, "a part runs without an \"ask\" line for its multiget");
         return;
     }
     const auto& kind = kinds_[found->second.kind];
@@ -255,14 +257,15 @@
     if (repeated) {
         record_breach(Rule::kNoEffectTwice, time,
                       "shard " + std::to_string(part.second) + " of multiget " + std::to_string(part.first) +
-                          " runs again, first at " + std::to_string(runs.front()));
+                          " runs again; first run at " + std::to_string(runs.front()));
     }
 }
 
 std::vector<Breach> RuleChecker::finish() {
     for (const auto& [number, multiget] : multigets_) {
         if (!multiget.ended && last_time_ > multiget.deadline + grace_)
-            record_breach(Rule::kNoneLost, last_time_, "multiget " + std::to_string(number) + " has no end");
+            record_breach(Rule::kNoneLost, last_time_,
+                          "multiget " + std::to_string(number) + " has not ended");
     }
     return std::move(breaches_);
 }
--- a/src/lab/read/checker.hpp
+++ b/src/lab/read/checker.hpp
@@ -1,16 +1,16 @@
-// Checks the six rules by a run's log alone. It shares no code with the module, the front node or the
-// simulation: a log that was edited, or made by somebody else, is judged alike.
+// Checks the six rules against the log of a run. The checker shares no code with the decision module, the
+// front node or the simulation, so it also accepts logs that were edited or written by another program.
 //
-// A line is a time (tenths of a millisecond) and one of these; M is a multiget, s a shard, N a front node, V
-// a server, and all else that a log says is passed over:
+// Each line is a time in tenths of a millisecond followed by one of the entries below. M is a multiget, s a
+// shard, N a front node and V a server. Other entries are ignored.
 //   world cold_from C warm_after W fall F tip T rate R floor B ratio Q look_back L stop S grace G
 //   kind K repeat retriable|deduped|non-retriable least L window W
 //   ask M node N kind K until U parts s:weight s:weight ...
-//   same M as M2 (M2 is the first try of what M asks for again)
+//   same M as M2 (M is a retry; M2 is the first try of the same request)
 //   send M.s node N server V number I        reach M.s server V        run M.s server V
 //   back M.s returned|...                    answer M whole|part shards s s ...
-//   push M    fail M    gone M (its connection ended with its node)
-//   told N server V ready|gone    start V    killed N    begun N (again, after it was killed or ended)
+//   push M    fail M    gone M (its connection closed because its front node ended)
+//   told N server V ready|gone    start V    killed N    begun N (restarted after it was killed or had ended)
 #pragma once
 
 #include <cstdint>
@@ -23,6 +23,7 @@
 
 namespace pinedoor::lab {
 
+// One violation of a rule.
 struct Breach {
     enum class Rule {
         kNoneLost,
@@ -32,17 +33,19 @@
         kHonestAnswers,
         kBudget
     } rule;
-    std::string what;  // the time, and in words what happened
+    std::string what;  // the time of the violation and a description
 };
 std::string name_of(Breach::Rule rule);
 
+// Reads a log line by line and collects the violations.
 class RuleChecker {
 public:
     void take(const std::string& line);
-    std::vector<Breach> finish();  // the first hundred of each rule
-    // How near the run came to breaking a rule that has a measure: what was seen of what is allowed, so above
-    // 1 is broken. Further sends of their budget, parts of what a cold server bears, sends after a server was
-    // told gone of the time for that, ends after their time of the grace.
+    std::vector<Breach> finish();  // call after the last line; returns at most 100 violations per rule
+    // The highest ratio of observed to allowed for a rule that has a numeric limit; above 1 the rule is
+    // broken. The ratios are: further sends to their budget, parts received to the limit of a cold server,
+    // the delay of a send after its server was reported removed to the drain time, and the delay of an end
+    // after its deadline to the grace time.
     double nearest(Breach::Rule rule) const {
         const auto found = highest_ratio_.find(rule);
         return found == highest_ratio_.end() ? 0 : found->second;
@@ -63,7 +66,7 @@
         bool ended = false;
     };
     struct Node {
-        std::map<int, Time> removed;  // servers told gone, and when
+        std::map<int, Time> removed;  // servers reported removed, and when
         std::deque<std::pair<Time, double>> accepted;
         double accepted_sum = 0;
         std::deque<Time> further_sends;
@@ -86,7 +89,7 @@
     std::map<int, Kind> kinds_;
     std::map<std::uint64_t, Multiget> multigets_;
     std::map<std::uint64_t, std::uint64_t> first_tries_;
-    std::map<std::pair<std::uint64_t, int>, std::vector<Time>> runs_;  // by the first try
+    std::map<std::pair<std::uint64_t, int>, std::vector<Time>> runs_;  // start times by (first try, shard)
     std::map<int, Node> nodes_;
     std::map<int, ColdServer> cold_servers_;
     std::vector<Breach> breaches_;
--- a/src/lab/read/report.cpp
+++ b/src/lab/read/report.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr Time kSecond = 10'000;
-constexpr std::size_t kMaxChartServers = 60;  // rows of the picture of servers; those with most trouble first
+constexpr std::size_t kMaxChartServers = 60;  // rows in the server chart, most affected servers first
 
 std::string escaped(const std::string& text) {
     std::string out;
@@ -40,9 +40,9 @@
 
 struct Plot {
     std::string name, title, axis;
-    std::vector<std::string> columns;       // what they mean
-    std::vector<std::string> styles;        // gnuplot's, one each
-    std::vector<std::vector<double>> rows;  // by second; NaN: nothing there
+    std::vector<std::string> columns;       // legend texts
+    std::vector<std::string> styles;        // gnuplot style of each column
+    std::vector<std::vector<double>> rows;  // one row per second; NaN where there is no value
     bool logarithmic = false;
 };
 
@@ -76,7 +76,7 @@
         const auto& s = run.seconds()[i];
         const auto d = [](std::uint64_t count) { return static_cast<double>(count); };
         const auto failures = s.ends.failed + s.ends.gone + s.ends.lost;
-        // Stacked: the topmost is drawn first and holds all below it.
+        // Stacked areas: values are cumulative, and the topmost area is drawn first.
         const double in_time = d(s.ends.whole) + d(s.ends.in_part) - d(s.ends.late);
         const double whole = std::max(0.0, in_time - d(s.ends.in_part));
         ends.rows.push_back({whole, in_time, in_time + d(s.ends.late),
@@ -93,7 +93,7 @@
     return {ends, times, sends};
 }
 
-// gnuplot's script for one plot, the troubles as grey bands with their names.
+// The gnuplot script of one plot. Faults are drawn as labelled grey bands.
 std::string script_of(const Plot& plot, const Timeline& run, const std::string& terminal,
                       const std::string& output_path) {
     std::ostringstream out;
@@ -140,7 +140,7 @@
     output << std::ifstream(folder + "/gnuplot.out").rdbuf();
     std::filesystem::remove(folder + "/gnuplot.out");
     if (code != 0)
-        throw stated::BadStated("gnuplot failed; install Debian's package gnuplot-nox (it said: " +
+        throw stated::BadStated("gnuplot failed; install Debian's package gnuplot-nox (its output: " +
                                 output.str().substr(0, 200) + ")");
     std::filesystem::remove(file);
 }
@@ -149,7 +149,7 @@
     TempFolder() {
         std::string name = (std::getenv("TMPDIR") != nullptr ? std::getenv("TMPDIR") : "/tmp");
         name += "/pinedoor-report-XXXXXX";
-        if (mkdtemp(name.data()) == nullptr) throw stated::BadStated(name + ": cannot be made");
+        if (mkdtemp(name.data()) == nullptr) throw stated::BadStated(name + ": cannot be created");
         path = name;
     }
     ~TempFolder() { std::filesystem::remove_all(path); }
@@ -179,8 +179,8 @@
     out << "</table></div>\n";
 }
 
-// A row for each server, a column for each second: how much came to nothing good there, what it had in truth
-// (a line above), and when front nodes put it aside (a dot).
+// SVG chart with a row for each server and a column for each second: the share of failed sends (red), the
+// faults actually present (a line at the top of the row), and when front nodes set the server aside (a dot).
 std::string server_chart(const Timeline& run) {
     std::vector<std::pair<std::uint64_t, int>> ranked;
     for (const auto& [id, server] : run.servers()) {
@@ -232,7 +232,7 @@
         << " y=" << kRow * static_cast<double>(shown) + 14 << " font-size=10>" << seconds
         << " s</text></svg>\n";
     if (shown < ranked.size())
-        out << "<p>The " << shown << " with most trouble of " << ranked.size() << ".</p>\n";
+        out << "<p>The " << shown << " most affected servers of " << ranked.size() << ".</p>\n";
     return out.str();
 }
 
@@ -283,9 +283,10 @@
     for (const auto& [name, ends] : run.ends_by_trouble()) troubles.emplace_back(name, ends);
     std::stable_sort(troubles.begin(), troubles.end(),
                      [](const auto& a, const auto& b) { return a.second.bad() > b.second.bad(); });
-    out << "<h2>Where the loss went</h2>\n<p>Every try of a client counts here. A late answer counts among "
-           "the whole or "
-           "partial ones too.</p>\n";
+    out << "<h2>Where the loss went</h2>\n<p>Every try of a client is counted. A late answer is also counted "
+           "as "
+           "whole or "
+           "in part.</p>\n";
     table_of_ends(out, "by client", kinds);
     out << "<br>\n";
     if (!run.ends_by_tenant().empty()) {
@@ -293,18 +294,19 @@
         out << "<br>\n";
     }
     table_of_ends(out, "by what was wrong when it was asked", troubles);
-    out << "<h2>Over time</h2>\n<p>Grey bands are troubles. Each second shows what became of the requests "
+    out << "<h2>Over time</h2>\n<p>Grey bands are faults. Each second shows the outcomes of the requests "
            "asked in "
            "it.</p>\n";
     for (const auto& plot : plots)
         out << "<div class=wide>" << svg_of(folder.path + '/' + plot.name + ".svg") << "</div>\n";
-    out << "<h2>Servers, as they were and as they were seen</h2>\n<p>A row is a server, a column a second. "
+    out << "<h2>Servers, as they were and as they were seen</h2>\n<p>Each row is a server, each column a "
+           "second. "
            "Red: sends "
-           "there came to nothing good. A blue line: something was wrong with it in truth. A dot: a front "
-           "node put it "
+           "to the server failed. Blue line: the server was actually faulty. Dot: a front "
+           "node set it "
            "aside.</p>\n<div class=wide>"
         << server_chart(run) << "</div>";
-    out << "<h2>The worst</h2>\n<p><code>pinedoor-lab replay</code> tells the life of each.</p>\n<div "
+    out << "<h2>The worst</h2>\n<p><code>pinedoor-lab replay</code> prints the history of each.</p>\n<div "
            "class=wide><table>"
            "<tr><th>multiget<th>end<th>after</tr>\n";
     for (const auto& each : run.worst(12))
--- a/src/lab/read/report.hpp
+++ b/src/lab/read/report.hpp
@@ -1,4 +1,4 @@
-// A run as one HTML file that needs no network, and its plots by gnuplot.
+// Renders a run as one self-contained HTML file, with plots drawn by gnuplot.
 #pragma once
 
 #include <string>
@@ -7,16 +7,17 @@
 
 namespace pinedoor::lab {
 
+// Texts shown in the report beside the data of the run.
 struct ReportText {
     std::string title;
-    std::string world_toml;  // empty: the log's maker is not known
+    std::string world_toml;  // empty: the world is unknown and its section is left out
     std::string subtitle;    // such as "seed 3, pinedoor: service 0.9998"
 };
 
-// The page. Throws stated::BadStated if gnuplot is missing or fails.
+// Returns the HTML page. Throws stated::BadStated if gnuplot is missing or fails.
 std::string report_page(const Timeline& run, const ReportText& text);
-// ends.svg, latency.svg, sends.svg, and the same as PNG, in a folder that is made if need be. Throws
-// likewise.
+// Writes ends.svg, latency.svg and sends.svg, and the same plots as PNG, to `folder`, which is created if
+// missing. Throws stated::BadStated if gnuplot is missing or fails.
 void write_plots(const Timeline& run, const std::string& folder);
 
 }  // namespace pinedoor::lab
--- a/src/lab/read/timeline.cpp
+++ b/src/lab/read/timeline.cpp
@@ -78,7 +78,7 @@
     } else if (what == "back") {
         std::string part, status;
         fields >> part >> status;
-        // Which of several sends it is of is not in the log: the oldest is taken for it.
+        // The log does not say which of several sends this result belongs to; the oldest is assumed.
         const auto found = outstanding_.find(part);
         if (found == outstanding_.end()) return;
         if (status != "returned" && status != "cancelled")
@@ -117,7 +117,7 @@
     auto& asked_second = second(open.asked);
     const Time latency = time - open.asked;
     const bool late = event == "answer" && latency > budgets_[open.kind];
-    Ends no_tenant;  // for who has no tenant
+    Ends no_tenant;  // receives the counts of requests without a tenant
     for (auto* ends : {&asked_second.ends, &by_kind_[open.kind],
                        open.tenant.empty() ? &no_tenant : &by_tenant_[open.tenant],
                        &by_trouble_[open.troubles.empty() ? "calm" : open.troubles]}) {
@@ -188,10 +188,10 @@
         std::string text;
         if (what == "ask") text = "is asked:" + rest;
         if (what == "same")
-            text = "asks again for what " + rest.substr(rest.find("as ") + 3) + " asked for first";
+            text = "repeats the request of " + rest.substr(rest.find("as ") + 3) + " (the first try)";
         if (what == "send") text = part + " is sent," + rest;
-        if (what == "reach") text = part + " comes to" + rest;
-        if (what == "run") text = part + " is begun at" + rest;
+        if (what == "reach") text = part + " arrives at" + rest;
+        if (what == "run") text = part + " starts at" + rest;
         if (what == "back") text = part + " is" + rest;
         if (what == "answer") text = "is answered," + rest;
         if (what == "push") text = "is pushed back";
--- a/src/lab/read/timeline.hpp
+++ b/src/lab/read/timeline.hpp
@@ -1,6 +1,6 @@
-// A run as it went, read from its log alone (checker.hpp says how a log reads): what each second brought,
-// where the loss went, how each server was seen and was, and one multiget's life. Whoever made the log does
-// not matter.
+// Rebuilds the course of a run from its log (the format is described in checker.hpp): counts for each second,
+// the outcomes of requests by kind, tenant and active fault, the true and the observed state of each server,
+// and the history of one multiget. Logs of the simulation and of live runs are read alike.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +14,14 @@
 
 namespace pinedoor::lab {
 
+// Reads a log line by line; the accessors are complete after finish(). Times are in tenths of a millisecond.
 class Timeline {
 public:
     void take(const std::string& line);
-    void finish();  // once the log is over: what has no end by then is lost
+    void finish();  // call after the last line; requests that have not ended count as lost
 
+    // Counts of requests by outcome. `late` is also counted in `whole` or `in_part`;
+    // `gone`: the connection closed with its front node; `lost`: no end until the end of the log.
     struct Ends {
         std::uint64_t whole = 0, in_part = 0, late = 0, pushed_back = 0, failed = 0, gone = 0, lost = 0;
         std::uint64_t all() const { return whole + in_part + pushed_back + failed + gone + lost; }
@@ -26,19 +29,21 @@
     };
     struct Second {
         std::uint64_t asked = 0, parts = 0, sends = 0, runs = 0;
-        Ends ends;  // of those asked in it
+        Ends ends;  // outcomes of the requests that were asked in this second
         QuantileSketch ms{0.01};
     };
-    struct Spell {  // of a trouble, or of one at a server
+    struct Spell {  // an interval in which a fault was active; `until` is -1 while it is open
         std::string what;
         Time from = 0, until = 0;
     };
     struct OfServer {
-        std::vector<Spell> troubles;             // what it had, in truth
-        std::map<int, std::uint64_t> runs, bad;  // by second: parts run; sends that came to nothing good
-        std::map<int, std::uint64_t> aside;      // by second: front nodes that put it aside
+        std::vector<Spell> troubles;  // faults that were actually present
+        // All three by second: parts run, sends that neither returned nor were cancelled, and how often a
+        // front node set the server aside.
+        std::map<int, std::uint64_t> runs, bad;
+        std::map<int, std::uint64_t> aside;
     };
-    struct Slow {  // one of those that went worst
+    struct Slow {  // one of the requests with the worst outcome
         std::uint64_t multiget = 0;
         Time latency = 0;
         std::string end;
@@ -47,14 +52,14 @@
     const std::vector<Second>& seconds() const { return seconds_; }
     const std::map<int, std::string>& kinds() const { return kinds_; }
     const std::map<int, Ends>& ends_by_kind() const { return by_kind_; }
-    // By the troubles that were on when it was asked, "calm" where there was none.
+    // By the faults that were active when the request was asked; "calm" if there was none.
     const std::map<std::string, Ends>& ends_by_trouble() const { return by_trouble_; }
-    const std::map<std::string, Ends>& ends_by_tenant() const {
-        return by_tenant_;
-    }  // empty if there is one alone
+    // Empty if the world configures no tenants.
+    const std::map<std::string, Ends>& ends_by_tenant() const { return by_tenant_; }
     const std::vector<Spell>& troubles() const { return troubles_; }
     const std::map<int, OfServer>& servers() const { return servers_; }
-    std::vector<Slow> worst(std::size_t count) const;  // failed, pushed back or late, the worst first
+    // Requests that were lost, failed, gone, late or pushed back, the worst first.
+    std::vector<Slow> worst(std::size_t count) const;
     std::uint64_t sends() const { return sends_; }
     std::uint64_t parts() const { return parts_; }
 
@@ -78,20 +83,19 @@
     std::map<std::string, Ends> by_trouble_;
     std::map<std::string, Ends> by_tenant_;
     std::vector<Spell> troubles_;
-    std::map<std::string, std::size_t>
-        active_troubles_;  // those that are on, to where they stand in troubles_
+    std::map<std::string, std::size_t> active_troubles_;  // active faults, with their index in troubles_
     std::map<int, OfServer> servers_;
     std::map<int, std::map<std::string, std::size_t>> active_server_troubles_;
     std::map<std::uint64_t, OpenRequest> open_requests_;
-    std::map<std::string, std::vector<int>>
-        outstanding_;  // by part: the servers it was sent to and has no word from
+    // By part: the servers with an outstanding send, oldest first.
+    std::map<std::string, std::vector<int>> outstanding_;
     std::vector<Slow> worst_;
     std::uint64_t sends_ = 0, parts_ = 0;
     Time last_time_ = 0;
 };
 
-// The lines of a log that tell of one multiget, in words and with the time since it was asked. Empty: not in
-// it.
+// The history of one multiget: its log lines as text, each with the time since it was asked. Empty if the log
+// does not contain the multiget.
 std::vector<std::string> life_of(const std::string& log_path, std::uint64_t multiget);
 
 }  // namespace pinedoor::lab
--- a/src/lab/study/compare.cpp
+++ b/src/lab/study/compare.cpp
@@ -14,7 +14,8 @@
 
 Difference compare(const std::vector<double>& first, const std::vector<double>& second, double confidence,
                    std::uint64_t seed) {
-    if (first.empty() || first.size() != second.size()) throw std::invalid_argument("pairs are needed");
+    if (first.empty() || first.size() != second.size())
+        throw std::invalid_argument("compare() needs two non-empty series of equal length");
     const auto count = first.size();
     std::vector<double> differences;
     double sum = 0;
--- a/src/lab/study/compare.hpp
+++ b/src/lab/study/compare.hpp
@@ -1,4 +1,4 @@
-// Paired comparison: the same worlds and seeds under two variants, and what the difference is worth.
+// Paired comparison of two variants on the same worlds and seeds, with a bootstrap confidence interval.
 #pragma once
 
 #include <cstdint>
@@ -6,15 +6,16 @@
 
 namespace pinedoor::lab {
 
+// Mean difference of a paired comparison and its confidence interval.
 struct Difference {
-    double mean = 0;   // of second less first, over pairs
-    double lower = 0;  // a bootstrap interval about it
+    double mean = 0;   // mean over the pairs of second - first
+    double lower = 0;  // lower and upper bound of the bootstrap interval
     double upper = 0;
-    bool shown() const { return lower > 0 || upper < 0; }  // else no difference is shown
+    bool shown() const { return lower > 0 || upper < 0; }  // whether the interval excludes zero
 };
 
-// `confidence` such as 0.95; the percentile bootstrap over pairs, drawn from the seed. Empty or unlike
-// lengths throw std::invalid_argument.
+// Percentile bootstrap over the pairs; `confidence` is the level, such as 0.95, and `seed` makes the
+// resampling reproducible. Throws std::invalid_argument if the series are empty or differ in length.
 Difference compare(const std::vector<double>& first, const std::vector<double>& second, double confidence,
                    std::uint64_t seed);
 
--- a/src/lab/study/hunt.cpp
+++ b/src/lab/study/hunt.cpp
@@ -8,11 +8,13 @@
 namespace pinedoor::lab {
 namespace {
 
-// Reloads and bad clients, the last two kinds, change nothing in simulated time.
+// Number of fault kinds that are drawn. Reloads and bad clients, the last two kinds, have no effect in
+// simulated time.
 constexpr auto kDrawnKinds = static_cast<std::uint64_t>(Trouble::Kind::kReload);
 constexpr std::size_t kMaxKept = 6;
-constexpr double kFreshShare = 0.2;  // so many of the worlds are drawn anew
-constexpr Time kTimeStep = 1'000;    // troubles begin and end on tenths of a second, so a world reads well
+constexpr double kFreshShare = 0.2;  // share of worlds that are drawn from scratch
+// Fault times are rounded to tenths of a second to keep worlds readable.
+constexpr Time kTimeStep = 1'000;
 constexpr int kMinServers = 6;
 constexpr Time kMinLength = 50'000;
 
@@ -66,13 +68,13 @@
                 troubles.erase(troubles.begin() +
                                static_cast<std::ptrdiff_t>(chance_.below(troubles.size())));
             break;
-        case 2: {  // another's troubles with some of these
+        case 2: {  // adds a fault of another kept world
             const auto& other = kept_[chance_.below(kept_.size())].world.troubles;
             if (!other.empty() && troubles.size() < max_troubles_)
                 troubles.push_back(other[chance_.below(other.size())]);
             break;
         }
-        case 3: {  // moved, or longer or shorter
+        case 3: {  // changes the start and duration of a fault
             auto& trouble = troubles[chance_.below(troubles.size())];
             const auto span = static_cast<double>(base_.length) * 0.2;
             trouble.from = std::clamp<Time>(
@@ -83,7 +85,7 @@
                 trouble.from + kTimeStep, base_.length);
             break;
         }
-        case 4: {  // wider or narrower, harder or milder
+        case 4: {  // changes the share and factor of a fault
             auto& trouble = troubles[chance_.below(troubles.size())];
             trouble.share = std::clamp(rounded(trouble.share * (0.5 + 1.2 * chance_.one()), 0.01), 0.01, 1.0);
             const auto again = draw();
@@ -105,7 +107,7 @@
             pending_.push_back(std::move(fresh));
             continue;
         }
-        // The worse of two drawn is varied.
+        // Tournament selection: of two worlds drawn, the worse one is varied.
         const auto selected = std::min(chance_.below(kept_.size()), chance_.below(kept_.size()));
         pending_.push_back(vary(kept_[selected].world));
     }
@@ -114,7 +116,7 @@
 
 void Hunter::record_badness(const std::vector<double>& badness) {
     if (badness.size() != pending_.size())
-        throw std::invalid_argument("as many answers as worlds are needed");
+        throw std::invalid_argument("next() returned another number of worlds");
     for (std::size_t i = 0; i < pending_.size(); ++i) kept_.push_back({std::move(pending_[i]), badness[i]});
     pending_.clear();
     std::stable_sort(kept_.begin(), kept_.end(),
@@ -135,14 +137,14 @@
     for (std::size_t i = 0; i < world.clients.size() && world.clients.size() > 1; ++i)
         add_reduction([i](World& w) { w.clients.erase(w.clients.begin() + static_cast<std::ptrdiff_t>(i)); });
     if (world.servers.count / 2 >= std::max(kMinServers, world.width)) {
-        add_reduction([](World& w) {  // the load of each server stays
+        add_reduction([](World& w) {  // the load of each server is unchanged
             w.servers.count /= 2;
             w.shards = std::max(1, w.shards / 2);
             for (auto& each : w.clients) each.per_second /= 2;
         });
     }
     if (world.nodes > 1) add_reduction([](World& w) { w.nodes = (w.nodes + 1) / 2; });
-    // What happens after the last trouble, or before the first, may not matter.
+    // Time after the last fault, or before the first, may be irrelevant.
     Time first = world.length, last = 0;
     for (const auto& each : world.troubles) {
         first = std::min(first, each.from);
--- a/src/lab/study/hunt.hpp
+++ b/src/lab/study/hunt.hpp
@@ -1,7 +1,7 @@
-// The search for bad days, without I/O: which worlds to try next, given how bad those tried were, and which
-// smaller worlds might still show it. Whoever plays them (pinedoor-lab hunt) tells what came of each. The
-// same seed and the same answers give the same worlds, in whatever order or on however many threads they were
-// played.
+// Searches for the faults with the worst effect, without I/O: proposes worlds to try, given how bad the
+// earlier ones were, and smaller worlds that may show the same effect. The caller (pinedoor-lab hunt) runs
+// the worlds and reports the results. The sequence of worlds depends only on the seed and the reported
+// values, not on the order of the runs or the number of threads.
 #pragma once
 
 #include <cstddef>
@@ -11,15 +11,18 @@
 
 namespace pinedoor::lab {
 
-// Keeps the few worst worlds found and varies their troubles: one added, taken out, moved, made wider or
-// harder, or two worlds' troubles mixed; now and then a world drawn anew.
+// Evolutionary search: keeps the worst worlds found so far and varies their faults. A fault is added,
+// removed, moved, replaced or changed in extent or severity, or taken from another kept world; a fixed share
+// of the worlds is drawn from scratch.
 class Hunter {
 public:
-    // `base`: all but the troubles stays as it is there. `most`: troubles in a world.
+    // All settings except the faults are taken from `base`; a world has at most `max_troubles` faults.
     Hunter(World base, std::uint64_t seed, int max_troubles);
 
-    std::vector<World> next(std::size_t count);  // the same until told() what came of them
-    // How bad each of next()'s was: larger is worse. As many as next() gave, else std::invalid_argument.
+    // Returns the worlds to run; calling it again before record_badness() returns the same worlds.
+    std::vector<World> next(std::size_t count);
+    // Reports how bad each world of next() was, in the same order; larger is worse. Throws
+    // std::invalid_argument if the number of values differs from the number of worlds.
     void record_badness(const std::vector<double>& badness);
 
     const World& worst() const { return kept_.front().world; }
@@ -41,9 +44,10 @@
     std::vector<Kept> kept_;  // worst first
 };
 
-// Smaller worlds that may show the same, the largest step first: a trouble or a kind of client fewer, half
-// the servers and shards, half the front nodes, half the requests, a shorter day, a milder trouble. Empty: it
-// is small.
+// Smaller worlds that may show the same effect, the largest reduction first: without one fault or one kind of
+// client, with half the servers, shards and requests, with half the front nodes, with a shorter run, with
+// simpler clients, without message loss, or with a shorter or narrower fault. Empty if nothing can be
+// reduced.
 std::vector<World> reductions(const World& world);
 
 }  // namespace pinedoor::lab
--- a/src/lab/study/results.cpp
+++ b/src/lab/study/results.cpp
@@ -45,7 +45,7 @@
         const auto tables = db_.run("SELECT count(*) FROM sqlite_master WHERE type = 'table'");
         if (store::number_of(tables[0][0]) > 1)
             throw store::SqlError(store::SqlError::Kind::kSchema,
-                                  path + " holds something else; name another file");
+                                  path + " is a database of another program; name another file");
         db_.run("INSERT INTO lab_meta(schema) VALUES ($1)", {kSchema});
         db_.run("CREATE TABLE worlds(world TEXT PRIMARY KEY, name TEXT NOT NULL, toml TEXT NOT NULL)");
         db_.run(
@@ -55,7 +55,7 @@
             "seconds TEXT NOT NULL, at INTEGER NOT NULL, PRIMARY KEY (build, world, variant, seed))");
     } else if (store::number_of(schema[0][0]) != kSchema) {
         throw store::SqlError(store::SqlError::Kind::kSchema,
-                              path + " is a newer pinedoor-lab's; use that one");
+                              path + " was written by a newer pinedoor-lab; use that version");
     }
     transaction.commit();
 }
--- a/src/lab/study/variant.cpp
+++ b/src/lab/study/variant.cpp
@@ -14,14 +14,15 @@
 namespace pinedoor::lab {
 namespace {
 
-// The words run as a program, and what it printed. No shell takes part.
+// Runs a program with its arguments, without a shell, and returns its standard output.
 std::string output_of(const std::vector<std::string>& arguments) {
     int pipe_ends[2];
-    if (pipe(pipe_ends) != 0) throw stated::BadStated("no pipe to " + arguments[0]);
+    if (pipe(pipe_ends) != 0) throw stated::BadStated("cannot create a pipe to " + arguments[0]);
     std::vector<char*> argv;
     for (const auto& item : arguments) argv.push_back(const_cast<char*>(item.c_str()));
     argv.push_back(nullptr);
-    const pid_t child = fork();  // from among threads: nothing is allocated between here and execv
+    // Other threads may hold the heap lock, so the child must not allocate before execv.
+    const pid_t child = fork();
     if (child == 0) {
         dup2(pipe_ends[1], 1);
         close(pipe_ends[0]);
@@ -37,7 +38,7 @@
     int status = 0;
     waitpid(child, &status, 0);
     if (!WIFEXITED(status) || (WEXITSTATUS(status) != 0 && WEXITSTATUS(status) != 3))
-        throw stated::BadStated(arguments[0] + " could not play the world; try `" + arguments[0] +
+        throw stated::BadStated(arguments[0] + " failed to run the world; try `" + arguments[0] +
                                 " run WORLD --json`");
     return text;
 }
@@ -58,21 +59,22 @@
     if (decider.starts_with("build:")) {
         variant.program = decider.substr(6);
         if (access(variant.program.c_str(), X_OK) != 0)
-            throw stated::BadStated("variant " + text + ": '" + variant.program + "' is no program");
+            throw stated::BadStated("variant " + text + ": '" + variant.program +
+                                    "' is not an executable file");
     } else if (const auto policy = policy_named(decider)) {
         variant.policy = *policy;
     } else {
         throw stated::BadStated("variant " + text + ": '" + decider +
-                                "' decides nothing; see `pinedoor-lab run --help`");
+                                "' is not a policy; see `pinedoor-lab run --help`");
     }
     while (!rest.empty()) {
         auto item = next_item();
-        // A comma within brackets is the value's own.
+        // Commas within brackets belong to the value.
         while (item.find('[') != std::string::npos && item.find(']') == std::string::npos && !rest.empty())
             item += ',' + next_item();
         const auto equal = item.find('=');
         if (equal == std::string::npos || equal == 0)
-            throw stated::BadStated("variant " + text + ": '" + item + "' is no change; write key=value");
+            throw stated::BadStated("variant " + text + ": '" + item + "' is not a change; write key=value");
         variant.changes.emplace_back(item.substr(0, equal), item.substr(equal + 1));
     }
     return variant;
@@ -97,7 +99,7 @@
         const auto json = nlohmann::json::parse(text);
         return {json.at("service").get<double>(), json.at("broken").get<std::uint64_t>(), text};
     } catch (const nlohmann::json::exception&) {
-        throw stated::BadStated(variant.program + " printed no totals");
+        throw stated::BadStated(variant.program + " printed no valid JSON totals");
     }
 }
 
--- a/tests/lab_experiment_test.cpp
+++ b/tests/lab_experiment_test.cpp
@@ -1,5 +1,5 @@
-// The laboratory's experiments: kept results, resuming, the hunt, timelines and reports, and the program
-// itself with its own failures brought about.
+// Tests of the laboratory's experiments: stored results, resuming, the hunt, timelines and reports, and the
+// program pinedoor-lab with its error cases.
 #include <doctest/doctest.h>
 #include <fcntl.h>
 #include <signal.h>
@@ -64,7 +64,8 @@
     return setup;
 }
 
-TEST_CASE("an experiment comes to the same on one thread and on many, and a changed world is another one") {
+TEST_CASE(
+    "an experiment gives the same results on any number of threads, and changes to the world take effect") {
     const std::atomic<bool> stop = false;
     const auto setup = experiment({"pinedoor", "random", "pinedoor,servers.count=3,sends.most=1"}, 4);
     const auto sequential = play_all(setup, nullptr, 1, stop, {});
@@ -80,7 +81,7 @@
           World::Changes{{"delay_ms", "[1, 2]"}, {"nodes", "2"}});
 }
 
-TEST_CASE("what was kept is not played again, by this build alone, and what was broken off goes on") {
+TEST_CASE("stored runs of the same build are not repeated, and an interrupted experiment resumes") {
     const Scratch scratch;
     const std::atomic<bool> never = false;
     const auto setup = experiment({"pinedoor", "random"}, 6);
@@ -108,7 +109,7 @@
     CHECK_THROWS_AS(Results(scratch / "other.db", "one"), store::SqlError);
 }
 
-TEST_CASE("a disk that is full at any call ends the experiment with words, and what was kept is whole") {
+TEST_CASE("a full disk at any call ends the experiment with an error, and the stored results stay intact") {
     const std::atomic<bool> never = false;
     test::FaultyVfs vfs;
     const auto setup = experiment({"pinedoor"}, 3);
@@ -133,9 +134,9 @@
     CHECK(completed);
 }
 
-TEST_CASE("the hunt is the same for the same answers, keeps the worst, and finds what is planted") {
+TEST_CASE("the hunt is reproducible, keeps the worst world, and finds an injected weakness") {
     const auto base = World::from_text(kTiny, "w.toml");
-    // How bad: long and wide hangs, best with a lossy network beside them.
+    // Long and wide hangs count as bad, more so together with a lossy network.
     const auto badness = [](const World& world) {
         double hang = 0, lossy = 0;
         for (const auto& each : world.troubles) {
@@ -152,7 +153,7 @@
             std::vector<double> answers;
             for (const auto& world : hunter.next(16)) {
                 CHECK(World::from_text(world.to_toml(), "drawn.toml").to_toml() ==
-                      world.to_toml());  // it can be used
+                      world.to_toml());  // the world is valid
                 CHECK(world.troubles.size() <= 3);
                 answers.push_back(badness(world));
             }
@@ -172,7 +173,7 @@
     CHECK_THROWS(hunter.record_badness({1}));
 }
 
-TEST_CASE("shrinking leaves the one trouble that matters, on the smallest fleet that shows it") {
+TEST_CASE("reductions lead to the one fault that matters, on the smallest fleet that shows it") {
     auto world = World::from_text(
         kTiny, "w.toml", {{"servers.count", "48"}, {"shards", "16"}, {"seconds", "20"}, {"nodes", "8"}});
     for (const auto kind : {Trouble::Kind::kSlow, Trouble::Kind::kCrash, Trouble::Kind::kSurge}) {
@@ -197,7 +198,8 @@
     CHECK(World::from_text(world.to_toml(), "shrunk.toml").to_toml() == world.to_toml());
 }
 
-TEST_CASE("a timeline counts as the simulation does, and tells a multiget's life and its servers' troubles") {
+TEST_CASE(
+    "a timeline matches the simulation's totals and gives a multiget's history and the servers' faults") {
     const Scratch scratch;
     auto world =
         World::from_text(kTiny, "w.toml", {{"clients.0.route_timeout_ms", "80"}, {"servers.queue", "2"}});
@@ -235,7 +237,7 @@
     CHECK(life_of(scratch / "log", 999'999).empty());
 }
 
-TEST_CASE("the checker tells how near a run came to a rule, and more when there is more to it") {
+TEST_CASE("the checker reports how near a run came to breaking a rule, and a tighter limit is nearer") {
     const auto nearest = [](const char* floor) {
         auto world = World::from_text(kTiny, "w.toml",
                                       {{"sends.budget_floor", floor}, {"sends.budget_ratio", "0.02"}});
@@ -267,7 +269,7 @@
     return result;
 }
 
-TEST_CASE("the program plays, checks, compares, keeps and goes on after SIGINT") {
+TEST_CASE("the program runs, checks and compares worlds, stores results and resumes after SIGINT") {
     const Scratch scratch;
     const auto world = scratch / "w.toml";
     CHECK(run_lab("run " + world + " --check").code == 0);
@@ -285,12 +287,13 @@
     std::ofstream(log, std::ios::app) << "99000 push 1\n";
     CHECK(run_lab("judge " + log).code == 3);
 
-    // Another build, played as this one's equal, comes to the same.
+    // The same program given as another build gives the same results.
     const auto same = run_lab("compare " + world + " --variants pinedoor build:" PINEDOOR_LAB " --seeds 3");
     CHECK(same.code == 0);
     CHECK(same.out.find("no difference shown") != std::string::npos);
 
-    // SIGINT in the middle: it says so, keeps what it has, and goes on from there.
+    // SIGINT during the experiment: exit code 130, the finished runs are stored, and the same command
+    // resumes.
     const auto results = scratch / "r.db";
     const auto resume_command =
         "compare " + world + " --variants pinedoor --seeds 400 --threads 1 --results " + results;
@@ -325,7 +328,7 @@
     CHECK(stored_runs() == 400);
 }
 
-TEST_CASE("the program hunts, shrinks, replays and reports") {
+TEST_CASE("the program hunts, reduces, replays and reports") {
     const Scratch scratch;
     const auto world = scratch / "w.toml", worst = scratch / "worst.toml";
     const auto hunt =
@@ -343,9 +346,9 @@
     std::ostringstream text;
     text << std::ifstream(page).rdbuf();
     CHECK(text.str().find("Where the loss went") != std::string::npos);
-    CHECK(text.str().find("<polyline") + text.str().find("<path") != 2 * std::string::npos);  // gnuplot drew
-    CHECK(text.str().find("http://") ==
-          text.str().find("http://www.w3.org"));  // asks the network for nothing
+    // The plots are embedded, and the page references nothing on the network.
+    CHECK(text.str().find("<polyline") + text.str().find("<path") != 2 * std::string::npos);
+    CHECK(text.str().find("http://") == text.str().find("http://www.w3.org"));
     CHECK(std::filesystem::file_size(scratch / "plots/latency.png") > 1'000);
     CHECK(run_lab("report " + world + " --out /dev/full").code == 1);
     CHECK(run_lab("scale " + world + " --factors 1 2").out.find("to the power of") != std::string::npos);
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -1,5 +1,5 @@
-// The laboratory in simulated time: the same bytes for the same seed, and queues as the closed forms have
-// them.
+// Tests of the simulation: reproducible logs, queueing against closed-form results, clients and policies, and
+// the rule checker.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -74,7 +74,7 @@
     return {std::move(log), std::move(totals)};
 }
 
-TEST_CASE("one seed gives the same log byte for byte, another seed another") {
+TEST_CASE("the same seed gives the same log byte for byte, another seed a different log") {
     const auto world = troubles({"crash", "hang", "slow", "node-killed"});
     const auto first = play(world, 5).first;
     CHECK(first.size() > 10'000);
@@ -83,7 +83,8 @@
 }
 
 TEST_CASE(
-    "under every trouble each request has one end, none is lost, and what must not run twice does not") {
+    "under every fault each request ends exactly once, none is lost, and non-retriable parts do not run "
+    "twice") {
     double calm_service = 0;
     for (std::uint64_t seed = 1; seed <= 2; ++seed) calm_service += play(kSmallWorld, seed).second.service();
     CHECK(calm_service > 2 * 0.9);
@@ -107,12 +108,12 @@
                                              "node-restarted", "reload",  "bad-clients"};
         if (name == "node-killed") CHECK(play(troubles({kind}), 1).second.node_kills == 1);
         if (!harmless.contains(name) && name != "node-killed" && name != "full")
-            CHECK(service_under_fault < calm_service);  // the trouble is there
+            CHECK(service_under_fault < calm_service);  // the fault has an effect
         CHECK(service_under_fault > 2 * 0.5);
     }
 }
 
-// Waits of a queue fed at random and worked at random, against the closed form for M/M/c.
+// Mean wait of a queue with Poisson arrivals and exponential service times of mean 1.
 double mean_wait(int cores, double load, std::uint64_t seed) {
     Chance chance(seed);
     const auto exponential = [&](double mean) { return -mean * std::log1p(-chance.one()); };
@@ -140,7 +141,7 @@
     return total_wait / kJobs;
 }
 
-TEST_CASE("the server's queue waits as M/M/1 and M/M/c do") {
+TEST_CASE("the mean wait in the server's queue matches M/M/1 and M/M/c") {
     for (const auto& [cores, load] : {std::pair{1, 0.5}, {1, 0.8}, {2, 0.8}, {4, 0.7}}) {
         const double a = load * cores;
         double sum = 0, term = 1;
@@ -156,8 +157,8 @@
     }
 }
 
-TEST_CASE("a queue of one core waits as M/G/1 does, with work that is heavy-tailed or fixed") {
-    // Pollaczek and Khinchine: load * mean * (1 + squared variation) / 2 / (1 - load).
+TEST_CASE("the mean wait of a queue with one core matches M/G/1 for fixed, uniform and exponential work") {
+    // Pollaczek-Khinchine formula: load * mean * (1 + squared coefficient of variation) / 2 / (1 - load).
     for (const auto& [draw, variation] : {std::pair{Draw{Draw::Kind::kFixed, 1, 0}, 0.0},
                                           {Draw{Draw::Kind::kRange, 0, 2}, 1.0 / 3},
                                           {Draw{Draw::Kind::kExponential, 1, 0}, 1.0}}) {
@@ -185,7 +186,7 @@
     }
 }
 
-TEST_CASE("a world is written and read as the same world, and changes go over what its text states") {
+TEST_CASE("a world survives writing and reading, and changes override its text") {
     const auto world =
         World::from_text(troubles({"crash", "lossy", "zone-lost"}), "w.toml",
                          {{"servers.count", "12"}, {"clients.1.retries", "2"}, {"name", "\"x\""}});
@@ -205,7 +206,7 @@
 }
 
 TEST_CASE(
-    "clients ask again after a pushback and not after a failure that may have run, come in bursts, and "
+    "clients retry after a pushback but not after a failure that may have run, send in bursts, and "
     "leave") {
     const auto totals_of = [](const std::string& text, const World::Changes& changes) {
         return Simulation(World::from_text(text, "w.toml", changes)).run();
@@ -233,7 +234,7 @@
 }
 
 TEST_CASE(
-    "tenants have their shares, heavy weights lie in few parts, a shift moves requests to a zone's nodes") {
+    "tenants get their shares, heavy weights fall on few parts, a shift moves requests to a zone's nodes") {
     auto world = World::from_text(
         std::string(kSmallWorld) + "[[tenants]]\nname = \"a\"\nshare = 3\n[[tenants]]\nname = \"b\"\n",
         "w.toml", {{"clients.0.heavy_weights", "true"}, {"clients.0.parts", "3"}, {"nodes", "7"}});
@@ -269,7 +270,7 @@
     CHECK(totals.broken() == 0);
 }
 
-TEST_CASE("cold keys, a call's own work, far zones and lost messages each make answers later") {
+TEST_CASE("cold keys, work per call, distant zones and lost messages each increase latency") {
     const auto median = [](const World::Changes& changes) {
         return Simulation(World::from_text(kSmallWorld, "w.toml", changes)).run().clients[0].ms.quantile(0.5);
     };
@@ -286,7 +287,7 @@
     CHECK(median({{"loss", "0.2"}, {"retransmit_ms", "20"}}) > plain + 2);
 }
 
-TEST_CASE("draws have the means that they state") {
+TEST_CASE("draws have the configured means") {
     Chance chance(3);
     for (const auto& draw : {Draw{Draw::Kind::kFixed, 3, 0}, Draw{Draw::Kind::kRange, 2, 4},
                              Draw{Draw::Kind::kExponential, 3, 0}, Draw{Draw::Kind::kHeavy, 3, 0}}) {
@@ -296,7 +297,7 @@
     }
 }
 
-TEST_CASE("plain policies keep the ends of requests as well, and a trouble tells them from the module") {
+TEST_CASE("the simple policies lose no requests either, and serve less than the module under faults") {
     auto world = World::from_text(troubles({"hang", "slow"}), "w.toml");
     std::map<std::string, double> service;
     for (const auto& name : policy_names()) {
@@ -312,7 +313,8 @@
         }
     }
     CHECK(service["pinedoor"] > service["random"] + 0.02);
-    for (const auto& name : policy_names()) {  // nobody is better than who sees the truth, but for the noise
+    // No policy beats the one that sees the true state, except by noise.
+    for (const auto& name : policy_names()) {
         CAPTURE(name);
         CHECK(service["sees-all"] > service[name] - 0.002);
     }
@@ -330,7 +332,7 @@
 }
 
 TEST_CASE(
-    "the checker finds nothing in the module's logs, and each planted breach of a rule in an edited one") {
+    "the checker finds nothing in the module's logs, and each injected breach of a rule in an edited log") {
     using Rule = Breach::Rule;
     for (const char* kind : {"crash", "hang", "errors", "node-killed"}) {
         CAPTURE(kind);
@@ -372,8 +374,8 @@
     CHECK(breaches_of(log + removed + "20 told 0 server 4 ready\n263 send 1.2 node 0 server 4 number 0\n" +
                       ending)
               .empty());
-    // What was told to a front node that was not there is unknown to the one that begins: it goes by its
-    // known list.
+    // A removal reported while the front node was not running is unknown to the restarted process, which uses
+    // its known server list.
     CHECK(breaches_of(log + "11 killed 0\n" + removed +
                       "200 begun 0\n263 send 1.2 node 0 server 4 number 0\n" + ending)
               .empty());
@@ -386,7 +388,8 @@
     CHECK(breaches_of(overload.substr(0, overload.rfind("21 ")) + ending).empty());
 }
 
-// The module with a fault built in.
+// The decision module with an injected defect: 'l' drops every 50th answer, 'h' marks every answer as whole,
+// 't' repeats every send.
 class DefectivePolicy : public Policy {
 public:
     DefectivePolicy(char defect, const NodeTerms& terms)
@@ -411,7 +414,7 @@
     std::unique_ptr<Policy> inner_;
 };
 
-TEST_CASE("the checker finds a fault that is built into a front node") {
+TEST_CASE("the checker finds a defect that is injected into a front node") {
     using Rule = Breach::Rule;
     for (const auto& [defect, rule] : {std::pair{'l', Rule::kNoneLost},
                                        {'h', Rule::kHonestAnswers},
@@ -429,11 +432,11 @@
     }
 }
 
-TEST_CASE("pairs show a difference that is there, and none where there is none") {
+TEST_CASE("a paired comparison shows a real difference, and none where there is none") {
     Chance chance(5);
     std::vector<double> baseline, better_variant, equal_variant;
     for (int i = 0; i < 40; ++i) {
-        const double world_service = chance.one();  // days differ more than variants do
+        const double world_service = chance.one();  // worlds differ more than variants do
         baseline.push_back(world_service);
         better_variant.push_back(world_service + 0.01 + 0.01 * chance.one());
         equal_variant.push_back(world_service + 0.02 * (chance.one() - 0.5));
@@ -446,9 +449,10 @@
     CHECK_THROWS(compare(baseline, {}, 0.95, 1));
 }
 
-TEST_CASE("servers that turn everything away are their own trouble: the others answer in whole") {
-    // Five of twelve, more than are few: found by the hunt for the largest gap to who sees all. What each
-    // refuses on trial kept alpha up, and light parts were left out all the while (service 0.78).
+TEST_CASE("servers that reject everything do not affect the answers of the others") {
+    // Five of twelve servers are full, a case found by the hunt for the largest gap to the policy sees-all.
+    // Guards against counting the rejected probes of full servers towards alpha: alpha then stays high, and
+    // light parts are left out for as long as the fault lasts (service 0.78).
     auto world = World::from_text(R"(
 seconds = 8
 nodes = 2
@@ -478,7 +482,7 @@
     }
 }
 
-TEST_CASE("a world with a mistake is refused with its line and key") {
+TEST_CASE("an invalid world is rejected with the line and the key") {
     const auto error_of = [](const std::string& text) -> std::string {
         try {
             World::from_text(text, "w.toml");
