--- a/src/lab/commands.cpp
+++ b/src/lab/commands.cpp
@@ -371,7 +371,7 @@
         }
         const auto& server = found->second;
         const bool faulty = std::any_of(server.troubles.begin(), server.troubles.end(),
-                                        [](const Timeline::Spell& each) { return each.until < 0; });
+                                        [](const Timeline::FaultInterval& each) { return each.until < 0; });
         const auto runs = server.runs.find(static_cast<int>(second) - 1);
         const auto failed = server.bad.find(static_cast<int>(second) - 1);
         server_letters += faulty                                           ? 'X'
@@ -676,10 +676,10 @@
                     static_cast<Number>(*multiget), worst[0].end.c_str(),
                     static_cast<double>(worst[0].latency) / 10);
     }
-    const auto life = life_of(log.path, *multiget);
-    if (life.empty())
+    const auto history = multiget_history(log.path, *multiget);
+    if (history.empty())
         throw stated::BadStated("there is no multiget " + std::to_string(*multiget) + " in the log");
-    for (const auto& line : life) std::printf("%s\n", line.c_str());
+    for (const auto& line : history) std::printf("%s\n", line.c_str());
     return kExitSuccess;
 }
 
--- a/src/lab/read/report.cpp
+++ b/src/lab/read/report.cpp
@@ -165,7 +165,7 @@
 }
 
 void table_of_ends(std::ostringstream& out, const std::string& heading,
-                   const std::vector<std::pair<std::string, Timeline::Ends>>& rows) {
+                   const std::vector<std::pair<std::string, Timeline::OutcomeCounts>>& rows) {
     out << "<div class=wide><table><tr><th>" << heading
         << "<th>asked<th>whole<th>in part<th>late<th>pushed back<th>failed<th>gone<th>lost<th>not "
            "good</tr>\n";
@@ -274,8 +274,8 @@
            "1em;font-size:13px}"
            "h2{margin-top:2em}</style>\n<h1>"
         << escaped(text.title) << "</h1><p>" << escaped(text.subtitle) << "</p>\n";
-    Timeline::Ends sum;
-    std::vector<std::pair<std::string, Timeline::Ends>> kinds, troubles;
+    Timeline::OutcomeCounts sum;
+    std::vector<std::pair<std::string, Timeline::OutcomeCounts>> kinds, troubles;
     for (const auto& [kind, ends] : run.ends_by_kind()) {
         const auto name = run.kinds().find(kind);
         kinds.emplace_back(name == run.kinds().end() ? "kind " + std::to_string(kind) : name->second, ends);
--- a/src/lab/read/timeline.cpp
+++ b/src/lab/read/timeline.cpp
@@ -19,14 +19,14 @@
     return seconds_[index];
 }
 
-void Timeline::update_spell(Time time, std::map<std::string, std::size_t>& open, std::vector<Spell>& spells,
-                            const std::string& what, bool begins) {
+void Timeline::update_interval(Time time, std::map<std::string, std::size_t>& open,
+                               std::vector<FaultInterval>& intervals, const std::string& what, bool begins) {
     const auto found = open.find(what);
     if (begins && found == open.end()) {
-        open[what] = spells.size();
-        spells.push_back({what, time, -1});
+        open[what] = intervals.size();
+        intervals.push_back({what, time, -1});
     } else if (!begins && found != open.end()) {
-        spells[found->second].until = time;
+        intervals[found->second].until = time;
         open.erase(found);
     }
 }
@@ -93,13 +93,13 @@
     } else if (what == "trouble") {
         std::string index, name, status;
         fields >> index >> name >> status;
-        update_spell(time, active_troubles_, troubles_, name, status == "begins");
+        update_interval(time, active_troubles_, troubles_, name, status == "begins");
     } else if (what == "server") {
         int server = 0;
         std::string name, status;
         fields >> server >> name >> status;
-        update_spell(time, active_server_troubles_[server], servers_[server].troubles, name,
-                     status == "begins");
+        update_interval(time, active_server_troubles_[server], servers_[server].troubles, name,
+                        status == "begins");
     } else if (what == "node") {
         std::string node, word;
         int server = 0;
@@ -117,7 +117,7 @@
     auto& asked_second = second(open.asked);
     const Time latency = time - open.asked;
     const bool late = event == "answer" && latency > budgets_[open.kind];
-    Ends no_tenant;  // receives the counts of requests without a tenant
+    OutcomeCounts no_tenant;  // receives the counts of requests without a tenant
     for (auto* ends : {&asked_second.ends, &by_kind_[open.kind],
                        open.tenant.empty() ? &no_tenant : &by_tenant_[open.tenant],
                        &by_trouble_[open.troubles.empty() ? "calm" : open.troubles]}) {
@@ -149,23 +149,23 @@
     }
 }
 
-std::vector<Timeline::Slow> Timeline::worst(std::size_t count) const {
-    const auto rank = [](const Slow& slow) {
-        return slow.end == "lost"     ? 0
-               : slow.end == "failed" ? 1
-               : slow.end == "gone"   ? 2
-               : slow.end == "late"   ? 3
-                                      : 4;
+std::vector<Timeline::WorstRequest> Timeline::worst(std::size_t count) const {
+    const auto rank = [](const WorstRequest& request) {
+        return request.end == "lost"     ? 0
+               : request.end == "failed" ? 1
+               : request.end == "gone"   ? 2
+               : request.end == "late"   ? 3
+                                         : 4;
     };
     auto sorted = worst_;
-    std::stable_sort(sorted.begin(), sorted.end(), [&](const Slow& a, const Slow& b) {
+    std::stable_sort(sorted.begin(), sorted.end(), [&](const WorstRequest& a, const WorstRequest& b) {
         return rank(a) != rank(b) ? rank(a) < rank(b) : a.latency > b.latency;
     });
     sorted.resize(std::min(sorted.size(), count));
     return sorted;
 }
 
-std::vector<std::string> life_of(const std::string& log_path, std::uint64_t multiget) {
+std::vector<std::string> multiget_history(const std::string& log_path, std::uint64_t multiget) {
     std::ifstream log(log_path, std::ios::binary);
     const auto name = std::to_string(multiget);
     std::vector<std::string> history;
--- a/tests/lab_experiment_test.cpp
+++ b/tests/lab_experiment_test.cpp
@@ -231,10 +231,10 @@
     CHECK(hang_count == 2);
     const auto worst = timeline.worst(5);
     REQUIRE(!worst.empty());
-    const auto history = life_of(scratch / "log", worst[0].multiget);
+    const auto history = multiget_history(scratch / "log", worst[0].multiget);
     REQUIRE(history.size() > 2);
     CHECK(history.front().find("is asked") != std::string::npos);
-    CHECK(life_of(scratch / "log", 999'999).empty());
+    CHECK(multiget_history(scratch / "log", 999'999).empty());
 }
 
 TEST_CASE("the checker reports how near a run came to breaking a rule, and a tighter limit is nearer") {
