--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -297,7 +297,7 @@
     }
 }
 
-TEST_CASE("the simple policies lose no requests either, and serve less than the module under faults") {
+TEST_CASE("the simple policies lose no requests either, and faults show their difference from the module") {
     auto world = World::from_text(troubles({"hang", "slow"}), "w.toml");
     std::map<std::string, double> service;
     for (const auto& name : policy_names()) {
@@ -374,8 +374,8 @@
     CHECK(breaches_of(log + removed + "20 told 0 server 4 ready\n263 send 1.2 node 0 server 4 number 0\n" +
                       ending)
               .empty());
-    // A removal reported while the front node was not running is unknown to the restarted process, which uses
-    // its known server list.
+    // A removal reported while the front node was not running is unknown to the restarted process, which
+    // starts from its known server list.
     CHECK(breaches_of(log + "11 killed 0\n" + removed +
                       "200 begun 0\n263 send 1.2 node 0 server 4 number 0\n" + ending)
               .empty());
