--- a/bench/scale.cpp
+++ b/bench/scale.cpp
@@ -1,6 +1,6 @@
-// What one front node needs as the fleet grows: its traffic stays the same, index servers become more. Real
-// sockets, the program itself; every index server is an address of 127.0.0.0/8 behind one listener. Prints
-// one row a fleet: CPU, memory, descriptors, connections, bytes of lists, share served.
+// Measures the resources of one front node with constant traffic as the number of index servers grows. Uses
+// the real program on real sockets; every index server is an address of 127.0.0.0/8 behind one listener.
+// Prints one row per fleet: CPU, memory, descriptors, connections, bytes of server lists and share served.
 #include <poll.h>
 
 #include <chrono>
@@ -21,12 +21,12 @@
 namespace net = pinedoor::net;
 using Clock = std::chrono::steady_clock;
 
-constexpr auto kDay = std::chrono::seconds(20);
-constexpr auto kChangeEvery = std::chrono::milliseconds(200);
-// A front node of three hundred sends some thirty attempts a second.
-constexpr auto kAskEvery = std::chrono::milliseconds(180);
-constexpr int kPartsOfRequest = 6;
-constexpr int kShardsOfPlace = 4;
+constexpr auto kRunTime = std::chrono::seconds(20);
+constexpr auto kChangeInterval = std::chrono::milliseconds(200);
+// At this interval a front node in a fleet of 300 sends about thirty attempts per second.
+constexpr auto kRequestInterval = std::chrono::milliseconds(180);
+constexpr int kPartsPerRequest = 6;
+constexpr int kShardsPerPlace = 4;
 
 struct Fleet {
     int servers = 0;
@@ -34,7 +34,7 @@
     int front_nodes = 0;
 
     int places() const { return servers / replicas; }
-    int shards() const { return places() * kShardsOfPlace; }
+    int shards() const { return places() * kShardsPerPlace; }
 };
 
 constexpr std::uint32_t kFirstAddress = 0x7f010001;  // 127.1.0.1
@@ -55,7 +55,7 @@
     return text + "]}";
 }
 
-// Answers every part at once.
+// Stand-in for all index servers; answers every part immediately.
 class Servers {
 public:
     Servers() : listener_(net::listen_on({0, 0})) {
@@ -106,7 +106,8 @@
     std::thread thread_;
 };
 
-// Tells the whole list once a call, and then that one server changes, five times a second.
+// Stand-in for discovery: sends the whole server list once per call, then a change of one server every
+// kChangeInterval.
 class Discovery {
 public:
     Discovery(const Fleet& fleet, std::uint16_t port) : fleet_(fleet), port_(port) {
@@ -127,16 +128,16 @@
             if (poll(&polled, 1, 20) <= 0) continue;
             auto watch = listener_.accept();
             watch.read_to("\r\n\r\n");
-            tell(watch, kStream + chunk(whole_list(fleet_, port_) + "\n"));
+            send(watch, kStream + chunk(whole_list(fleet_, port_) + "\n"));
             while (!stop_ && poll(&polled, 1, 0) == 0) {
-                std::this_thread::sleep_for(kChangeEvery);
+                std::this_thread::sleep_for(kChangeInterval);
                 const auto changed = member(fleet_, revision % fleet_.servers, port_, "Ready");
-                tell(watch, chunk("{\"revision\":" + std::to_string(++revision) +
+                send(watch, chunk("{\"revision\":" + std::to_string(++revision) +
                                   ",\"complete\":false,\"members\":[" + changed + "]}\n"));
             }
         }
     }
-    void tell(Peer& watch, const std::string& text) {
+    void send(Peer& watch, const std::string& text) {
         bytes_ += text.size();
         watch.say(text);
     }
@@ -149,20 +150,20 @@
     std::thread thread_;
 };
 
-// A number of a process as /proc/PID/status tells it, behind its name.
+// Reads a numeric field of /proc/PID/status.
 long status_of(pid_t process, const std::string& name) {
     std::ifstream status("/proc/" + std::to_string(process) + "/status");
-    for (std::string word; status >> word;) {
+    for (std::string field; status >> field;) {
         long value = 0;
-        if (word == name + ':' && status >> value) return value;
+        if (field == name + ':' && status >> value) return value;
     }
     return 0;
 }
 
 double cpu_seconds(pid_t process) {
     std::ifstream stat("/proc/" + std::to_string(process) + "/stat");
-    std::string word;
-    for (int i = 0; i < 13; ++i) stat >> word;
+    std::string field;
+    for (int i = 0; i < 13; ++i) stat >> field;
     long user = 0, system = 0;
     stat >> user >> system;
     return static_cast<double>(user + system) / static_cast<double>(sysconf(_SC_CLK_TCK));
@@ -182,10 +183,10 @@
     program.counter_at("list_news", 2);
     int asked = 0, served = 0;
     std::mt19937 chance(7);
-    for (const auto until = Clock::now() + kDay; Clock::now() < until;
-         std::this_thread::sleep_for(kAskEvery)) {
+    for (const auto until = Clock::now() + kRunTime; Clock::now() < until;
+         std::this_thread::sleep_for(kRequestInterval)) {
         std::set<int> shards;
-        while (shards.size() < kPartsOfRequest)
+        while (shards.size() < kPartsPerRequest)
             shards.insert(static_cast<int>(chance() % static_cast<unsigned>(fleet.shards())));
         client.say(post("again", 't' + std::to_string(++asked), asks({shards.begin(), shards.end()}), 900));
         served += client.answer().starts_with("200 {\"whole\":true") ? 1 : 0;
