--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 using namespace pinedoor;
-using fleet::ServerSaid;
+using fleet::MemberReport;
 
 constexpr Time kSecond = 10'000, kTurnInterval = 50, kLookInterval = 1'000;
 constexpr int kServers = 32, kShards = 8;
@@ -56,7 +56,7 @@
                 if (other != node) others.emplace_back(other->name, at(other->index));
             }
             node->gossip.set_members(std::move(others));
-            ListNews list{ListKind::kFull, {}};
+            ListUpdate list{ListUpdateKind::kFull, {}};
             for (int s = 0; s < kServers; ++s)
                 list.entries.push_back({server(s), 0, s % kShards, ServerState::kReady, 1, 0});
             node->events.emplace_back(list);
@@ -103,18 +103,18 @@
     struct Node {
         Node(int number, std::uint64_t seed)
             : index(number), name("n" + std::to_string(number)),
-              module(seed, NodePlace{number, 1'000, 0, kTurnInterval},
-                     {OpType{3'000, 12'000, Repeat::kRetriable, 0, 1, 0, 1, 1, 0, 0}},
-                     ShardRing{kShards, 1, 1, 0}, SendTerms{3, true, true, 1'000}, FurtherSendTerms{},
-                     ColdTerms{}, ListTerms{}, ClientTerms{}, {}, HintTerms{}),
+              module(seed, NodeConfig{number, 1'000, 0, kTurnInterval},
+                     {OpType{3'000, 12'000, RetrySafety::kRetriable, 0, 1, 0, 1, 1, 0, 0}},
+                     ShardRing{kShards, 1, 1, 0}, SendConfig{3, true, true, 1'000}, FurtherSendConfig{},
+                     ColdStartConfig{}, ServerListConfig{}, ClientConfig{}, {}, HintConfig{}),
               gossip(name, at(number), 1, seed, seed, {}), reader({}), teller({}), hearer({}, name) {}
         const int index;
         const std::string name;
         FrontNode module;
         peers::Gossip gossip;
-        fleet::WordReader reader;
-        fleet::ServerTeller teller;
-        fleet::ServerHearer hearer;
+        fleet::ReportReader reader;
+        fleet::ReportPublisher teller;
+        fleet::ConsensusTracker hearer;
         fleet::Said others;
         std::vector<Event> events;
         Time timer_due = 0, next_look = 0, last_read = 0;
@@ -174,7 +174,7 @@
             const auto service_time = static_cast<Time>(10 - 20 * std::log(1 - draw()));
             node.pending_sends[{send->part, node.send_counts[send->part]++}] = {
                 now_, now_ + (hung ? send->try_for : service_time), send->server, hung};
-        } else if (const auto* cancellation = std::get_if<CallOff>(&action)) {
+        } else if (const auto* cancellation = std::get_if<CancelSend>(&action)) {
             const auto pending = node.pending_sends.find({cancellation->part, cancellation->send});
             if (pending == node.pending_sends.end()) return;
             node.events.emplace_back(SendEnded{cancellation->part,
@@ -184,7 +184,7 @@
                                                Outcome::kCancelled,
                                                {}});
             node.pending_sends.erase(pending);
-        } else if (const auto* timer = std::get_if<SetBell>(&action)) {
+        } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
             node.timer_due = now_ + timer->after;
         } else if (const auto* answer = std::get_if<Answer>(&action)) {
             const Time arrived = node.open_multigets[answer->multiget];
@@ -212,29 +212,29 @@
         }
         for (const auto& [name, report] : node.hearer.hear(now_, node.others)) {
             const auto id = server(std::atoi(name.c_str() + 2));
-            node.events.emplace_back(ServerWord{id, report.aside, report.held, report.seen, 0, 0});
+            node.events.emplace_back(ServerReport{id, report.aside, report.held, report.seen, 0, 0});
         }
         for (const auto& [name, report] : node.hearer.told())
             wrongly_aside_ +=
                 report.aside && !hangs(server(std::atoi(name.c_str() + 2))) && now_ < kHangEnd ? 1U : 0U;
         pairs_checked_ += kServers;
-        std::vector<fleet::ServerSeen> seen;
+        std::vector<fleet::ServerObservation> seen;
         for (const auto& view : node.module.servers())
             seen.push_back({name_of(view.server), view.doubted, view.failed, view.answered, -1, 0});
         if (!misreports(node)) {
             if (const auto reports = node.teller.tell(now_, seen, node.others))
                 node.gossip.publish(now_, fleet::kServersTopic, *reports, 15 * kSecond);
         } else if (now_ % (kSecond / 2) < kLookInterval) {
-            std::map<std::string, ServerSaid> reports;
+            std::map<std::string, MemberReport> reports;
             for (int s = 0; s < kServers; ++s)
                 reports[name_of(server(s))].opinion =
-                    hangs(server(s)) ? ServerSaid::Opinion::kGood : ServerSaid::Opinion::kBad;
+                    hangs(server(s)) ? MemberReport::Opinion::kGood : MemberReport::Opinion::kBad;
             node.gossip.publish(now_, fleet::kServersTopic, fleet::write_words(reports), 15 * kSecond);
         }
     }
 
     void deliver() {
-        std::vector<std::pair<int, peers::SendTalk>> outgoing;
+        std::vector<std::pair<int, peers::SendGossip>> outgoing;
         for (auto& node : nodes_) {
             if (!scenario_.verdicts || node->gossip.due() > now_) continue;
             for (auto& each : node->gossip.tick(now_)) outgoing.emplace_back(node->index, std::move(each));
--- a/bench/moves.cpp
+++ b/bench/moves.cpp
@@ -15,8 +15,8 @@
 
 using namespace pinedoor::test;
 using namespace pinedoor::placement;
-using pinedoor::tool::CarrierTerms;
-using pinedoor::tool::ShardCarrier;
+using pinedoor::tool::MoveExecutor;
+using pinedoor::tool::MoveExecutorConfig;
 namespace store = pinedoor::store;
 using Clock = std::chrono::steady_clock;
 
@@ -29,14 +29,14 @@
 
 struct Fleet {
     Fleet(std::size_t nodes, std::size_t count, std::size_t shards) : boxes(count) {
-        std::vector<BoxId> ids;
+        std::vector<ServerNumber> ids;
         for (std::size_t b = 1; b <= count; ++b) ids.push_back(*names.number("s-" + std::to_string(b)));
         const auto map = ShardMap::even(shards, ids, 2);
         boxes.use_map(map);
         discovery.list(boxes.listed());
         discovery.set_map(map, names);
         for (std::size_t n = 0; n < nodes; ++n) {
-            programs.push_back(std::make_unique<Program>(boxes.listed(), discovery.at()));
+            programs.push_back(std::make_unique<FrontNodeProcess>(boxes.listed(), discovery.at()));
             programs.back()->with("\"max_open\":40", "\"max_open\":2000");
             programs.back()->with_settings(
                 "[placement]\non = true\nask_again_ms = 5\nmost_legs = 20\n[placement.merge]\nagain = "
@@ -58,16 +58,16 @@
         store::MoveJournal journal(*db);
         journal.init();
         if (!moves.empty()) journal.add(std::move(moves));
-        ShardCarrier(*db, terms, [](const std::string&) {}).run();
+        MoveExecutor(*db, terms, [](const std::string&) {}).run();
     }
 
-    BoxNames names;
+    ServerNames names;
     TestServers boxes;
     MapDiscovery discovery;
-    std::vector<std::unique_ptr<Program>> programs;
+    std::vector<std::unique_ptr<FrontNodeProcess>> programs;
     std::string folder;
     std::unique_ptr<store::SqliteDb> db;
-    CarrierTerms terms;
+    MoveExecutorConfig terms;
 };
 
 struct Served {
@@ -125,7 +125,7 @@
 }
 
 // A random move that the map allows.
-std::vector<store::JournalMove> some_moves(const ShardMap& map, const BoxNames& names,
+std::vector<store::JournalMove> some_moves(const ShardMap& map, const ServerNames& names,
                                            std::mt19937_64& chance, ShardId& next, std::size_t boxes) {
     const auto all = map.shards();
     const auto which = chance() % all.size();
@@ -133,9 +133,9 @@
     store::JournalMove made;
     made.move.shard = one.id;
     made.move.from = one.owner();
-    BoxId reader = 0;
+    ServerNumber reader = 0;
     for (const auto& each : one.replicas) reader = each.role == Role::kReader ? each.box : reader;
-    const auto other = static_cast<BoxId>(chance() % boxes + 1);
+    const auto other = static_cast<ServerNumber>(chance() % boxes + 1);
     const bool held = is_on(one.replicas, other);
     made.move.kind = MoveKind::kPass;
     made.move.to = reader;
@@ -205,7 +205,7 @@
     for (int i = 0; i < 20; ++i) {
         const auto map = fleet.discovery.current_map();
         const auto one = map.shards()[0];
-        BoxId reader = 0;
+        ServerNumber reader = 0;
         for (const auto& each : one.replicas) reader = each.role == Role::kReader ? each.box : reader;
         const auto began = Clock::now();
         pinedoor::tool::ask_http(fleet.discovery.at(), "POST", "/discovery/shards",
@@ -233,7 +233,7 @@
         for (const auto& shard : map.shards()) {
             const auto held = is_on(shard.replicas, 1);
             if (!held) continue;
-            BoxId to = 2;
+            ServerNumber to = 2;
             while (is_on(shard.replicas, to)) ++to;
             store::JournalMove made;
             made.move = {0,
--- a/bench/peers.cpp
+++ b/bench/peers.cpp
@@ -38,7 +38,7 @@
     }
 }
 
-Row play(int count, double loss, bool suspensions, MembershipTerms terms, Time length) {
+Row play(int count, double loss, bool suspensions, MembershipConfig terms, Time length) {
     Row row;
     std::vector<double> detection_times;
     SimulatedPeers fleet(count, 7, terms, {0, 1, 2});
@@ -107,7 +107,7 @@
     const Time length = (count > 1 ? std::atoi(arguments[1]) : 120) * kSecond;
     const int max_members = count > 2 ? std::atoi(arguments[2]) : 300;  // members; 3000 takes half an hour
     const int min_members = count > 3 ? std::atoi(arguments[3]) : 0;
-    MembershipTerms plain_swim;
+    MembershipConfig plain_swim;
     plain_swim.local_health = plain_swim.sooner_by_confirmation = false;
     std::printf("%-12s %6s %6s %-11s %10s %12s %10s %9s\n", "who", "nodes", "loss", "standstill", "known",
                 "false/hour", "bytes/s", "messages/s");
--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -200,7 +200,7 @@
 
 void epoch_check() {
     const auto map = std::make_shared<const ShardMap>(ShardMap::even(10'000, {1, 2, 3, 4, 5}, 3));
-    GatherTerms terms;
+    GathererConfig terms;
     terms.op_types = {{MergeRule::kSum, true, 0.5, 1, 1'000}};
     terms.splits = 5'000;
     Gatherer gatherer(terms);
@@ -208,7 +208,7 @@
     std::vector<Route> routes;
     for (Number n = 0; n < 500; ++n) {
         for (auto& action : gatherer.ask(0, n, {0, 1'000, {{static_cast<int>(n) * 7, 1, 0, 0}}})) {
-            if (const auto* leg = std::get_if<gathering::AskLeg>(&action)) {
+            if (const auto* leg = std::get_if<gathering::SendRound>(&action)) {
                 for (const auto& piece : leg->pieces) routes.push_back(piece.route);
             }
         }
--- a/bench/scale.cpp
+++ b/bench/scale.cpp
@@ -172,7 +172,7 @@
 void play(const Fleet& fleet) {
     Servers servers;
     Discovery discovery(fleet, servers.port());
-    Program program({}, discovery.at());
+    FrontNodeProcess program({}, discovery.at());
     program.with("\"sockets\":1024", "\"sockets\":8192")
         .with("\"places\":1", "\"places\":" + std::to_string(fleet.places()))
         .with("\"shards\":12", "\"shards\":" + std::to_string(fleet.shards()))
--- a/bench/store.cpp
+++ b/bench/store.cpp
@@ -59,7 +59,7 @@
 double entries_per_second(Backend& backend, net::Scheduler& scheduler, std::size_t at_once,
                           double for_seconds) {
     bool open = false, done = false;
-    backend.open({"bench", 0, "birth", true}, [&](Backend::Enrolled enrolled) {
+    backend.open({"bench", 0, "birth", true}, [&](Backend::OpenResult enrolled) {
         open = enrolled.good;
         done = true;
         if (!open) std::fprintf(stderr, "bench: %s\n", enrolled.why.c_str());
@@ -74,7 +74,7 @@
         for (std::size_t i = 0; i < at_once; ++i)
             entries.push_back(std::make_shared<const Entry>(make_outcome(++number)));
         waiting = true;
-        backend.write(std::move(entries), [&](const Backend::Written& written) {
+        backend.write(std::move(entries), [&](const Backend::WriteResult& written) {
             if (written.end != Backend::End::kStored) std::exit(1);
             waiting = false;
         });
@@ -166,7 +166,7 @@
 struct Latencies {
     double median = 0, p99 = 0, missed = 0;
 };
-Latencies drive(Program& program, const std::string& op_type, int per_second, double for_seconds) {
+Latencies drive(FrontNodeProcess& program, const std::string& op_type, int per_second, double for_seconds) {
     constexpr int kClients = 16;
     std::vector<Peer> clients;
     for (int i = 0; i < kClients; ++i) clients.push_back(program.client());
@@ -209,9 +209,10 @@
             std::vector<std::vector<Latencies>> results(3);
             for (int run = 0; run < 3; ++run) {
                 for (int kind = 0; kind < 3; ++kind) {
-                    Counting servers[2];
+                    CountingServer servers[2];
                     Listener discovery;
-                    Program program({{"s-1", servers[0].at()}, {"s-2", servers[1].at()}}, discovery.at());
+                    FrontNodeProcess program({{"s-1", servers[0].at()}, {"s-2", servers[1].at()}},
+                                             discovery.at());
                     program.with("\"max_open\":40", "\"max_open\":4000");
                     const auto path =
                         files.folder + "/rows-" + std::to_string(per_second) + op_type + std::to_string(run);
@@ -264,7 +265,7 @@
     net::Scheduler scheduler;
     SqliteBackend backend(scheduler, files.folder + "/million.db", 100'000);
     bool done = false;
-    backend.open({"bench", 0, "birth", true}, [&](const Backend::Enrolled&) { done = true; });
+    backend.open({"bench", 0, "birth", true}, [&](const Backend::OpenResult&) { done = true; });
     scheduler.run([&] { return done; });
     const long before = resident_kb("VmRSS");
     std::uint64_t number = 0;
@@ -274,7 +275,7 @@
             for (int i = 0; i < 1'000; ++i)
                 entries.push_back(std::make_shared<const Entry>(make_outcome(++number)));
             done = false;
-            backend.write(std::move(entries), [&](const Backend::Written&) { done = true; });
+            backend.write(std::move(entries), [&](const Backend::WriteResult&) { done = true; });
             scheduler.run([&] { return done; });
         }
         std::printf("  %10llu records %8.1f more\n", static_cast<unsigned long long>(number),
--- a/demo/main.cpp
+++ b/demo/main.cpp
@@ -12,7 +12,7 @@
 using namespace pinedoor::test;
 
 struct DemoClient {
-    Program& program;
+    FrontNodeProcess& program;
     int request_count = 0;
 
     void send_request(const std::string& op_type, const std::vector<int>& shards, const std::string& text,
@@ -31,11 +31,11 @@
 }  // namespace
 
 int main() {
-    Counting servers[3];
+    CountingServer servers[3];
     std::vector<Listed> listed;
     for (auto& server : servers) listed.push_back({"s-" + std::to_string(listed.size() + 1), server.at()});
     Discovery discovery(listed);
-    Program program(listed, discovery.at());
+    FrontNodeProcess program(listed, discovery.at());
     program.with_settings("[store]\nkind = \"sqlite\"\nfolder = \"@/store\"\nlease_ms = 1000\n").start();
     DemoClient demo{program};
     demo.print_step(
--- a/src/fleet/about.cpp
+++ b/src/fleet/about.cpp
@@ -28,7 +28,7 @@
 }
 
 // A need is published when it changed by more than a quarter, when it ended, and to renew the record.
-std::optional<double> AboutShare::say(Time now) {
+std::optional<double> ApproximateShare::say(Time now) {
     if (published_at_ > 0 && now - published_at_ < terms_.publish_interval) return std::nullopt;
     const double difference = std::abs(need_ - published_need_);
     const bool changed = difference > published_need_ / 4 && difference > terms_.floor() / 4;
@@ -41,7 +41,7 @@
     return published_need_;
 }
 
-void AboutShare::hear(Time now, const std::vector<double>& others, std::size_t members, bool ready) {
+void ApproximateShare::hear(Time now, const std::vector<double>& others, std::size_t members, bool ready) {
     other_needs_ = others;
     member_count_ = std::max<std::size_t>(1, members);
     ready_ = ready;
@@ -49,7 +49,7 @@
 }
 
 // Without the needs of others this node uses its floor only.
-void AboutShare::update_target(Time now) {
+void ApproximateShare::update_target(Time now) {
     const double live_fraction =
         std::min(1.0, static_cast<double>(member_count_) / std::max(1, terms_.node_count));
     double share = 0;
@@ -63,7 +63,7 @@
 }
 
 // The smallest share computed within `propagation_delay`: decreases take effect at once, increases after it.
-double AboutShare::may_use(Time now) {
+double ApproximateShare::may_use(Time now) {
     while (targets_.size() > 1 && targets_[1].first + terms_.propagation_delay <= now) targets_.pop_front();
     double smallest = targets_.empty() || targets_.front().first + terms_.propagation_delay > now
                           ? 0
--- a/src/fleet/about.hpp
+++ b/src/fleet/about.hpp
@@ -33,7 +33,7 @@
 using peers::Time;
 
 // Settings for one limit; times in tenths of a millisecond.
-struct ApproximateLimitTerms {
+struct ApproximateLimitConfig {
     double limit = 0;
     double floor_share = 0.1;          // fraction of the limit that is divided evenly and permanently
     int node_count = 1;                // configured front nodes
@@ -50,9 +50,9 @@
 std::map<std::string, double> read_needs(const std::string& text);
 
 // This node's share of one limit.
-class AboutShare {
+class ApproximateShare {
 public:
-    explicit AboutShare(ApproximateLimitTerms terms) : terms_(terms) {}
+    explicit ApproximateShare(ApproximateLimitConfig terms) : terms_(terms) {}
 
     void need(double amount) { need_ = amount; }  // of this node, now
     // Returns the need to publish from now on, if a publication is due.
@@ -68,7 +68,7 @@
 private:
     void update_target(Time now);
 
-    const ApproximateLimitTerms terms_;
+    const ApproximateLimitConfig terms_;
     double need_ = 0, published_need_ = 0;
     Time published_at_ = 0;
     std::vector<double> other_needs_;
--- a/src/fleet/at_servers.cpp
+++ b/src/fleet/at_servers.cpp
@@ -6,8 +6,8 @@
 
 namespace pinedoor::fleet {
 
-bool ConnectionPace::may_open(Time now, std::uint64_t server, double share) {
-    auto& entry = servers_.try_emplace(server, Server{Bucket(limit_, 1), {}}).first->second;
+bool ConnectionRateLimiter::may_open(Time now, std::uint64_t server, double share) {
+    auto& entry = servers_.try_emplace(server, Server{TokenBucket(limit_, 1), {}}).first->second;
     entry.demand.came(now);
     if (entry.bucket.refill(now, share) < 1) {
         ++deferred_;
@@ -17,12 +17,12 @@
     return true;
 }
 
-bool ConnectionPace::has_room(Time now, std::uint64_t server, double share) {
+bool ConnectionRateLimiter::has_room(Time now, std::uint64_t server, double share) {
     const auto found = servers_.find(server);
     return found == servers_.end() || found->second.bucket.refill(now, share) >= 1;
 }
 
-double ConnectionPace::need(Time now, double share) {
+double ConnectionRateLimiter::need(Time now, double share) {
     double max_need = 0;
     for (auto it = servers_.begin(); it != servers_.end();) {
         const double need = it->second.demand.need(now);
@@ -34,7 +34,7 @@
     return max_need;
 }
 
-void PartsOut::see(Time now, int max_parts_out) {
+void PartsOutDemand::see(Time now, int max_parts_out) {
     constexpr double kHalfLife = 10'000;
     const double since = observed_at_ == 0 ? 0 : static_cast<double>(now - observed_at_);
     observed_at_ = now;
--- a/src/fleet/at_servers.hpp
+++ b/src/fleet/at_servers.hpp
@@ -17,9 +17,9 @@
 //   per_second * W + burst + nodes + starts of front nodes in W
 // connections, since each bucket starts with one token: a node that has just started must reach its servers
 // and has nothing but its floor.
-class ConnectionPace {
+class ConnectionRateLimiter {
 public:
-    explicit ConnectionPace(const LimitTerms& limit) : limit_(limit) {}
+    explicit ConnectionRateLimiter(const LimitConfig& limit) : limit_(limit) {}
 
     // `server`: derived from its address, which stays the same when it leaves the list and returns. A
     // flapping server is listed as a different one each time; limited by that identity, all front nodes would
@@ -31,17 +31,17 @@
 
 private:
     struct Server {
-        Bucket bucket;
-        Demand demand;
+        TokenBucket bucket;
+        DemandEstimator demand;
     };
-    const LimitTerms limit_;
+    const LimitConfig limit_;
     std::map<std::uint64_t, Server> servers_;
     std::uint64_t deferred_ = 0;
 };
 
 // Need for parts out at each server: the recent peak at one server with half as much again for growth, and
 // one more, since parts that the share held back are not observed.
-class PartsOut {
+class PartsOutDemand {
 public:
     void see(Time now, int max_parts_out);
     double need() const { return 1.5 * peak_ + 1; }
--- a/src/fleet/gate.cpp
+++ b/src/fleet/gate.cpp
@@ -22,13 +22,13 @@
 
 }  // namespace
 
-double Bucket::capacity(double share) const {
+double TokenBucket::capacity(double share) const {
     return std::max(1.0, per_second_ > 0 ? burst_ * share / per_second_ : 0);
 }
 
 // Tokens up to now accrue at the previous share. Otherwise an idle node whose share grows would at once have
 // the burst of the added part, which the node that gave it up may just have used.
-double Bucket::refill(Time now, double share) {
+double TokenBucket::refill(Time now, double share) {
     const double since = refilled_at_ == 0 ? 0 : static_cast<double>(now - refilled_at_) / kSecond;
     if (refilled_at_ == 0) share_ = share;
     refilled_at_ = now;
@@ -39,12 +39,12 @@
     return tokens_;
 }
 
-void Demand::came(Time now, double count) {
+void DemandEstimator::came(Time now, double count) {
     rate_ = rate_ * decay_factor(rate_updated_at_, now) + count / kAveragingSeconds;
     last_arrival_at_ = now;
 }
 
-double Demand::need(Time now) {
+double DemandEstimator::need(Time now) {
     rate_ *= decay_factor(rate_updated_at_, now);
     // Lowers the estimate early during a silence: by the average alone, a node whose tenant moved to another
     // node would hold part of the limit for seconds. At a higher rate something would have arrived by now
--- a/src/fleet/gate.hpp
+++ b/src/fleet/gate.hpp
@@ -18,10 +18,10 @@
 
 // Token bucket for a share that varies. It fills at the rate of the share, up to the share's part of the
 // burst but at least one token.
-class Bucket {
+class TokenBucket {
 public:
     // `initial_tokens`: 0 where tokens of an earlier incarnation of the node may still be in use.
-    explicit Bucket(const LimitTerms& limit, double initial_tokens = 0)
+    explicit TokenBucket(const LimitConfig& limit, double initial_tokens = 0)
         : per_second_(limit.per_second), burst_(limit.burst), tokens_(initial_tokens) {}
 
     double refill(Time now, double share);  // returns the tokens available now
@@ -38,7 +38,7 @@
 
 // Estimates the demand from arrivals, admitted or not: a rate per second averaged over a few seconds, which
 // decays while nothing arrives.
-class Demand {
+class DemandEstimator {
 public:
     void came(Time now, double count = 1);
     // What this node needs of a limit: the recent rate with half as much again for growth. Falls to zero soon
@@ -54,7 +54,7 @@
 // Admits requests at the rate of this node's share, and estimates the need for it.
 class Gate {
 public:
-    Gate(const LimitTerms& limit, std::uint64_t seed) : bucket_(limit), random_(seed) {}
+    Gate(const LimitConfig& limit, std::uint64_t seed) : bucket_(limit), random_(seed) {}
 
     // Whether one more may pass now. `share`: this node's, per second.
     bool pass(Time now, double share);
@@ -68,8 +68,8 @@
     std::uint64_t turned_away() const { return rejected_; }
 
 private:
-    Bucket bucket_;
-    Demand demand_;
+    TokenBucket bucket_;
+    DemandEstimator demand_;
     std::mt19937_64 random_;
     std::uint64_t passed_ = 0, rejected_ = 0;
     double rejected_rate_ = 0;  // per second
--- a/src/fleet/leases.cpp
+++ b/src/fleet/leases.cpp
@@ -37,7 +37,8 @@
 
 // The votes of an earlier incarnation of this node are not stored. It grants no vote until each of them must
 // have expired.
-Leases::Leases(std::string limit, std::string self, std::uint64_t incarnation, LeaseTerms terms, Time started)
+LeaseParticipant::LeaseParticipant(std::string limit, std::string self, std::uint64_t incarnation,
+                                   LeaseConfig terms, Time started)
     : limit_(std::move(limit)), self_(std::move(self)), incarnation_(incarnation), terms_(std::move(terms)),
       may_vote_from_(started + terms_.grantor_duration(terms_.vote_duration)),
       // Request numbers differ between incarnations. Otherwise a delayed reply to an earlier incarnation
@@ -45,11 +46,11 @@
       // later request and expire after the grantor has granted it to another node.
       last_request_number_((incarnation & 0x7fffffffU) << 32U) {}
 
-bool Leases::is_voter(const std::string& name) const {
+bool LeaseParticipant::is_voter(const std::string& name) const {
     return std::find(terms_.voters.begin(), terms_.voters.end(), name) != terms_.voters.end();
 }
 
-void Leases::set_members(const std::vector<std::string>& names) {
+void LeaseParticipant::set_members(const std::vector<std::string>& names) {
     candidate_.clear();
     for (const auto& name : names) {
         if (!is_voter(name)) continue;
@@ -58,7 +59,7 @@
     }
 }
 
-LeaseMessage Leases::make_message(LeaseMessage::Kind kind, std::uint64_t number) const {
+LeaseMessage LeaseParticipant::make_message(LeaseMessage::Kind kind, std::uint64_t number) const {
     LeaseMessage message;
     message.kind = kind;
     message.limit = limit_;
@@ -71,7 +72,7 @@
 // The owner goes on. Otherwise a voter whose own vote is free becomes a candidate: the first by rendezvous
 // hash at once, and each further one two renewals later. A dead owner is thus replaced when its votes expire,
 // without waiting for membership to find it dead.
-bool Leases::seeks_ownership(Time now) const {
+bool LeaseParticipant::seeks_ownership(Time now) const {
     if (!is_voter(self_) || now < may_vote_from_) return false;
     if (owns(now)) return true;
     if (now < vote_ends_at_) return voted_for_ == self_ && voted_incarnation_ == incarnation_;
@@ -84,7 +85,8 @@
 }
 
 // Messages to this node itself are handled at once.
-void Leases::send(const std::string& to, LeaseMessage message, std::vector<SendLease>& out, Time now) {
+void LeaseParticipant::send(const std::string& to, LeaseMessage message,
+                            std::vector<OutgoingLeaseMessage>& out, Time now) {
     if (to != self_) {
         out.push_back({to, std::move(message)});
         return;
@@ -92,8 +94,8 @@
     for (auto& each : take(now, message)) out.push_back(std::move(each));
 }
 
-std::vector<SendLease> Leases::tick(Time now) {
-    std::vector<SendLease> out;
+std::vector<OutgoingLeaseMessage> LeaseParticipant::tick(Time now) {
+    std::vector<OutgoingLeaseMessage> out;
     if (was_owner_ && !owns(now)) {
         was_owner_ = false;
         ++counts_.ownership_lost;
@@ -118,14 +120,14 @@
 
 // Returns a new request number. Several requests are kept, since a reply may arrive after the next request
 // was sent.
-std::uint64_t Leases::record_request(std::map<std::uint64_t, Time>& requests, Time now) {
+std::uint64_t LeaseParticipant::record_request(std::map<std::uint64_t, Time>& requests, Time now) {
     constexpr std::size_t kMaxOutstanding = 32;
     if (requests.size() == kMaxOutstanding) requests.erase(requests.begin());
     requests[++last_request_number_] = now;
     return last_request_number_;
 }
 
-void Leases::request_votes(Time now, std::vector<SendLease>& out) {
+void LeaseParticipant::request_votes(Time now, std::vector<OutgoingLeaseMessage>& out) {
     const bool holds_votes =
         std::any_of(votes_.begin(), votes_.end(), [now](const auto& each) { return now < each.second; });
     if (owns(now) || !holds_votes)
@@ -147,7 +149,7 @@
         send(voter, make_message(LeaseMessage::Kind::kVoteRequest, number), out, now);
 }
 
-void Leases::request_share(Time now, std::vector<SendLease>& out) {
+void LeaseParticipant::request_share(Time now, std::vector<OutgoingLeaseMessage>& out) {
     if (++unanswered_requests_ > kMaxUnansweredRequests) owner_.clear();
     auto recipient = owner_.empty() ? candidate_ : owner_;
     if (unanswered_requests_ > kMaxUnansweredRequests && !terms_.voters.empty())
@@ -159,8 +161,8 @@
     send(recipient, std::move(ask), out, now);
 }
 
-std::vector<SendLease> Leases::take(Time now, const LeaseMessage& message) {
-    std::vector<SendLease> out;
+std::vector<OutgoingLeaseMessage> LeaseParticipant::take(Time now, const LeaseMessage& message) {
+    std::vector<OutgoingLeaseMessage> out;
     if (message.limit != limit_) return out;
     switch (message.kind) {
         case LeaseMessage::Kind::kVoteRequest:
@@ -200,7 +202,7 @@
     return out;
 }
 
-LeaseMessage Leases::answer_vote_request(Time now, const LeaseMessage& ask) {
+LeaseMessage LeaseParticipant::answer_vote_request(Time now, const LeaseMessage& ask) {
     auto vote = make_message(LeaseMessage::Kind::kVoteReply, ask.request_number);
     // A candidate's vote for itself is counted by no other node, so it can be withdrawn in favour of a
     // candidate that ranks higher. Otherwise several that become candidates at once would each keep their own
@@ -223,7 +225,7 @@
     return vote;
 }
 
-void Leases::receive_vote(Time now, const LeaseMessage& message) {
+void LeaseParticipant::receive_vote(Time now, const LeaseMessage& message) {
     const auto request = vote_requests_.find(message.request_number);
     if (request == vote_requests_.end() || !is_voter(message.from)) return;
     if (message.amount < 1) {
@@ -238,7 +240,7 @@
 }
 
 // The time until which this node holds the votes of a majority.
-Time Leases::ownership_ends_at() const {
+Time LeaseParticipant::ownership_ends_at() const {
     const auto need = terms_.voters.size() / 2 + 1;
     if (votes_.size() < need) return 0;
     std::vector<Time> ends;
@@ -247,16 +249,16 @@
     return ends[need - 1];
 }
 
-bool Leases::owns(Time now) const { return now < ownership_ends_at(); }
+bool LeaseParticipant::owns(Time now) const { return now < ownership_ends_at(); }
 
-double Leases::Holder::max_amount(Time now) const {
+double LeaseParticipant::Holder::max_amount(Time now) const {
     double amount = 0;
     for (const auto& [number, each] : leases)
         amount = now < each.ends_at ? std::max(amount, each.amount) : amount;
     return amount;
 }
 
-double Leases::lent(Time now) const {
+double LeaseParticipant::lent(Time now) const {
     double sum = 0;
     for (const auto& [key, holder] : holders_) sum += holder.max_amount(now);
     return sum;
@@ -264,7 +266,7 @@
 
 // A holder uses one lease at a time, but the owner learns which of the latest ones only from the next
 // request. Until then, or until they expire, the largest of them counts.
-LeaseMessage Leases::grant_share(Time now, const LeaseMessage& ask) {
+LeaseMessage LeaseParticipant::grant_share(Time now, const LeaseMessage& ask) {
     std::erase_if(holders_, [&](const auto& each) {
         return each.second.max_amount(now) <= 0 && now - each.second.requested_at > 2 * terms_.lease_duration;
     });
@@ -303,10 +305,12 @@
     return share;
 }
 
-double Leases::may_use(Time now) const { return terms_.floor() + (now < held_until_ ? held_amount_ : 0); }
+double LeaseParticipant::may_use(Time now) const {
+    return terms_.floor() + (now < held_until_ ? held_amount_ : 0);
+}
 
-std::vector<SendLease> Leases::leave(Time now) {
-    std::vector<SendLease> out;
+std::vector<OutgoingLeaseMessage> LeaseParticipant::leave(Time now) {
+    std::vector<OutgoingLeaseMessage> out;
     released_ = true;
     if (now < held_until_ && !owner_.empty()) {
         held_until_ = 0;  // stops using the share before the release is sent
@@ -315,7 +319,7 @@
     return out;
 }
 
-std::string Leases::canonical_state(Time now, Time oldest, const LatestRequests& latest) const {
+std::string LeaseParticipant::canonical_state(Time now, Time oldest, const LatestRequests& latest) const {
     // Replies that may still arrive and unexpired leases belong to more recent requests than this.
     constexpr std::uint64_t kMaxDistance = 64;
     std::ostringstream out;
--- a/src/fleet/leases.hpp
+++ b/src/fleet/leases.hpp
@@ -40,7 +40,7 @@
 using peers::Time;
 
 // Settings of the protocol for one limit; equal on all front nodes.
-struct LeaseTerms {
+struct LeaseConfig {
     double limit = 0;          // of the whole fleet, in the limit's unit
     double floor_share = 0.1;  // fraction of the limit that is divided evenly and permanently, so that every
                                // node has something to start with
@@ -78,7 +78,7 @@
 };
 
 // A message to send.
-struct SendLease {
+struct OutgoingLeaseMessage {
     std::string to;  // a front node's name
     LeaseMessage message;
 };
@@ -95,22 +95,23 @@
 
 // The part of one node in the protocol for one limit: as a voter, as the owner while it is elected, and as
 // the holder of a lease.
-class Leases {
+class LeaseParticipant {
 public:
     // `incarnation`: a random number drawn at each start.
-    Leases(std::string limit, std::string self, std::uint64_t incarnation, LeaseTerms terms, Time started);
+    LeaseParticipant(std::string limit, std::string self, std::uint64_t incarnation, LeaseConfig terms,
+                     Time started);
 
     // Sets the live members. Until the owner is known, shares are requested from the voter among them that is
     // first by rendezvous hash.
     void set_members(const std::vector<std::string>& names);
     void need(double amount) { need_ = amount; }  // of this node, including its floor
     // Does what is due and returns messages to send. To be called at due() or later.
-    std::vector<SendLease> tick(Time now);
+    std::vector<OutgoingLeaseMessage> tick(Time now);
     Time due() const { return next_tick_at_; }
     // Handles a received message and returns messages to send.
-    std::vector<SendLease> take(Time now, const LeaseMessage& message);
+    std::vector<OutgoingLeaseMessage> take(Time now, const LeaseMessage& message);
     // Stops requesting and returns the share it holds.
-    std::vector<SendLease> leave(Time now);
+    std::vector<OutgoingLeaseMessage> leave(Time now);
 
     // What this node may use now: its floor, and its granted share until that expires.
     double may_use(Time now) const;
@@ -119,7 +120,7 @@
     double lent(Time now) const;                  // sum of granted shares, as the owner counts them
     std::string owner() const { return owner_; }  // last known owner
     const LeaseCounts& counts() const { return counts_; }
-    const LeaseTerms& terms() const { return terms_; }
+    const LeaseConfig& terms() const { return terms_; }
 
     // Everything that determines future behaviour, as text, for state space exploration: two nodes with equal
     // text behave alike. Times are relative to now, and request numbers to the latest request of their
@@ -144,20 +145,20 @@
     using HolderKey = std::pair<std::string, std::uint64_t>;  // name, incarnation
 
     Time ownership_ends_at() const;
-    void request_votes(Time now, std::vector<SendLease>& out);
-    void request_share(Time now, std::vector<SendLease>& out);
+    void request_votes(Time now, std::vector<OutgoingLeaseMessage>& out);
+    void request_share(Time now, std::vector<OutgoingLeaseMessage>& out);
     void receive_vote(Time now, const LeaseMessage& message);
     LeaseMessage answer_vote_request(Time now, const LeaseMessage& ask);
     LeaseMessage grant_share(Time now, const LeaseMessage& ask);
     LeaseMessage make_message(LeaseMessage::Kind kind, std::uint64_t number) const;
-    void send(const std::string& to, LeaseMessage message, std::vector<SendLease>& out, Time now);
+    void send(const std::string& to, LeaseMessage message, std::vector<OutgoingLeaseMessage>& out, Time now);
     bool is_voter(const std::string& name) const;
     bool seeks_ownership(Time now) const;
     std::uint64_t record_request(std::map<std::uint64_t, Time>& requests, Time now);
 
     const std::string limit_, self_;
     const std::uint64_t incarnation_;
-    const LeaseTerms terms_;
+    const LeaseConfig terms_;
     std::string candidate_;  // preferred owner among the live members
 
     // As a voter.
--- a/src/fleet/server_words.cpp
+++ b/src/fleet/server_words.cpp
@@ -9,7 +9,7 @@
 namespace pinedoor::fleet {
 namespace {
 
-using OpinionKind = ServerSaid::Opinion;
+using OpinionKind = MemberReport::Opinion;
 
 constexpr Time kSecond = 10'000;
 constexpr std::size_t kMaxNameLength = 64;
@@ -21,7 +21,7 @@
            std::all_of(name.begin(), name.end(), [](char c) { return c > ' ' && c < 127; });
 }
 
-bool has_content(const ServerSaid& report) {
+bool has_content(const MemberReport& report) {
     return report.opinion != OpinionKind::kNone || report.cold_duration >= 0;
 }
 
@@ -55,12 +55,12 @@
 
 // One report is "NAME b|g|- EVIDENCE_AGE_MS|- COLD_MS|- PARTS_PER_SECOND "; b is faulty, g is healthy. Faulty
 // servers come first, since they cost the others most; what exceeds the size of a record is left out.
-std::string write_words(const std::map<std::string, ServerSaid>& reports) {
-    std::vector<std::pair<const std::string*, const ServerSaid*>> order;
+std::string write_words(const std::map<std::string, MemberReport>& reports) {
+    std::vector<std::pair<const std::string*, const MemberReport*>> order;
     for (const auto& [name, each] : reports) {
         if (has_content(each) && is_valid_name(name)) order.emplace_back(&name, &each);
     }
-    const auto rank = [](const ServerSaid& each) {
+    const auto rank = [](const MemberReport& each) {
         return std::pair(each.opinion == OpinionKind::kBad    ? 0
                          : each.opinion == OpinionKind::kGood ? 1
                                                               : 2,
@@ -84,8 +84,8 @@
     return out;
 }
 
-std::map<std::string, ServerSaid> read_reports(const std::string& text) {
-    std::map<std::string, ServerSaid> reports;
+std::map<std::string, MemberReport> read_reports(const std::string& text) {
+    std::map<std::string, MemberReport> reports;
     for (std::string_view rest = text;;) {
         const std::string name(next_token(rest));
         const auto opinion = next_token(rest), seen = next_token(rest), cold = next_token(rest),
@@ -96,7 +96,7 @@
         const auto cold_duration = cold == "-" ? Time{-1} : read_ms(cold);
         const auto parts_per_second = read_number(rate);
         if (!evidence_age || !cold_duration || !parts_per_second || !is_valid_name(name)) continue;
-        ServerSaid each;
+        MemberReport each;
         if (has_opinion) each.opinion = opinion == "b" ? OpinionKind::kBad : OpinionKind::kGood;
         each.evidence_age = *evidence_age;
         each.cold_duration = *cold_duration;
@@ -107,8 +107,8 @@
 
 // A record is parsed again only if its text changed: records are read up to ten times a second but change at
 // most twice a second.
-Said WordReader::read(Time now, const std::vector<peers::Fact>& facts,
-                      const std::map<std::string, int>& zones, const std::string& self) {
+Said ReportReader::read(Time now, const std::vector<peers::Fact>& facts,
+                        const std::map<std::string, int>& zones, const std::string& self) {
     Said result;
     result.voices = eligible_reporters(terms_, zones, self);
     std::map<std::string, ParsedRecord> previous = std::exchange(parsed_, {});
@@ -134,7 +134,8 @@
 
 // A member that has published an opinion keeps it for as long as it holds. If members withdrew theirs as soon
 // as enough others report the same, all would withdraw and then all report again.
-OpinionKind ServerTeller::choose_opinion(Time now, const ServerSeen& seen, const Said& others) const {
+OpinionKind ReportPublisher::choose_opinion(Time now, const ServerObservation& seen,
+                                            const Said& others) const {
     const auto reported = others.servers.find(seen.name);
     const auto published = published_.find(seen.name);
     const auto published_as = [&](OpinionKind kind) {
@@ -152,7 +153,7 @@
     return published_as(OpinionKind::kGood) || has_newer_answer ? OpinionKind::kGood : OpinionKind::kNone;
 }
 
-bool ServerTeller::is_due(Time now, const Reports& reports) const {
+bool ReportPublisher::is_due(Time now, const Reports& reports) const {
     const auto same = [](const auto& a, const auto& b) {
         return a.first == b.first && a.second.opinion == b.second.opinion &&
                (a.second.cold_duration < 0) == (b.second.cold_duration < 0);
@@ -175,8 +176,8 @@
            (newer_evidence && since >= terms_.evidence_interval) || since >= terms_.lives / 3;
 }
 
-std::optional<std::string> ServerTeller::tell(Time now, const std::vector<ServerSeen>& seen,
-                                              const Said& others) {
+std::optional<std::string> ReportPublisher::tell(Time now, const std::vector<ServerObservation>& seen,
+                                                 const Said& others) {
     // Rates are averages over at least `every`.
     if (now - rates_updated_at_ >= terms_.every) {
         const double seconds =
@@ -196,7 +197,7 @@
     }
     Reports reports;
     for (const auto& each : seen) {
-        ServerSaid report;
+        MemberReport report;
         report.opinion = choose_opinion(now, each, others);
         report.evidence_age = std::max<Time>(0, now - std::max(each.failed, each.answered));
         report.cold_duration = each.cold_duration;
@@ -211,12 +212,12 @@
     return write_words(published_);
 }
 
-std::map<std::string, ServerTold> ServerHearer::hear(Time now, const Said& others) {
+std::map<std::string, ServerConsensus> ConsensusTracker::hear(Time now, const Said& others) {
     const auto count = others.voices.size();
     const auto agreeing = std::min<std::size_t>(2, std::max<std::size_t>(1, count));
-    std::map<std::string, ServerTold> changed, current;
+    std::map<std::string, ServerConsensus> changed, current;
     for (const auto& [name, reported] : others.servers) {
-        ServerTold consensus;
+        ServerConsensus consensus;
         const auto verdict = judge(terms_.verdict, now, count, reported.opinions);
         consensus.aside = verdict.aside;
         consensus.seen = verdict.aside ? verdict.evidence_at : 0;
--- a/src/fleet/server_words.hpp
+++ b/src/fleet/server_words.hpp
@@ -32,7 +32,7 @@
 inline constexpr const char* kDeadlyTopic = "deadly";
 
 // What this node observed of one server; times on its clock.
-struct ServerSeen {
+struct ServerObservation {
     std::string name;
     bool doubted = false;           // suspected to be faulty
     Time failed = 0, answered = 0;  // last failed and last answered send; 0: none
@@ -43,7 +43,7 @@
 };
 
 // Report of one member on one server.
-struct ServerSaid {
+struct MemberReport {
     enum class Opinion { kNone, kBad, kGood } opinion = Opinion::kNone;
     Time evidence_age = 0;
     Time cold_duration = -1;  // -1: not reported as cold
@@ -51,7 +51,7 @@
 };
 
 // What the reports of all members on one server amount to.
-struct ServerTold {
+struct ServerConsensus {
     bool aside = false;
     bool held = false;   // left to other nodes to probe
     Time seen = 0;       // time of the evidence, on this node's clock
@@ -63,17 +63,17 @@
 // Settings of reports; times in tenths of a millisecond. A changed set of servers, opinions or cold servers
 // is published after `min_interval`, changed rates after `every`, later evidence for the same opinions after
 // `evidence_interval`.
-struct WordTerms {
+struct ReportConfig {
     Time min_interval = 1'000;
     Time every = 10'000;
     Time evidence_interval = 20'000;
     Time lives = 150'000;  // of a published report; it is published again after a third of that
-    VerdictTerms verdict;
+    VerdictConfig verdict;
 };
 
 // Text form of one member's reports, as many as one published record holds.
-std::string write_words(const std::map<std::string, ServerSaid>& reports);
-std::map<std::string, ServerSaid> read_reports(const std::string& text);  // skips malformed reports
+std::string write_words(const std::map<std::string, MemberReport>& reports);
+std::map<std::string, MemberReport> read_reports(const std::string& text);  // skips malformed reports
 
 // The current reports of all other members, by server. Input of both the publisher and the receiver.
 struct Said {
@@ -87,9 +87,9 @@
 };
 
 // Collects the reports from published records. Keeps what it parsed, by member.
-class WordReader {
+class ReportReader {
 public:
-    explicit WordReader(VerdictTerms terms) : terms_(terms) {}
+    explicit ReportReader(VerdictConfig terms) : terms_(terms) {}
     // `zones`: of the live members, by name; records of others are ignored.
     Said read(Time now, const std::vector<peers::Fact>& facts, const std::map<std::string, int>& zones,
               const std::string& self);
@@ -97,25 +97,25 @@
 private:
     struct ParsedRecord {
         std::string text;
-        std::map<std::string, ServerSaid> reports;
+        std::map<std::string, MemberReport> reports;
     };
-    const VerdictTerms terms_;
+    const VerdictConfig terms_;
     std::map<std::string, ParsedRecord> parsed_;  // of members with a current record
 };
 
 // Decides what this node reports and when.
-class ServerTeller {
+class ReportPublisher {
 public:
-    explicit ServerTeller(WordTerms terms) : terms_(terms) {}
+    explicit ReportPublisher(ReportConfig terms) : terms_(terms) {}
     // Returns the text to publish, if a publication is due. An empty text withdraws earlier reports.
-    std::optional<std::string> tell(Time now, const std::vector<ServerSeen>& seen, const Said& others);
+    std::optional<std::string> tell(Time now, const std::vector<ServerObservation>& seen, const Said& others);
 
 private:
-    using Reports = std::map<std::string, ServerSaid>;
-    ServerSaid::Opinion choose_opinion(Time now, const ServerSeen& seen, const Said& others) const;
+    using Reports = std::map<std::string, MemberReport>;
+    MemberReport::Opinion choose_opinion(Time now, const ServerObservation& seen, const Said& others) const;
     bool is_due(Time now, const Reports& reports) const;
 
-    const WordTerms terms_;
+    const ReportConfig terms_;
     std::map<std::string, std::uint64_t> parts_sent_;  // to cold servers, at rates_updated_at_
     Time rates_updated_at_ = 0, published_at_ = 0;
     std::map<std::string, double> parts_per_second_;  // to cold servers
@@ -123,18 +123,18 @@
 };
 
 // Combines the reports of other members into one conclusion for each server.
-class ServerHearer {
+class ConsensusTracker {
 public:
-    ServerHearer(WordTerms terms, std::string self) : terms_(terms), self_(std::move(self)) {}
+    ConsensusTracker(ReportConfig terms, std::string self) : terms_(terms), self_(std::move(self)) {}
     // Returns the conclusions that changed, by server. A server without reports is returned once, with an
     // empty conclusion.
-    std::map<std::string, ServerTold> hear(Time now, const Said& others);
-    const std::map<std::string, ServerTold>& told() const { return consensus_; }
+    std::map<std::string, ServerConsensus> hear(Time now, const Said& others);
+    const std::map<std::string, ServerConsensus>& told() const { return consensus_; }
 
 private:
-    const WordTerms terms_;
+    const ReportConfig terms_;
     const std::string self_;
-    std::map<std::string, ServerTold> consensus_;
+    std::map<std::string, ServerConsensus> consensus_;
 };
 
 // Text form of deadly keys: keys of multigets under which servers died, with the time that each remains in
--- a/src/fleet/terms.hpp
+++ b/src/fleet/terms.hpp
@@ -13,7 +13,7 @@
 namespace pinedoor::fleet {
 
 // One limit on what all front nodes use together ([[fleet.limits]]).
-struct LimitTerms {
+struct LimitConfig {
     std::string name;
     // What is limited: admitted multigets, further sends, new connections to each index server, or parts out
     // at each index server.
@@ -27,8 +27,8 @@
 };
 
 // The name in settings and on the operators' page.
-constexpr const char* name_of(LimitTerms::Of of) {
-    using Of = LimitTerms::Of;
+constexpr const char* name_of(LimitConfig::Of of) {
+    using Of = LimitConfig::Of;
     return of == Of::kMultigets      ? "multigets"
            : of == Of::kFurtherSends ? "further-sends"
            : of == Of::kConnections  ? "connections"
@@ -36,7 +36,7 @@
 }
 
 // All of [fleet]; times in tenths of a millisecond. The members are described where they are used:
-// LeaseTerms, ApproximateLimitTerms.
+// LeaseConfig, ApproximateLimitConfig.
 struct FleetTerms {
     bool on = false;  // limits are enforced
     std::vector<std::string> voters;
@@ -44,19 +44,19 @@
     Time vote = 60'000, lease = 30'000, renew = 5'000;
     double drift = 0.01;
     Time late = 20'000;  // propagation delay of approximate limits
-    std::vector<LimitTerms> limits;
+    std::vector<LimitConfig> limits;
     bool needs_peers() const {
         return std::any_of(limits.begin(), limits.end(),
-                           [](const auto& each) { return each.kind != LimitTerms::Kind::kAlone; });
+                           [](const auto& each) { return each.kind != LimitConfig::Kind::kAlone; });
     }
     bool verdicts = true;  // reports on servers are published and used, wherever there are peers
-    WordTerms words;
+    ReportConfig words;
 
-    LeaseTerms leases(const LimitTerms& limit, int nodes) const {
+    LeaseConfig leases(const LimitConfig& limit, int nodes) const {
         return {limit.per_second, floors, nodes, voters, vote, lease, renew, drift};
     }
-    ApproximateLimitTerms about(const LimitTerms& limit, int nodes) const {
-        ApproximateLimitTerms terms;
+    ApproximateLimitConfig about(const LimitConfig& limit, int nodes) const {
+        ApproximateLimitConfig terms;
         terms.limit = limit.per_second;
         terms.floor_share = floors;
         terms.node_count = nodes;
--- a/src/fleet/verdict.cpp
+++ b/src/fleet/verdict.cpp
@@ -8,7 +8,7 @@
 
 namespace pinedoor::fleet {
 
-std::vector<std::string> eligible_reporters(const VerdictTerms& terms,
+std::vector<std::string> eligible_reporters(const VerdictConfig& terms,
                                             const std::map<std::string, int>& zones,
                                             const std::string& self) {
     const auto mine = zones.find(self);
@@ -21,13 +21,13 @@
     return same_zone.size() >= 2 * static_cast<std::size_t>(terms.reporters) ? same_zone : all;
 }
 
-std::size_t reports_needed(const VerdictTerms& terms, std::size_t reporter_count) {
+std::size_t reports_needed(const VerdictConfig& terms, std::size_t reporter_count) {
     const auto minimum = std::min(static_cast<std::size_t>(terms.reporters), reporter_count);
     const auto share = static_cast<std::size_t>(std::ceil(terms.share * static_cast<double>(reporter_count)));
     return std::max<std::size_t>(1, std::max(minimum, share));
 }
 
-Verdict judge(const VerdictTerms& terms, Time now, std::size_t reporter_count,
+Verdict judge(const VerdictConfig& terms, Time now, std::size_t reporter_count,
               std::vector<Opinion> opinions) {
     Verdict verdict;
     verdict.needed = reports_needed(terms, reporter_count);
@@ -46,11 +46,11 @@
     return verdict;
 }
 
-bool is_prober(const VerdictTerms& terms, Time now, std::size_t reporter_count, const Verdict& verdict,
+bool is_prober(const VerdictConfig& terms, Time now, std::size_t reporter_count, const Verdict& verdict,
                const std::string& self, const std::string& server) {
     const auto key = server + '\n' + self;
-    // After a reported recovery the fleet waits for enough healthy opinions: half as many probers again as are
-    // needed, for half of the period.
+    // After a reported recovery the fleet waits for enough healthy opinions: half as many probers again as
+    // are needed, for half of the period.
     const auto period = static_cast<std::uint64_t>(
         now / (verdict.recovery_reported ? terms.probe_period / 2 : terms.probe_period));
     const auto hash = XXH64(key.data(), key.size(), period);
--- a/src/fleet/verdict.hpp
+++ b/src/fleet/verdict.hpp
@@ -25,7 +25,7 @@
 using peers::Time;
 
 // Settings of verdicts; times in tenths of a millisecond.
-struct VerdictTerms {
+struct VerdictConfig {
     int reporters = 3;     // that must agree, or all if there are fewer
     double share = 0.125;  // fraction of the reporters that must agree, if that is more
     Time lives = 150'000;  // maximum age of an opinion
@@ -54,16 +54,17 @@
 };
 
 // The members whose reports on servers count for `self`. `zones`: of all members, by name.
-std::vector<std::string> eligible_reporters(const VerdictTerms& terms,
+std::vector<std::string> eligible_reporters(const VerdictConfig& terms,
                                             const std::map<std::string, int>& zones, const std::string& self);
 // How many of the reporters must agree.
-std::size_t reports_needed(const VerdictTerms& terms, std::size_t reporter_count);
-Verdict judge(const VerdictTerms& terms, Time now, std::size_t reporter_count, std::vector<Opinion> opinions);
+std::size_t reports_needed(const VerdictConfig& terms, std::size_t reporter_count);
+Verdict judge(const VerdictConfig& terms, Time now, std::size_t reporter_count,
+              std::vector<Opinion> opinions);
 
 // Whether `self` keeps sending to a server that is set aside: few nodes do, and once a recovery is reported
 // half as many again as the opposite verdict needs. Each node decides by a hash of the names and the period,
 // without coordination.
-bool is_prober(const VerdictTerms& terms, Time now, std::size_t reporter_count, const Verdict& verdict,
+bool is_prober(const VerdictConfig& terms, Time now, std::size_t reporter_count, const Verdict& verdict,
                const std::string& self, const std::string& server);
 
 }  // namespace pinedoor::fleet
--- a/src/lab/commands.cpp
+++ b/src/lab/commands.cpp
@@ -98,7 +98,7 @@
     RunLog(const std::string& from, std::optional<std::uint64_t> seed, PolicyKind policy) : path(from) {
         if (!is_world(from)) {
             if (!std::filesystem::exists(from))
-                throw stated::BadStated(from + ": cannot be read; name a world or a log");
+                throw stated::ConfigError(from + ": cannot be read; name a world or a log");
             return;
         }
         auto world = World::read_file(from);
@@ -107,13 +107,13 @@
         path = (std::getenv("TMPDIR") != nullptr ? std::getenv("TMPDIR") : "/tmp");
         path += "/pinedoor-log-XXXXXX";
         const int fd = mkstemp(path.data());
-        if (fd < 0) throw stated::BadStated(path + ": cannot be written");
+        if (fd < 0) throw stated::ConfigError(path + ": cannot be written");
         close(fd);
         is_temporary = true;
         std::ofstream log(path, std::ios::binary);
         const auto totals =
             Simulation(world, policy, [&log](const std::string& line) { log << line << '\n'; }).run();
-        if (!log.flush()) throw stated::BadStated(path + ": cannot be written; is the disk full?");
+        if (!log.flush()) throw stated::ConfigError(path + ": cannot be written; is the disk full?");
         char text[200];
         std::snprintf(text, sizeof text, "seed %llu, %s: service %.4f", static_cast<Number>(world.seed),
                       std::string(name_of(policy)).c_str(), totals.service());
@@ -160,7 +160,7 @@
     explicit LogSink(const RunOptions& options) : path(options.log), check_rules(options.check) {
         if (path.empty()) return;
         file.open(path, std::ios::binary);
-        if (!file) throw stated::BadStated(path + ": cannot be written");
+        if (!file) throw stated::ConfigError(path + ": cannot be written");
     }
     std::function<void(const std::string&)> sink() {
         if (!file.is_open() && !check_rules) return {};
@@ -171,7 +171,7 @@
     }
     void close() {
         if (file.is_open() && !file.flush())
-            throw stated::BadStated(path + ": cannot be written; is the disk full?");
+            throw stated::ConfigError(path + ": cannot be written; is the disk full?");
     }
     std::string path;
     bool check_rules;
@@ -217,7 +217,7 @@
 int live(const World& world, const std::string& program, std::size_t connections, const RunOptions& options) {
     LogSink log_lines(options);
     const ProgressBar bar("on sockets, seconds");
-    LiveWords live_options{program, connections, {}};
+    LiveOptions live_options{program, connections, {}};
     const auto last_second = static_cast<std::size_t>(world.length / 10'000);
     live_options.watch = [&bar, last_second](int second, std::size_t open) {
         bar.show(std::min(static_cast<std::size_t>(second), last_second), last_second,
@@ -258,10 +258,10 @@
     std::ofstream file;
     if (!log.empty()) {
         file.open(log, std::ios::binary);
-        if (!file) throw stated::BadStated(log + ": cannot be written");
+        if (!file) throw stated::ConfigError(log + ": cannot be written");
     }
     const ProgressBar bar("fleet, seconds");
-    LiveWords live_options{program, connections, {}};
+    LiveOptions live_options{program, connections, {}};
     const auto last_second = static_cast<std::size_t>(world.world.length / 10'000);
     live_options.watch = [&bar, last_second](int second, std::size_t open) {
         bar.show(std::min(static_cast<std::size_t>(second), last_second), last_second,
@@ -297,7 +297,7 @@
                const FleetHuntOptions& options) {
     FleetHunter hunter(base, base.world.seed, options.max_faults);
     const InterruptFlag stop;
-    const LiveWords live_options{program, connections, {}};
+    const LiveOptions live_options{program, connections, {}};
     const auto play = [&](const FleetWorld& world) {
         RuleChecker checker;
         const auto result =
@@ -332,17 +332,17 @@
     }
     std::ofstream file(options.out, std::ios::binary);
     if (!(file << header << worst.to_toml()) || !file.flush())
-        throw stated::BadStated(options.out + ": cannot be written");
+        throw stated::ConfigError(options.out + ": cannot be written");
     std::printf("%s\n", options.out.c_str());
     return kExitSuccess;
 }
 
 int replay_node(const std::string& path, int node) {
     std::ifstream log(path, std::ios::binary);
-    if (!log) throw stated::BadStated(path + ": cannot be read; name a log that exists");
+    if (!log) throw stated::ConfigError(path + ": cannot be read; name a log that exists");
     const auto lines = life_of_node(log, node);
     if (lines.empty())
-        throw stated::BadStated("there is no front node " + std::to_string(node) + " in the log");
+        throw stated::ConfigError("there is no front node " + std::to_string(node) + " in the log");
     for (const auto& line : lines) std::printf("%s\n", line.c_str());
     return kExitSuccess;
 }
@@ -399,7 +399,7 @@
         static_cast<double>(world.length) / 1e4);
     Timeline timeline;
     RuleChecker checker;
-    LiveWords live_options{program, 2'000, {}};
+    LiveOptions live_options{program, 2'000, {}};
     live_options.watch = [&](int second, std::size_t) {
         print_second(timeline, world, static_cast<std::size_t>(second));
     };
@@ -418,7 +418,7 @@
     if (!report_path.empty()) {
         const auto page = report_page(timeline, {world.name, world.to_toml(), subtitle});
         std::ofstream file(report_path, std::ios::binary);
-        if (!(file << page) || !file.flush()) throw stated::BadStated(report_path + ": cannot be written");
+        if (!(file << page) || !file.flush()) throw stated::ConfigError(report_path + ": cannot be written");
         std::printf("\nOpen %s in a browser for the report.\n", report_path.c_str());
     }
     return totals.broken() > 0 || !breaches.empty() || totals.bad_exits > 0 ? kExitRuleBroken : kExitSuccess;
@@ -426,7 +426,7 @@
 
 int judge_log(const std::string& path) {
     std::ifstream log(path, std::ios::binary);
-    if (!log) throw stated::BadStated(path + ": cannot be read; name a log that exists");
+    if (!log) throw stated::ConfigError(path + ": cannot be read; name a log that exists");
     RuleChecker checker;
     for (std::string line; std::getline(log, line);) checker.take(line);
     const auto breaches = checker.finish();
@@ -580,7 +580,7 @@
     if (options.out.empty()) {
         std::printf("%s", smallest.to_toml().c_str());
     } else if (!(std::ofstream(options.out) << smallest.to_toml())) {
-        throw stated::BadStated(options.out + ": cannot be written");
+        throw stated::ConfigError(options.out + ": cannot be written");
     }
     return InterruptFlag::flag() ? kExitInterrupted : kExitSuccess;
 }
@@ -612,7 +612,7 @@
             double service = 0, cpu = 0, module = 0, turns = 0, asked = 0, sends = 0, mb = 0;
         } result;
         int pipe_ends[2];
-        if (pipe(pipe_ends) != 0) throw stated::BadStated("cannot create a pipe");
+        if (pipe(pipe_ends) != 0) throw stated::ConfigError("cannot create a pipe");
         const pid_t child = fork();  // a separate process, so that its memory is measured alone
         if (child == 0) {
             const auto totals = Simulation(scaled).run();
@@ -635,7 +635,7 @@
         int status = 0;
         waitpid(child, &status, 0);
         if (bytes_read != sizeof result || status != 0)
-            throw stated::BadStated("a run ended without reporting its results");
+            throw stated::ConfigError("a run ended without reporting its results");
         std::printf("  %8.2f %8.4f %9.0f %10.0f %10.2f %13.1f %14.2f %9.0f\n", factor, result.service,
                     result.asked, result.sends, result.cpu, result.module / std::max(1.0, result.asked) * 1e6,
                     result.module / std::max(1.0, result.turns) * 1e6, result.mb);
@@ -678,7 +678,7 @@
     }
     const auto history = multiget_history(log.path, *multiget);
     if (history.empty())
-        throw stated::BadStated("there is no multiget " + std::to_string(*multiget) + " in the log");
+        throw stated::ConfigError("there is no multiget " + std::to_string(*multiget) + " in the log");
     for (const auto& line : history) std::printf("%s\n", line.c_str());
     return kExitSuccess;
 }
@@ -690,7 +690,7 @@
     if (!plots.empty()) write_plots(timeline, plots);
     const auto page = report_page(timeline, {log.name.empty() ? path : log.name, log.toml, log.subtitle});
     std::ofstream file(out, std::ios::binary);
-    if (!(file << page) || !file.flush()) throw stated::BadStated(out + ": cannot be written");
+    if (!(file << page) || !file.flush()) throw stated::ConfigError(out + ": cannot be written");
     std::printf("%s\n", out.c_str());
     return kExitSuccess;
 }
--- a/src/lab/fleet/fleet_world.cpp
+++ b/src/lab/fleet/fleet_world.cpp
@@ -161,7 +161,7 @@
     std::ifstream file(path, std::ios::binary);
     std::ostringstream text;
     if (!file || !(text << file.rdbuf()))
-        throw stated::BadStated(path + ": cannot be read; name a file that exists");
+        throw stated::ConfigError(path + ": cannot be read; name a file that exists");
     return from_text(text.str(), path, changes);
 }
 
--- a/src/lab/fleet/fleet_world.hpp
+++ b/src/lab/fleet/fleet_world.hpp
@@ -87,7 +87,7 @@
     FleetTerms fleet;
     std::vector<Fault> faults;
 
-    // Read a World's text with [fleet], [fleet.discovery] and [[faults]]. They throw stated::BadStated.
+    // Read a World's text with [fleet], [fleet.discovery] and [[faults]]. They throw stated::ConfigError.
     static FleetWorld read_file(const std::string& path, const World::Changes& changes = {});
     static FleetWorld from_text(std::string_view text, const std::string& path,
                                 const World::Changes& changes = {});
--- a/src/lab/fleet/liars.cpp
+++ b/src/lab/fleet/liars.cpp
@@ -2,7 +2,7 @@
 
 namespace pinedoor::lab {
 
-MisreportingMembers::MisreportingMembers(net::Scheduler& scheduler, peers::PeerTerms peers,
+MisreportingMembers::MisreportingMembers(net::Scheduler& scheduler, peers::PeerConfig peers,
                                          const std::vector<int>& zones) {
     for (const int zone : zones) {
         auto& member = members_.emplace_back();
@@ -10,8 +10,8 @@
         terms.listen = terms.advertise = member.port.at();
         const auto number = members_.size();
         member.carrier =
-            std::make_unique<peers::Carrier>(scheduler, terms, "liar-" + std::to_string(number), zone, number,
-                                             [](std::string_view, const std::string&) {});
+            std::make_unique<peers::PeerTransport>(scheduler, terms, "liar-" + std::to_string(number), zone,
+                                                   number, [](std::string_view, const std::string&) {});
         member.carrier->start();
     }
 }
--- a/src/lab/fleet/liars.hpp
+++ b/src/lab/fleet/liars.hpp
@@ -16,7 +16,7 @@
 class MisreportingMembers {
 public:
     // `peers`: cluster, secret, seeds and times; starts one member for each entry of `zones`.
-    MisreportingMembers(net::Scheduler& scheduler, peers::PeerTerms peers, const std::vector<int>& zones);
+    MisreportingMembers(net::Scheduler& scheduler, peers::PeerConfig peers, const std::vector<int>& zones);
 
     struct ServerState {
         std::string server;
@@ -27,7 +27,7 @@
 private:
     struct Member {
         HeldPort port;
-        std::unique_ptr<peers::Carrier> carrier;
+        std::unique_ptr<peers::PeerTransport> carrier;
     };
     std::vector<Member> members_;
 };
--- a/src/lab/fleet/rig.cpp
+++ b/src/lab/fleet/rig.cpp
@@ -34,7 +34,7 @@
 
 // A front node of the rig: its process, its port, its emulated discovery, and the relays of its links.
 struct Node {
-    Node(net::Scheduler& scheduler, TimerQueue& timers, CallDesk& call_queue, int which)
+    Node(net::Scheduler& scheduler, TimerQueue& timers, CallQueue& call_queue, int which)
         : list(scheduler, timers, &call_queue, which) {}
     HeldPort port;
     EmulatedDiscovery list;
@@ -57,7 +57,7 @@
 
 class Rig {
 public:
-    Rig(const FleetWorld& config, const LiveWords& words, std::function<void(const std::string&)> log)
+    Rig(const FleetWorld& config, const LiveOptions& words, std::function<void(const std::string&)> log)
         : options_(words), config_(config), context_(config.world, std::move(log)), timers_(scheduler_),
           chance_(config.world.seed + 1), relays_(scheduler_, timers_, config.world.seed + 2),
           call_queue_(timers_, config.fleet.discovery) {
@@ -345,8 +345,8 @@
     }
 
     // The cluster settings of the misreporting members, matching peer_settings().
-    peers::PeerTerms misreporting_terms() const {
-        peers::PeerTerms terms;
+    peers::PeerConfig misreporting_terms() const {
+        peers::PeerConfig terms;
         terms.cluster = "lab";
         terms.secret = kSecret;
         for (int i = 0; i < std::min(config_.fleet.seeds, config_.world.nodes); ++i)
@@ -412,14 +412,14 @@
                 std::to_string(2'500 + kExtraTime) + " grace " + std::to_string(200 + kExtraTime));
         for (std::size_t kind = 0; kind < w.clients.size(); ++kind) {
             const auto& type = w.clients[kind].type;
-            context_.write_log(context_.start, "kind " + std::to_string(kind) + " repeat " +
-                                                   (type.repeat == Repeat::kRetriable ? "retriable"
-                                                    : type.repeat == Repeat::kDeduped ? "deduped"
-                                                                                      : "non-retriable") +
-                                                   " least " + std::to_string(type.least_share) + " window " +
-                                                   std::to_string(type.dedup_window) + " budget " +
-                                                   std::to_string(type.latency_budget) + " name " +
-                                                   w.clients[kind].name);
+            context_.write_log(context_.start,
+                               "kind " + std::to_string(kind) + " repeat " +
+                                   (type.repeat == RetrySafety::kRetriable ? "retriable"
+                                    : type.repeat == RetrySafety::kDeduped ? "deduped"
+                                                                           : "non-retriable") +
+                                   " least " + std::to_string(type.least_share) + " window " +
+                                   std::to_string(type.dedup_window) + " budget " +
+                                   std::to_string(type.latency_budget) + " name " + w.clients[kind].name);
         }
     }
 
@@ -824,7 +824,7 @@
         next(fault.for_time, true);
     }
 
-    const LiveWords& options_;
+    const LiveOptions& options_;
     const FleetWorld config_;
     LiveContext context_;
     net::Scheduler scheduler_;
@@ -832,7 +832,7 @@
     Chance chance_;
     Folder folder_;
     RelayContext relays_;
-    CallDesk call_queue_;
+    CallQueue call_queue_;
     const HeldPort unused_port_;                                 // has no listener
     std::vector<std::unique_ptr<StreamRelay>> old_list_relays_;  // relays to discovery's previous addresses
     std::vector<std::unique_ptr<LiveServer>> servers_;
@@ -852,10 +852,10 @@
 
 }  // namespace
 
-FleetTotals play_fleet(const FleetWorld& world, const LiveWords& words,
+FleetTotals play_fleet(const FleetWorld& world, const LiveOptions& words,
                        const std::function<void(const std::string&)>& log) {
     if (access(words.program.c_str(), X_OK) != 0)
-        throw stated::BadStated("'" + words.program + "' is no program; name pinedoor with --program");
+        throw stated::ConfigError("'" + words.program + "' is no program; name pinedoor with --program");
     Rig rig(world, words, log);
     return rig.run();
 }
--- a/src/lab/fleet/rig.hpp
+++ b/src/lab/fleet/rig.hpp
@@ -17,7 +17,7 @@
 // The results of a fleet run.
 struct FleetTotals {
     LiveTotals totals;
-    std::vector<CallDesk::Call> calls;  // at discovery, by time since the world's begin
+    std::vector<CallQueue::Call> calls;  // at discovery, by time since the world's begin
     std::size_t most_calls_at_once = 0;
     std::uint64_t most_calls_in_a_second = 0;
     std::vector<std::uint64_t> connections;          // accepted by each server
@@ -29,16 +29,16 @@
     std::uint64_t peer_bytes = 0,
                   peer_datagrams = 0;  // sent between front nodes, as logged by those that exited in order
 
-    std::uint64_t count(CallDesk::End end) const {
+    std::uint64_t count(CallQueue::End end) const {
         std::uint64_t sum = 0;
         for (const auto& each : calls) sum += each.end == end ? 1U : 0U;
         return sum;
     }
 };
 
-// Runs for the world's length. Throws stated::BadStated or std::system_error if the setup fails. All
+// Runs for the world's length. Throws stated::ConfigError or std::system_error if the setup fails. All
 // processes that it started have ended when it returns.
-FleetTotals play_fleet(const FleetWorld& world, const LiveWords& words,
+FleetTotals play_fleet(const FleetWorld& world, const LiveOptions& words,
                        const std::function<void(const std::string&)>& log);
 
 }  // namespace pinedoor::lab
--- a/src/lab/fleet/verdict.cpp
+++ b/src/lab/fleet/verdict.cpp
@@ -239,11 +239,11 @@
 }
 
 void print_verdict(std::ostream& out, const FleetWorld& world, const FleetTotals& seen, FleetReader& reader) {
-    const auto served = seen.count(CallDesk::End::kServed);
+    const auto served = seen.count(CallQueue::End::kServed);
     out << "front nodes " << world.world.nodes << ", seed " << world.world.seed << '\n'
         << "calls at discovery " << seen.calls.size() << ": served " << served << ", refused "
-        << seen.count(CallDesk::End::kRefused) << ", timed out " << seen.count(CallDesk::End::kTimedOut)
-        << ", given up " << seen.count(CallDesk::End::kGone) << "; most at once " << seen.most_calls_at_once
+        << seen.count(CallQueue::End::kRefused) << ", timed out " << seen.count(CallQueue::End::kTimedOut)
+        << ", given up " << seen.count(CallQueue::End::kGone) << "; most at once " << seen.most_calls_at_once
         << ", most in a second " << seen.most_calls_in_a_second << '\n'
         << "front nodes serving: half after " << seconds_or_never(reader.served_by(0.5)) << ", 99 % after "
         << seconds_or_never(reader.served_by(0.99)) << '\n';
--- a/src/lab/live/call_desk.cpp
+++ b/src/lab/live/call_desk.cpp
@@ -5,7 +5,7 @@
 
 namespace pinedoor::lab {
 
-std::size_t CallDesk::ask(int node, std::function<void(bool served)> done) {
+std::size_t CallQueue::ask(int node, std::function<void(bool served)> done) {
     const auto call = calls_.size();
     calls_.push_back({timers_.now(), node, End::kWaiting, 0});
     if (refuse_all_ || (busy_ && waiting_.size() >= static_cast<std::size_t>(terms_.waiting))) {
@@ -36,7 +36,7 @@
 }
 
 // A call occupies the server for the full service time, even if its caller disconnects meanwhile.
-void CallDesk::serve_next() {
+void CallQueue::serve_next() {
     busy_ = !waiting_.empty();
     if (!busy_) return;
     auto next = std::move(waiting_.front());
@@ -53,18 +53,18 @@
                    });
 }
 
-void CallDesk::end(std::size_t call, End result) {
+void CallQueue::end(std::size_t call, End result) {
     calls_[call].end = result;
     calls_[call].ended = timers_.now();
 }
 
-void CallDesk::leave(std::size_t call) {
+void CallQueue::leave(std::size_t call) {
     if (calls_[call].end != End::kWaiting) return;
     end(call, End::kGone);
     std::erase_if(waiting_, [call](const auto& each) { return each.call == call; });
 }
 
-void CallDesk::clear() {
+void CallQueue::clear() {
     ++generation_;
     busy_ = false;
     waiting_.clear();
@@ -73,12 +73,12 @@
     }
 }
 
-std::uint64_t CallDesk::count(End result) const {
+std::uint64_t CallQueue::count(End result) const {
     return static_cast<std::uint64_t>(std::count_if(
         calls_.begin(), calls_.end(), [result](const auto& each) { return each.end == result; }));
 }
 
-std::uint64_t CallDesk::max_calls_within(net::Moment span) const {
+std::uint64_t CallQueue::max_calls_within(net::Moment span) const {
     std::size_t most = 0;
     for (std::size_t first = 0, last = 0; last < calls_.size(); ++last) {  // calls_ is ordered by time
         while (calls_[first].at <= calls_[last].at - span) ++first;
--- a/src/lab/live/call_desk.hpp
+++ b/src/lab/live/call_desk.hpp
@@ -18,7 +18,7 @@
     net::Moment time_out = 0;  // of a queued call; 0: none
 };
 
-class CallDesk {
+class CallQueue {
 public:
     enum class End { kWaiting, kServed, kRefused, kTimedOut, kGone };
     struct Call {
@@ -28,7 +28,7 @@
         net::Moment ended = 0;
     };
 
-    CallDesk(TimerQueue& timers, CallTerms terms) : timers_(timers), terms_(terms) {}
+    CallQueue(TimerQueue& timers, CallTerms terms) : timers_(timers), terms_(terms) {}
 
     // Submits a call and returns its number. `done` is called once, at once or later: true if the call was
     // served, false if it was refused or timed out.
--- a/src/lab/live/live.cpp
+++ b/src/lab/live/live.cpp
@@ -5,7 +5,7 @@
 namespace pinedoor::lab {
 
 // Runs the world as a fleet whose front nodes are up before it begins, without relays.
-LiveTotals play_live(const World& world, const LiveWords& words,
+LiveTotals play_live(const World& world, const LiveOptions& words,
                      const std::function<void(const std::string&)>& log) {
     FleetWorld fleet;
     fleet.world = world;
--- a/src/lab/live/live.hpp
+++ b/src/lab/live/live.hpp
@@ -12,7 +12,7 @@
 namespace pinedoor::lab {
 
 // Options of a run on sockets.
-struct LiveWords {
+struct LiveOptions {
     std::string program;                                      // path of the pinedoor program; required
     std::size_t connections = 2'000;                          // maximum number of client connections
     std::function<void(int second, std::size_t open)> watch;  // called once a second, if set
@@ -25,9 +25,9 @@
     std::uint64_t without_room = 0;  // requests that failed because no client connection was free
     int bad_exits = 0;               // front nodes that did not exit with 0 when terminated
 };
-// Runs for the world's length. Throws stated::BadStated or std::system_error if the setup fails. All
+// Runs for the world's length. Throws stated::ConfigError or std::system_error if the setup fails. All
 // processes that it started have ended when it returns.
-LiveTotals play_live(const World& world, const LiveWords& words,
+LiveTotals play_live(const World& world, const LiveOptions& words,
                      const std::function<void(const std::string&)>& log);
 
 // Returns the platform configuration of one front node of the world (ROUTER_CONFIG; see the deploy pages).
--- a/src/lab/live/live_clients.cpp
+++ b/src/lab/live/live_clients.cpp
@@ -66,7 +66,7 @@
     pending->connects = 0;
     const bool again = pending->request.effect != 0;
     if (!again) pending->request.effect = pending->multiget;
-    if (clients.type.repeat == Repeat::kNonRetriable)
+    if (clients.type.repeat == RetrySafety::kNonRetriable)
         context_.effects[pending->multiget] = pending->request.effect;
     if (context_.world.clients.size() > 1)
         context_.kinds[pending->multiget] = static_cast<int>(pending->request.kind);
@@ -170,9 +170,9 @@
         }
         const auto text = request_text(*connection.pending);
         std::size_t written = 0;
-        parse::HttpReader reader(parse::HttpReader::Kind::kResponse);
+        parse::HttpParser reader(parse::HttpParser::Kind::kResponse);
         std::string body;
-        while (reader.state() != parse::HttpReader::State::kDone) {
+        while (reader.state() != parse::HttpParser::State::kDone) {
             if (timers_.now() >= connection.pending->until) {
                 const bool left = connection.pending->leaves;
                 end(std::move(connection.pending), left ? How::kLeft : How::kLost, false, 0, 0, "");
@@ -190,7 +190,7 @@
                 if (got == net::Stream::Got::kEnd || got == net::Stream::Got::kBroken) {
                     // A non-retriable request is sent again only if no byte of it was written.
                     const auto repeat = context_.world.clients[connection.pending->request.kind].type.repeat;
-                    const bool may_run = written > 0 && repeat == Repeat::kNonRetriable;
+                    const bool may_run = written > 0 && repeat == RetrySafety::kNonRetriable;
                     handle_disconnect(connection, reader.started() || !connection.used || may_run);
                     co_return;
                 }
@@ -198,13 +198,13 @@
                 buffer.drop(reader.feed(buffer.held()));
                 body += reader.take_body();
             }
-            if (stream.broken() || reader.state() == parse::HttpReader::State::kBad) {
+            if (stream.broken() || reader.state() == parse::HttpParser::State::kBad) {
                 const auto repeat = context_.world.clients[connection.pending->request.kind].type.repeat;
                 handle_disconnect(connection,
-                                  reader.started() || (written > 0 && repeat == Repeat::kNonRetriable));
+                                  reader.started() || (written > 0 && repeat == RetrySafety::kNonRetriable));
                 co_return;
             }
-            if (reader.state() == parse::HttpReader::State::kDone) break;
+            if (reader.state() == parse::HttpParser::State::kDone) break;
             co_await waiter.wait(net::kRead | (written < text.size() ? unsigned{net::kWrite} : 0U),
                                  connection.pending->until);
         }
@@ -307,7 +307,7 @@
                 returned_weight += part.shard == shard ? part.weight : 0;
             shards += ' ' + std::to_string(shard);
         }
-    } catch (const parse::BadJson&) {
+    } catch (const parse::JsonError&) {
         return end(std::move(pending), How::kFailed, false, 0, 0, "");
     }
     end(std::move(pending), How::kAnswered, whole, returned_weight, 0, shards);
@@ -325,7 +325,7 @@
     if (end_kind == How::kFailed && shards != "gone") context_.write_log(timers_.now(), "fail " + number);
     if (end_kind == How::kLeft) context_.write_log(timers_.now(), "gone " + number);
     const bool may_again = end_kind == How::kPushedBack ||
-                           (end_kind == How::kFailed && clients.type.repeat == Repeat::kRetriable);
+                           (end_kind == How::kFailed && clients.type.repeat == RetrySafety::kRetriable);
     if (may_again && request.tries_left > 0) {
         --request.tries_left;
         const auto own = static_cast<Time>(clients.retry_wait_ms(context_.chance) * 10);
--- a/src/lab/live/live_list.cpp
+++ b/src/lab/live/live_list.cpp
@@ -34,7 +34,7 @@
     return text + "]}";
 }
 
-EmulatedDiscovery::EmulatedDiscovery(net::Scheduler& scheduler, TimerQueue& timers, CallDesk* call_queue,
+EmulatedDiscovery::EmulatedDiscovery(net::Scheduler& scheduler, TimerQueue& timers, CallQueue* call_queue,
                                      int node)
     : scheduler_(scheduler), timers_(timers), call_queue_(call_queue), node_(node) {
     open();
@@ -99,15 +99,15 @@
 
 net::Task EmulatedDiscovery::serve(Link& link) {
     auto& waiter = link.stream.waiter();
-    parse::HttpReader reader(parse::HttpReader::Kind::kRequest);
+    parse::HttpParser reader(parse::HttpParser::Kind::kRequest);
     while (!link.stream.broken()) {
         if (waiter.may(net::kRead)) {
             const auto got = link.stream.read();
             if (got == net::Stream::Got::kEnd || got == net::Stream::Got::kBroken) co_return;
             auto& buffer = link.stream.buffer();
             buffer.drop(reader.feed(buffer.held()));
-            if (reader.state() == parse::HttpReader::State::kBad) co_return;
-            if (reader.state() == parse::HttpReader::State::kDone &&
+            if (reader.state() == parse::HttpParser::State::kBad) co_return;
+            if (reader.state() == parse::HttpParser::State::kDone &&
                 link.call_state == Link::CallState::kNone)
                 enqueue_call(link, reader.target().find("stream=1") != std::string::npos);
         }
--- a/src/lab/live/live_list.hpp
+++ b/src/lab/live/live_list.hpp
@@ -33,7 +33,7 @@
 public:
     // `call_queue`: the queue in which calls wait, as calls of front node `node`; null: all are served at
     // once.
-    EmulatedDiscovery(net::Scheduler& scheduler, TimerQueue& timers, CallDesk* call_queue = nullptr,
+    EmulatedDiscovery(net::Scheduler& scheduler, TimerQueue& timers, CallQueue* call_queue = nullptr,
                       int node = 0);
 
     net::Endpoint at() const { return port_.at(); }
@@ -77,7 +77,7 @@
 
     net::Scheduler& scheduler_;
     TimerQueue& timers_;
-    CallDesk* const call_queue_;
+    CallQueue* const call_queue_;
     const int node_;
     HeldPort port_;
     bool suspended_ = false;
--- a/src/lab/live/node_config.cpp
+++ b/src/lab/live/node_config.cpp
@@ -17,9 +17,9 @@
         classes.push_back({{"name", each.name},
                            {"aim_ms", ms(type.latency_budget)},
                            {"deadline_ms", ms(type.route_timeout)},
-                           {"effect", type.repeat == Repeat::kRetriable ? "free"
-                                      : type.repeat == Repeat::kDeduped ? "guarded"
-                                                                        : "single_shot"},
+                           {"effect", type.repeat == RetrySafety::kRetriable ? "free"
+                                      : type.repeat == RetrySafety::kDeduped ? "guarded"
+                                                                             : "single_shot"},
                            {"memory_span_ms", ms(type.dedup_window)},
                            {"worth", type.importance},
                            {"late_worth", type.late_importance}});
--- a/src/lab/live/process.cpp
+++ b/src/lab/live/process.cpp
@@ -22,7 +22,7 @@
 Folder::Folder() {
     path = (std::getenv("TMPDIR") != nullptr ? std::getenv("TMPDIR") : "/tmp");
     path += "/pinedoor-lab-XXXXXX";
-    if (mkdtemp(path.data()) == nullptr) throw stated::BadStated(path + ": cannot be made");
+    if (mkdtemp(path.data()) == nullptr) throw stated::ConfigError(path + ": cannot be made");
 }
 
 Folder::~Folder() {
@@ -108,7 +108,7 @@
     }
     std::ostringstream log;
     log << std::ifstream(log_file).rdbuf();
-    throw stated::BadStated(name + " did not come up: " + log.str().substr(0, 400));
+    throw stated::ConfigError(name + " did not come up: " + log.str().substr(0, 400));
 }
 
 void raise_descriptor_limit() {
--- a/src/lab/live/process.hpp
+++ b/src/lab/live/process.hpp
@@ -11,7 +11,7 @@
 namespace pinedoor::lab {
 
 // A temporary folder under TMPDIR or /tmp; the destructor removes it with its contents. The constructor
-// throws stated::BadStated.
+// throws stated::ConfigError.
 struct Folder {
     Folder();
     ~Folder();
@@ -54,8 +54,8 @@
 };
 
 bool accepts_connections(net::Endpoint at);
-// Waits until connections are accepted at the address. Throws stated::BadStated with the start of the log if
-// the process ends first or ten seconds pass.
+// Waits until connections are accepted at the address. Throws stated::ConfigError with the start of the log
+// if the process ends first or ten seconds pass.
 void wait_until_listening(Process& process, net::Endpoint at, const std::string& name,
                           const std::string& log_file);
 void raise_descriptor_limit();  // raises the soft limit of open files to the hard limit
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -19,8 +19,8 @@
     for (const auto& item : items) {
         const auto equal = item.find('=');
         if (equal == std::string::npos)
-            throw pinedoor::stated::BadStated("--set " + item +
-                                              ": write key=value, such as servers.count=24");
+            throw pinedoor::stated::ConfigError("--set " + item +
+                                                ": write key=value, such as servers.count=24");
         changes.emplace_back(item.substr(0, equal), item.substr(equal + 1));
     }
     return changes;
@@ -238,11 +238,11 @@
         made->add_option("--set", changes_, "Change the world: servers.count=24");
         made->callback([this] {
             if (std::ifstream(path_))
-                throw pinedoor::stated::BadStated(path_ + ": already exists; name another file");
+                throw pinedoor::stated::ConfigError(path_ + ": already exists; name another file");
             const auto changed =
                 World::from_text("name = \"new\"\n[[clients]]\n", path_, read_changes(changes_));
             if (!(std::ofstream(path_) << changed.to_toml()))
-                throw pinedoor::stated::BadStated(path_ + ": cannot be written");
+                throw pinedoor::stated::ConfigError(path_ + ": cannot be written");
             std::printf("%s\n", path_.c_str());
         });
     }
--- a/src/lab/read/report.cpp
+++ b/src/lab/read/report.cpp
@@ -140,8 +140,8 @@
     output << std::ifstream(folder + "/gnuplot.out").rdbuf();
     std::filesystem::remove(folder + "/gnuplot.out");
     if (code != 0)
-        throw stated::BadStated("gnuplot failed; install Debian's package gnuplot-nox (its output: " +
-                                output.str().substr(0, 200) + ")");
+        throw stated::ConfigError("gnuplot failed; install Debian's package gnuplot-nox (its output: " +
+                                  output.str().substr(0, 200) + ")");
     std::filesystem::remove(file);
 }
 
@@ -149,7 +149,7 @@
     TempFolder() {
         std::string name = (std::getenv("TMPDIR") != nullptr ? std::getenv("TMPDIR") : "/tmp");
         name += "/pinedoor-report-XXXXXX";
-        if (mkdtemp(name.data()) == nullptr) throw stated::BadStated(name + ": cannot be created");
+        if (mkdtemp(name.data()) == nullptr) throw stated::ConfigError(name + ": cannot be created");
         path = name;
     }
     ~TempFolder() { std::filesystem::remove_all(path); }
--- a/src/lab/read/report.hpp
+++ b/src/lab/read/report.hpp
@@ -14,10 +14,10 @@
     std::string subtitle;    // such as "seed 3, pinedoor: service 0.9998"
 };
 
-// Returns the HTML page. Throws stated::BadStated if gnuplot is missing or fails.
+// Returns the HTML page. Throws stated::ConfigError if gnuplot is missing or fails.
 std::string report_page(const Timeline& run, const ReportText& text);
 // Writes ends.svg, latency.svg and sends.svg, and the same plots as PNG, to `folder`, which is created if
-// missing. Throws stated::BadStated if gnuplot is missing or fails.
+// missing. Throws stated::ConfigError if gnuplot is missing or fails.
 void write_plots(const Timeline& run, const std::string& folder);
 
 }  // namespace pinedoor::lab
--- a/src/lab/sim/policy.cpp
+++ b/src/lab/sim/policy.cpp
@@ -19,8 +19,8 @@
 class PinedoorPolicy : public Policy {
 public:
     explicit PinedoorPolicy(const NodeTerms& t)
-        : node_(t.seed, t.place, t.op_types, t.ring, t.sends, t.further, t.cold, ListTerms{}, t.clients,
-                t.tenants, HintTerms{}) {}
+        : node_(t.seed, t.place, t.op_types, t.ring, t.sends, t.further, t.cold, ServerListConfig{},
+                t.clients, t.tenants, HintConfig{}) {}
     std::vector<Action> turn(Time now, const std::vector<Event>& events) override {
         return node_.turn(now, events);
     }
@@ -42,10 +42,10 @@
         queued_this_turn_.clear();
         now_ = now;
         for (const auto& event : events) {
-            if (const auto* news = std::get_if<ListNews>(&event)) apply_list_news(*news);
+            if (const auto* news = std::get_if<ListUpdate>(&event)) apply_list_news(*news);
             if (const auto* arrival = std::get_if<MultigetArrival>(&event)) handle(*arrival);
             if (const auto* ended = std::get_if<SendEnded>(&event)) handle(*ended);
-            if (const auto* left = std::get_if<ClientLeft>(&event)) forget(left->multiget);
+            if (const auto* left = std::get_if<ClientDisconnected>(&event)) forget(left->multiget);
         }
         if (kind_ == PolicyKind::kSeesAll) resend_overdue();
         return std::move(actions_);
@@ -78,7 +78,7 @@
         std::vector<Id> parts;
     };
 
-    void apply_list_news(const ListNews& news) {
+    void apply_list_news(const ListUpdate& news) {
         for (const auto& entry : news.entries) {
             auto& replica = replicas_[entry.server];
             replica.place = entry.place;
@@ -119,7 +119,7 @@
         open.may_have_run |= !never_ran;
         if (part.in_flight > 0) return;  // another send of the part is in flight
         const bool again = ended.outcome != Outcome::kTimedOut && part.sends < terms_.sends.most_sends &&
-                           (never_ran || type.repeat == Repeat::kRetriable);
+                           (never_ran || type.repeat == RetrySafety::kRetriable);
         if (!again || !send(ended.part)) finish_part(part.multiget);
     }
     void finish_part(Id multiget) {
@@ -130,7 +130,7 @@
             actions_.emplace_back(Answer{multiget, true});
         } else if (open.parts_returned > 0 && open.returned_weight >= type.least_share) {
             actions_.emplace_back(Answer{multiget, false});
-        } else if (open.may_have_run && type.repeat == Repeat::kNonRetriable) {
+        } else if (open.may_have_run && type.repeat == RetrySafety::kNonRetriable) {
             actions_.emplace_back(Fail{multiget});
         } else {
             actions_.emplace_back(PushBack{multiget, 0});
@@ -178,13 +178,13 @@
             any |= part.in_flight > 0;
             if (part.in_flight != 1 || part.sends >= terms_.sends.most_sends) continue;
             if (terms_.op_types[static_cast<std::size_t>(multigets_.at(part.multiget).op_type)].repeat !=
-                Repeat::kRetriable)
+                RetrySafety::kRetriable)
                 continue;
             const bool overdue = now_ - part.sent > kOverdueFactor * part.expected;
             if (overdue || terms_.truth->expected_latency(terms_.place.me, part.last_server) == Truth::kNever)
                 send(id);
         }
-        if (any) actions_.emplace_back(SetBell{kRescueInterval, 1});
+        if (any) actions_.emplace_back(SetTimer{kRescueInterval, 1});
     }
     // Returns the replica with the lowest expected latency, counting the sends of this turn; an empty id if
     // no replica would answer before the deadline.
--- a/src/lab/sim/policy.hpp
+++ b/src/lab/sim/policy.hpp
@@ -30,14 +30,14 @@
 // The configuration of a front node at its start.
 struct NodeTerms {
     std::uint64_t seed = 0;
-    NodePlace place;
+    NodeConfig place;
     std::vector<OpType> op_types;
     ShardRing ring;
-    SendTerms sends;
-    FurtherSendTerms further;
-    ColdTerms cold;
-    ClientTerms clients;
-    std::vector<TenantShare> tenants;
+    SendConfig sends;
+    FurtherSendConfig further;
+    ColdStartConfig cold;
+    ClientConfig clients;
+    std::vector<TenantQuota> tenants;
     const Truth* truth = nullptr;
 };
 
--- a/src/lab/sim/simulation.cpp
+++ b/src/lab/sim/simulation.cpp
@@ -14,10 +14,10 @@
 constexpr Time kDrainTime = 5'000;          // how long a replaced server is listed as draining
 constexpr Time kIdleTimeout = 300'000;      // idle connections are closed after this
 
-std::string name_of(Repeat repeat) {
-    return repeat == Repeat::kRetriable ? "retriable"
-           : repeat == Repeat::kDeduped ? "deduped"
-                                        : "non-retriable";
+std::string name_of(RetrySafety repeat) {
+    return repeat == RetrySafety::kRetriable ? "retriable"
+           : repeat == RetrySafety::kDeduped ? "deduped"
+                                             : "non-retriable";
 }
 
 std::string name_of(Outcome outcome) {
@@ -194,7 +194,7 @@
             if (open == node.multigets.end()) return;
             end(event.target, event.argument, event.kind == Kind::kClientLeaves ? How::kLeft : How::kLost,
                 false);
-            return deliver(event.target, ClientLeft{event.argument});
+            return deliver(event.target, ClientDisconnected{event.argument});
         }
         case Kind::kFault:
             return toggle_fault(world_.troubles[event.target], event.argument == 0, event.target);
@@ -207,7 +207,7 @@
             const auto news = entry(event.argument);
             write_log("told " + std::to_string(event.target) + " server " + std::to_string(event.argument) +
                       (news.state == ServerState::kReady ? " ready" : " gone"));
-            return deliver(event.target, ListNews{ListKind::kChanges, {news}});
+            return deliver(event.target, ListUpdate{ListUpdateKind::kChanges, {news}});
         }
     }
 }
@@ -237,7 +237,7 @@
     for (const auto& each : world_.tenants) terms.tenants.push_back({each.per_second});
     terms.truth = this;
     node.front = make_(terms);
-    ListNews all{ListKind::kFull, {}};
+    ListUpdate all{ListUpdateKind::kFull, {}};
     for (std::uint32_t i = 0; i < servers_.size(); ++i) all.entries.push_back(entry(i));
     deliver(index, std::move(all));
 }
@@ -306,7 +306,7 @@
 void Simulation::carry_out(std::uint32_t index, const Action& action) {
     auto& node = *nodes_[index];
     if (const auto* out = std::get_if<Send>(&action)) return send(index, *out);
-    if (const auto* off = std::get_if<CallOff>(&action)) {
+    if (const auto* off = std::get_if<CancelSend>(&action)) {
         const auto part = node.parts.find(off->part);
         if (part == node.parts.end() || static_cast<std::size_t>(off->send) >= part->second.sends.size())
             return;
@@ -322,7 +322,7 @@
     if (const auto* back = std::get_if<PushBack>(&action))
         return end(index, back->multiget, How::kPushedBack, false, back->wait);
     if (const auto* fail = std::get_if<Fail>(&action)) return end(index, fail->multiget, How::kFailed, false);
-    if (const auto* bell = std::get_if<SetBell>(&action)) {
+    if (const auto* bell = std::get_if<SetTimer>(&action)) {
         node.timers.emplace(now_ + std::max<Time>(1, bell->after), bell->token);
         return;
     }
@@ -427,7 +427,7 @@
                       : "answer " + name + (whole ? " whole" : " part") + " shards" + in_text);
     }
     const bool may_again =
-        how == How::kPushedBack || (how == How::kFailed && type.repeat == Repeat::kRetriable);
+        how == How::kPushedBack || (how == How::kFailed && type.repeat == RetrySafety::kRetriable);
     if (may_again && request.tries_left > 0) {
         --request.tries_left;
         const auto own = static_cast<Time>(clients.retry_wait_ms(chance_) * 10);
@@ -551,7 +551,8 @@
     const Time work = server.work(world_, now_, out.first_of_call, out.key, chance_);
     ++totals_.run;
     if (log_) write_log("run " + part_name(out.multiget) + " server " + std::to_string(out.server));
-    if (world_.clients[out.op_type].type.repeat == Repeat::kNonRetriable && ++run_counts_[out.effect] > 1)
+    if (world_.clients[out.op_type].type.repeat == RetrySafety::kNonRetriable &&
+        ++run_counts_[out.effect] > 1)
         ++totals_.run_twice;
     schedule(now_ + work, Kind::kPartDone, slot, 0, server.generation);
 }
--- a/src/lab/study/variant.cpp
+++ b/src/lab/study/variant.cpp
@@ -17,7 +17,7 @@
 // Runs a program with its arguments, without a shell, and returns its standard output.
 std::string output_of(const std::vector<std::string>& arguments) {
     int pipe_ends[2];
-    if (pipe(pipe_ends) != 0) throw stated::BadStated("cannot create a pipe to " + arguments[0]);
+    if (pipe(pipe_ends) != 0) throw stated::ConfigError("cannot create a pipe to " + arguments[0]);
     std::vector<char*> argv;
     for (const auto& item : arguments) argv.push_back(const_cast<char*>(item.c_str()));
     argv.push_back(nullptr);
@@ -38,8 +38,8 @@
     int status = 0;
     waitpid(child, &status, 0);
     if (!WIFEXITED(status) || (WEXITSTATUS(status) != 0 && WEXITSTATUS(status) != 3))
-        throw stated::BadStated(arguments[0] + " failed to run the world; try `" + arguments[0] +
-                                " run WORLD --json`");
+        throw stated::ConfigError(arguments[0] + " failed to run the world; try `" + arguments[0] +
+                                  " run WORLD --json`");
     return text;
 }
 
@@ -59,13 +59,13 @@
     if (decider.starts_with("build:")) {
         variant.program = decider.substr(6);
         if (access(variant.program.c_str(), X_OK) != 0)
-            throw stated::BadStated("variant " + text + ": '" + variant.program +
-                                    "' is not an executable file");
+            throw stated::ConfigError("variant " + text + ": '" + variant.program +
+                                      "' is not an executable file");
     } else if (const auto policy = policy_named(decider)) {
         variant.policy = *policy;
     } else {
-        throw stated::BadStated("variant " + text + ": '" + decider +
-                                "' is not a policy; see `pinedoor-lab run --help`");
+        throw stated::ConfigError("variant " + text + ": '" + decider +
+                                  "' is not a policy; see `pinedoor-lab run --help`");
     }
     while (!rest.empty()) {
         auto item = next_item();
@@ -74,7 +74,8 @@
             item += ',' + next_item();
         const auto equal = item.find('=');
         if (equal == std::string::npos || equal == 0)
-            throw stated::BadStated("variant " + text + ": '" + item + "' is not a change; write key=value");
+            throw stated::ConfigError("variant " + text + ": '" + item +
+                                      "' is not a change; write key=value");
         variant.changes.emplace_back(item.substr(0, equal), item.substr(equal + 1));
     }
     return variant;
@@ -90,7 +91,7 @@
     std::string world_path = (std::getenv("TMPDIR") != nullptr ? std::getenv("TMPDIR") : "/tmp");
     world_path += "/pinedoor-lab-XXXXXX";
     const int fd = mkstemp(world_path.data());
-    if (fd < 0) throw stated::BadStated(world_path + ": cannot be written");
+    if (fd < 0) throw stated::ConfigError(world_path + ": cannot be written");
     close(fd);
     std::ofstream(world_path) << world.to_toml();
     const auto text = output_of({variant.program, "run", world_path, "--json"});
@@ -99,7 +100,7 @@
         const auto json = nlohmann::json::parse(text);
         return {json.at("service").get<double>(), json.at("broken").get<std::uint64_t>(), text};
     } catch (const nlohmann::json::exception&) {
-        throw stated::BadStated(variant.program + " printed no valid JSON totals");
+        throw stated::ConfigError(variant.program + " printed no valid JSON totals");
     }
 }
 
--- a/src/lab/study/variant.hpp
+++ b/src/lab/study/variant.hpp
@@ -17,7 +17,7 @@
     std::string program;  // another build's pinedoor-lab; empty: this one
 
     // "pinedoor", "random", and so on; "pinedoor,sends.most=2,servers.queue=8"; "build:/a/b/pinedoor-lab",
-    // with changes behind it likewise. Throws stated::BadStated.
+    // with changes behind it likewise. Throws stated::ConfigError.
     static Variant read(const std::string& text);
 };
 
@@ -26,7 +26,8 @@
     std::uint64_t broken = 0;
     std::string json;  // Totals::to_json()
 };
-// One run, here or by another build's program (whose word is taken). Throws stated::BadStated if that fails.
+// One run, here or by another build's program (whose word is taken). Throws stated::ConfigError if that
+// fails.
 Played play(const std::string& world_toml, const std::string& path, const Variant& variant,
             std::uint64_t seed);
 
--- a/src/lab/world/world.cpp
+++ b/src/lab/world/world.cpp
@@ -70,9 +70,9 @@
     type.latency_budget = time(table, "latency_budget_ms", 100, 1, 600'000);
     type.route_timeout = time(table, "route_timeout_ms", 400, 1, 600'000);
     const auto repeat = table.word("repeat", {"retriable", "deduped", "non-retriable"});
-    type.repeat = repeat == "retriable" ? Repeat::kRetriable
-                  : repeat == "deduped" ? Repeat::kDeduped
-                                        : Repeat::kNonRetriable;
+    type.repeat = repeat == "retriable" ? RetrySafety::kRetriable
+                  : repeat == "deduped" ? RetrySafety::kDeduped
+                                        : RetrySafety::kNonRetriable;
     type.dedup_window = time(table, "dedup_window_ms", 0, 0, 600'000);
     type.importance = table.number("importance", 1, 0, 1'000);
     type.late_importance = table.number("late_importance", 0, 0, 1);
@@ -115,7 +115,7 @@
 // "clients.0" is the first client kind.
 void change(toml::table& root, const std::string& path, const std::string& value, const std::string& file) {
     const auto reject = [&](const std::string& why) {
-        throw stated::BadStated(file + ": change " + path + '=' + value + ": " + why);
+        throw stated::ConfigError(file + ": change " + path + '=' + value + ": " + why);
     };
     toml::table parsed;
     try {
@@ -255,7 +255,7 @@
     std::ifstream file(path, std::ios::binary);
     std::ostringstream text;
     if (!file || !(text << file.rdbuf()))
-        throw stated::BadStated(path + ": cannot be read; name a file that exists");
+        throw stated::ConfigError(path + ": cannot be read; name a file that exists");
     return from_text(text.str(), path, changes);
 }
 
@@ -315,9 +315,9 @@
         line("leave_ms", print(each.leave_ms));
         line("latency_budget_ms", print_ms(type.latency_budget));
         line("route_timeout_ms", print_ms(type.route_timeout));
-        line("repeat", type.repeat == Repeat::kRetriable ? "\"retriable\""
-                       : type.repeat == Repeat::kDeduped ? "\"deduped\""
-                                                         : "\"non-retriable\"");
+        line("repeat", type.repeat == RetrySafety::kRetriable ? "\"retriable\""
+                       : type.repeat == RetrySafety::kDeduped ? "\"deduped\""
+                                                              : "\"non-retriable\"");
         line("dedup_window_ms", print_ms(type.dedup_window));
         line("importance", print(type.importance));
         line("late_importance", print(type.late_importance));
--- a/src/lab/world/world.hpp
+++ b/src/lab/world/world.hpp
@@ -107,10 +107,10 @@
     Time retransmit = 2'000;                         // delay of each retransmission
     Time turn = 10;
     ServerKind servers;
-    SendTerms sends;
+    SendConfig sends;
     int parts_per_call = 8;
-    FurtherSendTerms further;
-    ColdTerms cold;
+    FurtherSendConfig further;
+    ColdStartConfig cold;
     Time must_ask_in = 16'000;  // deadline for the first server list request, on sockets (platform rule)
     Draw list_lag_ms{Draw::Kind::kFixed, 100,
                      0};  // delay until a front node receives a change of a server's state
@@ -124,7 +124,7 @@
 
     // Overrides of the text, applied in order: a path such as "servers.count" and a TOML value such as "24".
     using Changes = std::vector<std::pair<std::string, std::string>>;
-    // These throw stated::BadStated with the file, line, key and a hint on how to fix it.
+    // These throw stated::ConfigError with the file, line, key and a hint on how to fix it.
     static World read_file(const std::string& path, const Changes& changes = {});
     static World from_text(std::string_view text, const std::string& path, const Changes& changes = {});
     static World from_table(const toml::table& table, const std::string& path);
--- a/src/logic.cpp
+++ b/src/logic.cpp
@@ -32,8 +32,9 @@
 }  // namespace
 
 struct FrontNode::Impl {
-    Impl(std::uint64_t seed, NodePlace node_config, std::vector<OpType> op_types, ShardRing shard_ring,
-         SendTerms sends, FurtherSendTerms further, ColdTerms cold, ListTerms list, ClientTerms clients)
+    Impl(std::uint64_t seed, NodeConfig node_config, std::vector<OpType> op_types, ShardRing shard_ring,
+         SendConfig sends, FurtherSendConfig further, ColdStartConfig cold, ServerListConfig list,
+         ClientConfig clients)
         : node(node_config), ring(shard_ring), cold_start(cold), connect_timeout(sends.connect_timeout),
           min_budget(policy::min_latency_budget(op_types)), follower(inboxes, list, node_config.front_nodes),
           overload(inboxes, min_budget, node_config.front_nodes),
@@ -54,10 +55,10 @@
         }
     }
 
-    void deliver(const FleetShare& quota) { inboxes.fleet_quota = quota; }
-    void deliver(const ListNews& update) { inboxes.list.push_back(update); }
+    void deliver(const FleetQuota& quota) { inboxes.fleet_quota = quota; }
+    void deliver(const ListUpdate& update) { inboxes.list.push_back(update); }
     void deliver(const SendEnded& ended) { inboxes.servers[ended.server].push_back(ended); }
-    void deliver(const ServerWord& report) {
+    void deliver(const ServerReport& report) {
         if (servers.contains(report.server)) inboxes.servers[report.server].push_back(report);
     }
     // All other events: messages to requests are queued. Timers only cause a turn; probes and messages of
@@ -72,12 +73,12 @@
         const Time next = inboxes.now + node.turn * (requests.idle() ? kIdleTurnInterval : kTurnInterval);
         if (timer_due > inboxes.now && timer_due <= next) return;
         timer_due = next;
-        inboxes.actions.emplace_back(SetBell{next - inboxes.now, 0});
+        inboxes.actions.emplace_back(SetTimer{next - inboxes.now, 0});
     }
 
-    NodePlace node;
+    NodeConfig node;
     ShardRing ring;
-    ColdTerms cold_start;
+    ColdStartConfig cold_start;
     Time connect_timeout;
     Time min_budget;  // shortest latency budget of all op types
     policy::Inboxes inboxes;
@@ -104,9 +105,9 @@
     }
 };
 
-FrontNode::FrontNode(std::uint64_t seed, NodePlace node, std::vector<OpType> op_types, ShardRing ring,
-                     SendTerms sends, FurtherSendTerms further, ColdTerms cold, ListTerms list,
-                     ClientTerms clients, std::vector<TenantShare>, HintTerms)
+FrontNode::FrontNode(std::uint64_t seed, NodeConfig node, std::vector<OpType> op_types, ShardRing ring,
+                     SendConfig sends, FurtherSendConfig further, ColdStartConfig cold, ServerListConfig list,
+                     ClientConfig clients, std::vector<TenantQuota>, HintConfig)
     : impl_(std::make_unique<Impl>(seed, node, std::move(op_types), ring, sends, further, cold, list,
                                    clients)) {}
 FrontNode::~FrontNode() = default;
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -29,14 +29,14 @@
 
 // Whether a part that may already have run can be sent again: always, within the deduplication window of the
 // servers, or never.
-enum class Repeat { kRetriable, kDeduped, kNonRetriable };
+enum class RetrySafety { kRetriable, kDeduped, kNonRetriable };
 
 // Settings of one operation type. A multiget earns its importance when it is answered; the factors below
 // reduce that for late and for partial answers.
 struct OpType {
     Time latency_budget = 0;
     Time route_timeout = 0;
-    Repeat repeat = Repeat::kNonRetriable;
+    RetrySafety repeat = RetrySafety::kNonRetriable;
     Time dedup_window = 0;  // servers recognise a part that is sent again within this time
     double importance = 1;
     double late_importance = 0;   // share of the importance that a late answer earns
@@ -47,9 +47,9 @@
 };
 
 // Assignment of shards to index servers by an explicit map, which replaces the ring (docs/placement.md).
-class Holders {
+class ReplicaMap {
 public:
-    virtual ~Holders() = default;
+    virtual ~ReplicaMap() = default;
     virtual std::vector<ServerId> of(int shard) const = 0;
 };
 
@@ -59,8 +59,8 @@
     int places = 1;
     int width = 1;
     int parts_per_call = 1;
-    Time call_cost = 0;                // fixed overhead of a call, whatever the number of its parts
-    const Holders* holders = nullptr;  // not null: replaces the ring
+    Time call_cost = 0;                   // fixed overhead of a call, whatever the number of its parts
+    const ReplicaMap* holders = nullptr;  // not null: replaces the ring
 
     bool holds(int position, int shard) const {
         return ((position - shard) % places + places) % places < width;
@@ -68,7 +68,7 @@
 };
 
 // Identity of this front node within the fleet.
-struct NodePlace {
+struct NodeConfig {
     int me = 0;           // index of this front node
     int front_nodes = 1;  // size of the fleet
     int zone = 0;
@@ -76,7 +76,7 @@
 };
 
 // Limits on sends to index servers.
-struct SendTerms {
+struct SendConfig {
     int most_sends = 1;          // maximum sends of one part
     bool second_copies = false;  // a part may be out at two servers at once
     bool cancel = false;         // sends can be cancelled
@@ -86,14 +86,14 @@
 // Budget of further sends (retries and second copies): within any time span of length `window`, at most
 // `floor` plus `ratio` times the multigets and parts received in it. A `window` of 0 means that there is no
 // budget.
-struct FurtherSendTerms {
+struct FurtherSendConfig {
     double floor = 0;
     double ratio = 0;
     Time look_back = 0;
 };
 
 // How an index server warms up after a start, and how much load brings it down meanwhile.
-struct ColdTerms {
+struct ColdStartConfig {
     double from = 1;           // share of a warm server's capacity that a server has at its start
     Time warm_after = 0;       // duration of the warm-up
     double fall_multiple = 0;  // a load of this multiple of the present capacity ...
@@ -101,7 +101,7 @@
 };
 
 // How the server list is obtained: pulled from discovery, or pushed to the front node as it changes.
-struct ListTerms {
+struct ServerListConfig {
     bool ask = false;          // true: pulled from discovery
     Time must_ask_in = 0;      // discovery has to be called at least this often
     Time stop_within = 0;      // time to stop sending to a server once its removal counts as received
@@ -111,7 +111,7 @@
 };
 
 // What the clients support.
-struct ClientTerms {
+struct ClientConfig {
     bool retry_after = false;      // pushbacks carry the time to wait before a retry
     Time longest_retry_after = 0;  // maximum of that time
     bool marks_repeats = false;    // clients mark retries
@@ -119,12 +119,12 @@
 };
 
 // Rate limit of a tenant.
-struct TenantShare {
+struct TenantQuota {
     double per_second = 0;  // multigets, over all front nodes
 };
 
 // Sources of information about index servers other than the outcomes of sends.
-struct HintTerms {
+struct HintConfig {
     bool probes = false;
     bool peers = false;
     bool warm_keys = false;
@@ -149,11 +149,11 @@
 // kFailed: a call to discovery failed or a watch broke. kChanges: changed entries only. kFull: the whole
 // list. kSaved: a list saved before the start of this process. kMoved: the address of discovery was changed,
 // and a call was made to the new address.
-enum class ListKind : std::uint8_t { kFailed, kChanges, kFull, kSaved, kMoved };
+enum class ListUpdateKind : std::uint8_t { kFailed, kChanges, kFull, kSaved, kMoved };
 
 // An update of the server list, or the failure to obtain one.
-struct ListNews {
-    ListKind kind = ListKind::kFailed;
+struct ListUpdate {
+    ListUpdateKind kind = ListUpdateKind::kFailed;
     std::vector<ListEntry> entries;
     static constexpr Time kOld = 1'000'000'000;  // stands for an unknown age
     Time age = kOld;                             // kSaved: time since the list was known to be current
@@ -209,7 +209,7 @@
     std::vector<double> load;  // load report of the server
 };
 
-struct Probed {
+struct ProbeEnded {
     ServerId server;
     bool ok = false;
     Time took = 0;
@@ -217,7 +217,7 @@
 };
 
 // The client of a multiget disconnected or gave up.
-struct ClientLeft {
+struct ClientDisconnected {
     Id multiget = 0;
 };
 
@@ -228,7 +228,7 @@
 
 // What the other front nodes together report about a server. It is never taken for an entry of the server
 // list.
-struct ServerWord {
+struct ServerReport {
     ServerId server;
     bool aside = false;  // the server is set aside
     bool held = false;   // while it is set aside: other front nodes try it, this node need not
@@ -239,7 +239,7 @@
 
 // This node's share of the limits that apply to the fleet as a whole. Nothing but one part out at each server
 // is allowed after `valid_until`.
-struct FleetShare {
+struct FleetQuota {
     int parts_out = std::numeric_limits<int>::max();           // maximum at one server; one is always allowed
     double further = std::numeric_limits<double>::infinity();  // further sends since this node's start
     Time until = std::numeric_limits<Time>::max();
@@ -252,7 +252,7 @@
 };
 
 // A message of another front node.
-struct PeerWord {
+struct PeerMessage {
     int from = 0;  // index of the sender
     std::vector<std::uint8_t> text;
 };
@@ -263,8 +263,8 @@
     Time until = 0;  // the key is ignored from then on
 };
 
-using Event = std::variant<ListNews, MultigetArrival, SecondStep, SendEnded, Probed, ClientLeft, Bell,
-                           ServerWord, DeadlyKey, FleetShare, PeerWord>;
+using Event = std::variant<ListUpdate, MultigetArrival, SecondStep, SendEnded, ProbeEnded, ClientDisconnected,
+                           Bell, ServerReport, DeadlyKey, FleetQuota, PeerMessage>;
 
 // Actions: the output of a turn.
 
@@ -276,7 +276,7 @@
 };
 
 // Cancels a send.
-struct CallOff {
+struct CancelSend {
     Id part = 0;
     int send = 0;
 };
@@ -305,7 +305,7 @@
 };
 
 // Sets a timer that fires after a delay.
-struct SetBell {
+struct SetTimer {
     Time after = 0;
     std::uint32_t token = 0;
 };
@@ -315,19 +315,19 @@
 };
 
 // Calls discovery for the server list, and keeps the call open as a watch for changes.
-struct WatchList {
+struct WatchServerList {
     Time longest_silence = 0;  // the watch is closed after a longer silence
     int beside = 0;            // the call is not made while more other calls than this are open
 };
 // Calls discovery for the server list once.
-struct FetchList {};
+struct FetchServerList {};
 
 struct Probe {
     ServerId server;
 };
 
-using Action =
-    std::variant<Send, CallOff, Answer, PushBack, Fail, SetBell, LogLine, WatchList, FetchList, Probe>;
+using Action = std::variant<Send, CancelSend, Answer, PushBack, Fail, SetTimer, LogLine, WatchServerList,
+                            FetchServerList, Probe>;
 
 // This front node's own view of an index server, for publication to the other front nodes.
 struct ServerView {
@@ -344,9 +344,9 @@
 // and carries out the returned actions in their order.
 class FrontNode {
 public:
-    FrontNode(std::uint64_t seed, NodePlace node, std::vector<OpType> op_types, ShardRing ring,
-              SendTerms sends, FurtherSendTerms further, ColdTerms cold, ListTerms list, ClientTerms clients,
-              std::vector<TenantShare> tenants, HintTerms hints);
+    FrontNode(std::uint64_t seed, NodeConfig node, std::vector<OpType> op_types, ShardRing ring,
+              SendConfig sends, FurtherSendConfig further, ColdStartConfig cold, ServerListConfig list,
+              ClientConfig clients, std::vector<TenantQuota> tenants, HintConfig hints);
     ~FrontNode();
     FrontNode(FrontNode&&) noexcept;
     FrontNode& operator=(FrontNode&&) noexcept;
--- a/src/parse/frame.cpp
+++ b/src/parse/frame.cpp
@@ -40,13 +40,13 @@
     result.value = payload.substr(line_end + 1);
     if (result.id.empty() || score.empty() || !is_printable_utf8(result.value)) return std::nullopt;
     if (status == "done")
-        result.end = ResultEnd::kDone;
+        result.end = ResultStatus::kDone;
     else if (status == "failed")
-        result.end = ResultEnd::kFailed;
+        result.end = ResultStatus::kFailed;
     else if (status == "full")
-        result.end = ResultEnd::kFull;
+        result.end = ResultStatus::kFull;
     else if (status == "moved")
-        result.end = ResultEnd::kMoved;
+        result.end = ResultStatus::kMoved;
     else
         return std::nullopt;
     if (result.report == "-") result.report = {};
--- a/src/parse/frame.hpp
+++ b/src/parse/frame.hpp
@@ -23,12 +23,12 @@
 
 // How an index server ended a part. kMoved occurs only with a shard map (docs/placement.md); the value of
 // such a result is an epoch.
-enum class ResultEnd { kDone, kFailed, kFull, kMoved };
+enum class ResultStatus { kDone, kFailed, kFull, kMoved };
 
 // An index server's result for one part. The views point into the frame.
 struct Result {
     std::string_view id;
-    ResultEnd end = ResultEnd::kFailed;
+    ResultStatus end = ResultStatus::kFailed;
     std::string_view report;  // the server's load report; empty if there is none
     std::string_view value;
 };
--- a/src/parse/http.cpp
+++ b/src/parse/http.cpp
@@ -60,7 +60,7 @@
                       [](char x, char y) { return to_lower(x) == to_lower(y); });
 }
 
-std::size_t HttpReader::feed(std::string_view bytes) {
+std::size_t HttpParser::feed(std::string_view bytes) {
     std::size_t used = 0;
     while (used < bytes.size() && step_ != Step::kDone && step_ != Step::kBad) {
         const auto rest = bytes.substr(used);
@@ -86,7 +86,7 @@
     return used;
 }
 
-void HttpReader::parse_line(std::string_view line) {
+void HttpParser::parse_line(std::string_view line) {
     if (line.find('\r') != std::string_view::npos || line.find('\0') != std::string_view::npos) {
         return fail(400, "a stray control character");
     }
@@ -107,7 +107,7 @@
     }
 }
 
-void HttpReader::parse_start_line(std::string_view line) {
+void HttpParser::parse_start_line(std::string_view line) {
     started_ = true;
     const auto first = line.find(' ');
     const auto second = first == std::string_view::npos ? first : line.find(' ', first + 1);
@@ -134,7 +134,7 @@
     set_step(Step::kHeaders);
 }
 
-void HttpReader::parse_header(std::string_view line) {
+void HttpParser::parse_header(std::string_view line) {
     const auto colon = line.find(':');
     if (colon == std::string_view::npos || !is_token(line.substr(0, colon))) {
         return fail(400, "a malformed header");
@@ -149,7 +149,7 @@
     if (name != "content-length") entry->second += ", " + value;
 }
 
-void HttpReader::end_head() {
+void HttpParser::end_head() {
     head_bytes_ = 0;
     const auto* coding = header("transfer-encoding");
     const auto* length = header("content-length");
@@ -170,7 +170,7 @@
     set_step(remaining_ == 0 ? Step::kDone : Step::kLength);
 }
 
-void HttpReader::parse_chunk_size(std::string_view line) {
+void HttpParser::parse_chunk_size(std::string_view line) {
     const auto size = trimmed(line.substr(0, std::min(line.find(';'), line.size())));
     if (!parse_size(size, 16, remaining_)) return fail(400, "a malformed chunk size");
     if (remaining_ > limits_.body) return fail(413, "the body is too large");
@@ -178,7 +178,7 @@
     set_step(remaining_ == 0 ? Step::kTrailers : Step::kChunk);
 }
 
-std::size_t HttpReader::append_body(std::string_view bytes) {
+std::size_t HttpParser::append_body(std::string_view bytes) {
     const auto piece = bytes.substr(0, std::min(remaining_, bytes.size()));
     body_bytes_ += piece.size();
     body_ += piece;
@@ -192,13 +192,13 @@
     return piece.size();
 }
 
-void HttpReader::fail(int status, const char* text) {
+void HttpParser::fail(int status, const char* text) {
     error_status_ = status;
     error_text_ = text;
     set_step(Step::kBad);
 }
 
-void HttpReader::set_step(Step step) {
+void HttpParser::set_step(Step step) {
     step_ = step;
     if (step == Step::kDone)
         state_ = State::kDone;
@@ -208,18 +208,18 @@
         state_ = step == Step::kStart || step == Step::kHeaders ? State::kHead : State::kBody;
 }
 
-const std::string* HttpReader::header(const std::string& lower_case_name) const {
+const std::string* HttpParser::header(const std::string& lower_case_name) const {
     const auto it = headers_.find(lower_case_name);
     return it == headers_.end() ? nullptr : &it->second;
 }
 
-bool HttpReader::keeps_open() const {
+bool HttpParser::keeps_open() const {
     const auto* connection = header("connection");
     if (connection != nullptr && list_contains(*connection, "close")) return false;
     return minor_version_ == 1 || (connection != nullptr && list_contains(*connection, "keep-alive"));
 }
 
-bool HttpReader::expects_continue() const {
+bool HttpParser::expects_continue() const {
     const auto* expect = header("expect");
     return expect != nullptr && equals_ignore_case(*expect, "100-continue");
 }
--- a/src/parse/http.hpp
+++ b/src/parse/http.hpp
@@ -10,18 +10,18 @@
 namespace pinedoor::parse {
 
 // Limits of one message, in bytes.
-struct HttpBounds {
+struct HttpLimits {
     std::size_t head = 16 * 1024;  // start line and headers; applies to the trailers too
     std::size_t body = 64 * 1024;  // of a response: bytes not yet taken by take_body()
 };
 
 // Parses one request or response from bytes that arrive in pieces of any size.
-class HttpReader {
+class HttpParser {
 public:
     enum class Kind { kRequest, kResponse };
     enum class State { kHead, kBody, kDone, kBad };
 
-    explicit HttpReader(Kind kind, HttpBounds limits = {}) : kind_(kind), limits_(limits) {}
+    explicit HttpParser(Kind kind, HttpLimits limits = {}) : kind_(kind), limits_(limits) {}
 
     // Consumes bytes up to the end of the message or the first error; returns how many.
     std::size_t feed(std::string_view bytes);
@@ -58,7 +58,7 @@
     void set_step(Step step);
 
     const Kind kind_;
-    const HttpBounds limits_;
+    const HttpLimits limits_;
     Step step_ = Step::kStart;
     State state_ = State::kHead;
     bool started_ = false;
--- a/src/parse/json.cpp
+++ b/src/parse/json.cpp
@@ -64,7 +64,7 @@
 }
 
 void JsonParser::reject(const char* reason) const {
-    throw BadJson("JSON, byte " + std::to_string(offset_) + ": " + reason);
+    throw JsonError("JSON, byte " + std::to_string(offset_) + ": " + reason);
 }
 
 void JsonParser::feed(std::string_view bytes) {
--- a/src/parse/json.hpp
+++ b/src/parse/json.hpp
@@ -15,7 +15,7 @@
 namespace pinedoor::parse {
 
 // Thrown for malformed JSON; the message names the offset in bytes.
-struct BadJson : std::runtime_error {
+struct JsonError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
@@ -59,8 +59,8 @@
 class JsonParser {
 public:
     explicit JsonParser(JsonLimits limits = {}) : limits_(limits) {}
-    void feed(std::string_view bytes);  // throws BadJson
-    Json finish();                      // throws BadJson if the value is incomplete
+    void feed(std::string_view bytes);  // throws JsonError
+    Json finish();                      // throws JsonError if the value is incomplete
 
 private:
     enum class Expect { kValue, kValueOrEnd, kName, kNameOrEnd, kColon, kCommaOrEnd, kNothing };
@@ -95,7 +95,7 @@
 bool is_utf8(std::string_view bytes);
 // Whether the bytes are UTF-8 without control characters: only quotes and backslashes need an escape in JSON.
 bool is_printable_utf8(std::string_view bytes);
-// Parses a complete text; throws BadJson.
+// Parses a complete text; throws JsonError.
 Json parse_json(std::string_view text, JsonLimits limits = {});
 // Appends the text as a JSON string, quoted and escaped.
 void append_json_string(std::string& out, std::string_view text);
--- a/src/parse/json_objects.cpp
+++ b/src/parse/json_objects.cpp
@@ -7,7 +7,7 @@
 
 }  // namespace
 
-std::optional<std::string> JsonObjects::next() {
+std::optional<std::string> JsonObjectSplitter::next() {
     while (!failed_ && scanned_ < buffer_.size()) {
         const bool inside = depth_ > 0;
         scan_char();
@@ -23,7 +23,7 @@
 }
 
 // Scans one character.
-void JsonObjects::scan_char() {
+void JsonObjectSplitter::scan_char() {
     const char c = buffer_[scanned_];
     if (depth_ == 0) {
         if (is_space(c)) {
--- a/src/parse/json_objects.hpp
+++ b/src/parse/json_objects.hpp
@@ -11,11 +11,11 @@
 namespace pinedoor::parse {
 
 // The splitter of one stream.
-class JsonObjects {
+class JsonObjectSplitter {
 public:
     // `max_bytes` bounds the size of one object.
 
-    explicit JsonObjects(std::size_t max_bytes) : max_bytes_(max_bytes) {}
+    explicit JsonObjectSplitter(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
     void feed(std::string_view bytes) { buffer_ += bytes; }
     // Removes and returns the next complete object, without the white space before it. Nothing is returned if
--- a/src/peers/carrier.cpp
+++ b/src/peers/carrier.cpp
@@ -72,8 +72,8 @@
 
 }  // namespace
 
-Carrier::Carrier(net::Scheduler& scheduler, PeerTerms settings, std::string name, int zone,
-                 std::uint64_t seed, EventLog log_event)
+PeerTransport::PeerTransport(net::Scheduler& scheduler, PeerConfig settings, std::string name, int zone,
+                             std::uint64_t seed, EventLog log_event)
     : scheduler_(scheduler), settings_(std::move(settings)), log_event_(std::move(log_event)),
       codec_(settings_.cluster, settings_.secret),
       membership_(std::move(name), to_peer_address(settings_.advertise), zone,
@@ -83,7 +83,7 @@
               membership_.self().life, seed + 1, {}),
       timer_(scheduler) {}
 
-void Carrier::start() {
+void PeerTransport::start() {
     const auto error = [](const std::string& what) {
         return std::system_error(errno, std::generic_category(), what);
     };
@@ -122,9 +122,9 @@
     start_task(timer_task_, run_timers());
 }
 
-void Carrier::leave() { execute_all(membership_.leave(scheduler_.now())); }
+void PeerTransport::leave() { execute_all(membership_.leave(scheduler_.now())); }
 
-net::Task Carrier::receive_datagrams() {
+net::Task PeerTransport::receive_datagrams() {
     constexpr int kMaxDatagramsPerWakeup = 32;  // lets other tasks run in between
     std::array<char, kMaxDatagramBytes + 1> bytes{};
     for (;;) {
@@ -154,7 +154,7 @@
     }
 }
 
-net::Task Carrier::run_timers() {
+net::Task PeerTransport::run_timers() {
     for (;;) {
         const auto now = scheduler_.now();
         if (!settings_.seeds_file.empty() && now - seeds_read_at_ > kSeedsReadInterval) read_seeds();
@@ -164,7 +164,7 @@
     }
 }
 
-void Carrier::read_seeds() {
+void PeerTransport::read_seeds() {
     if (settings_.seeds_file.empty()) return;
     seeds_read_at_ = scheduler_.now();
     auto seeds = to_peer_addresses(settings_.seeds);
@@ -175,32 +175,32 @@
     membership_.set_seeds(std::move(seeds));
 }
 
-void Carrier::execute_all(std::vector<Action> actions) {
+void PeerTransport::execute_all(std::vector<Action> actions) {
     for (auto& action : actions) std::visit([this](auto& each) { execute(each); }, action);
     timer_.signal();
 }
 
-void Carrier::execute_all(std::vector<SendTalk> messages) {
+void PeerTransport::execute_all(std::vector<SendGossip> messages) {
     for (const auto& each : messages) send(each.to, codec_.write(each.talk));
     timer_.signal();
 }
 
-void Carrier::publish(const std::string& topic, std::string value, Time lifetime) {
+void PeerTransport::publish(const std::string& topic, std::string value, Time lifetime) {
     gossip_.publish(scheduler_.now(), topic, std::move(value), lifetime);
     timer_.signal();
 }
 
-void Carrier::deliver(const DirectMessage& message) {
+void PeerTransport::deliver(const DirectMessage& message) {
     const auto handler = direct_handlers_.find(message.topic);
     if (handler != direct_handlers_.end()) handler->second(message.from, message.payload);
 }
 
-void Carrier::send_letter(const std::string& to, const std::string& topic, std::string bytes) {
+void PeerTransport::send_letter(const std::string& to, const std::string& topic, std::string bytes) {
     if (const auto address = membership_.address_of(to))
         send(*address, codec_.write(DirectMessage{membership_.self().name, topic, std::move(bytes)}));
 }
 
-void Carrier::update_gossip_members() {
+void PeerTransport::update_gossip_members() {
     Gossip::Members others;
     for (const auto& record : membership_.members()) {
         if (record.name != membership_.self().name) others.emplace_back(record.name, record.at);
@@ -208,9 +208,9 @@
     gossip_.set_members(std::move(others));
 }
 
-void Carrier::execute(SendMessage& action) { send(action.to, codec_.write(action.message)); }
+void PeerTransport::execute(SendMessage& action) { send(action.to, codec_.write(action.message)); }
 
-void Carrier::send(At to, const std::string& bytes) {
+void PeerTransport::send(At to, const std::string& bytes) {
     const auto address = to_sockaddr(to_endpoint(to));
     const auto sent = sendto(datagram_socket_.get(), bytes.data(), bytes.size(), MSG_NOSIGNAL,
                              reinterpret_cast<const sockaddr*>(&address), sizeof address);
@@ -219,7 +219,7 @@
     counts_.bytes_out += bytes.size();
 }
 
-void Carrier::execute(StateSync& action) {
+void PeerTransport::execute(StateSync& action) {
     ++counts_.syncs;
     auto fd =
         connections_.size() < kMaxConnections ? net::connect_to(to_endpoint(action.peer)).first : net::Fd{};
@@ -227,10 +227,10 @@
         ++counts_.syncs_failed;
         return;
     }
-    start_connection(std::move(fd), &Carrier::request_state);
+    start_connection(std::move(fd), &PeerTransport::request_state);
 }
 
-void Carrier::execute(Changed& change) {
+void PeerTransport::execute(MembershipChange& change) {
     const auto& record = change.record;
     log_event_(change.is_member ? "peer_joined" : "peer_gone",
                "peer " + record.name + " at " + net::to_text(to_endpoint(record.at)) +
@@ -239,7 +239,7 @@
     for (const auto& each : listeners_) each(change);
 }
 
-void Carrier::execute(NameConflict& conflict) {
+void PeerTransport::execute(NameConflict& conflict) {
     const auto now = scheduler_.now();
     if (conflict_logged_at_ != 0 && now - conflict_logged_at_ < kConflictLogInterval) return;
     conflict_logged_at_ = now;
@@ -247,14 +247,14 @@
                                     net::to_text(to_endpoint(conflict.address)));
 }
 
-void Carrier::reject(RejectReason reason, const std::string& from) {
+void PeerTransport::reject(RejectReason reason, const std::string& from) {
     ++counts_.rejected;
     if (++rejected_[reason] == 1)
         log_event_("peer_refused", std::string("rejected a peer message, reason: ") + name_of(reason) +
                                        ", received from " + from);
 }
 
-void Carrier::start_connection(net::Fd fd, net::Task (Carrier::*serve)(Connection&)) {
+void PeerTransport::start_connection(net::Fd fd, net::Task (PeerTransport::*serve)(Connection&)) {
     connections_.push_back(std::make_unique<Connection>(scheduler_, std::move(fd)));
     auto& connection = *connections_.back();
     connection.task = (this->*serve)(connection);
@@ -265,7 +265,7 @@
 
 // Runs after the scheduler round in which the connection's task ended. An HTTP connection continues with
 // another task.
-void Carrier::end_connection(Connection& connection) {
+void PeerTransport::end_connection(Connection& connection) {
     if (std::exchange(connection.is_http, false) && http_handler_) {
         connection.task = http_handler_(connection.stream);
         connection.task.start([this, &connection](std::exception_ptr) {
@@ -276,14 +276,15 @@
     std::erase_if(connections_, [&connection](const auto& each) { return each.get() == &connection; });
 }
 
-net::Task Carrier::accept_connections(net::Waiter& waiter, const net::Fd& listener, bool is_control) {
+net::Task PeerTransport::accept_connections(net::Waiter& waiter, const net::Fd& listener, bool is_control) {
     constexpr net::Moment kRetryDelay = 1'000;  // while at the connection limit
     for (;;) {
         const bool has_room = connections_.size() < kMaxConnections;
         if (has_room) {
             auto [fd, error] = net::accept_from(listener);
             if (fd) {
-                start_connection(std::move(fd), is_control ? &Carrier::serve_control : &Carrier::serve_state);
+                start_connection(std::move(fd),
+                                 is_control ? &PeerTransport::serve_control : &PeerTransport::serve_state);
                 continue;
             }
             if (error == EAGAIN) waiter.used_up(net::kRead);
@@ -295,7 +296,7 @@
     }
 }
 
-bool Carrier::receive_state(std::string_view bytes, const std::string& from) {
+bool PeerTransport::receive_state(std::string_view bytes, const std::string& from) {
     auto decoded = codec_.decode_state(bytes);
     if (const auto* reason = std::get_if<RejectReason>(&decoded)) return reject(*reason, from), false;
     execute_all(membership_.receive_state(scheduler_.now(), std::get<std::vector<MemberRecord>>(decoded)));
@@ -303,7 +304,7 @@
 }
 
 // Sends this node's state and reads the peer's.
-net::Task Carrier::request_state(Connection& connection) {
+net::Task PeerTransport::request_state(Connection& connection) {
     auto& waiter = connection.stream.waiter();
     const auto deadline = scheduler_.now() + kConnectionTimeout;
     const auto request = add_length_prefix(codec_.encode_state(membership_.all_records()));
@@ -329,7 +330,7 @@
     if (scheduler_.now() < deadline) execute_all(membership_.sync_refused(scheduler_.now()));
 }
 
-net::Task Carrier::serve_state(Connection& connection) {
+net::Task PeerTransport::serve_state(Connection& connection) {
     auto& waiter = connection.stream.waiter();
     const auto deadline = scheduler_.now() + kConnectionTimeout;
     std::string response;
@@ -359,7 +360,7 @@
     }
 }
 
-net::Task Carrier::serve_control(Connection& connection) {
+net::Task PeerTransport::serve_control(Connection& connection) {
     auto& waiter = connection.stream.waiter();
     const auto deadline = scheduler_.now() + kConnectionTimeout;
     std::string out;
@@ -383,7 +384,7 @@
     }
 }
 
-std::string Carrier::run_command(std::string_view line) {
+std::string PeerTransport::run_command(std::string_view line) {
     const auto describe = [](const MemberRecord& record) {
         return record.name + ' ' + name_of(record.state) + ' ' + net::to_text(to_endpoint(record.at)) +
                " zone " + std::to_string(record.zone) + " incarnation " + std::to_string(record.incarnation) +
@@ -417,7 +418,7 @@
     return "the words are: list, facts, show, show NAME, leave, limits, verdicts, why SERVER\n";
 }
 
-std::string Carrier::print_counters() const {
+std::string PeerTransport::print_counters() const {
     const auto& membership = membership_.counts();
     std::string out;
     const auto add = [&out](const char* name, std::uint64_t value) {
--- a/src/peers/carrier.hpp
+++ b/src/peers/carrier.hpp
@@ -20,12 +20,12 @@
 namespace pinedoor::peers {
 
 // Peer layer of one node: its membership, its gossip and their transport.
-class Carrier {
+class PeerTransport {
 public:
     // Logs an event by its name and text.
     using EventLog = std::function<void(std::string_view event, const std::string& text)>;
-    Carrier(net::Scheduler& scheduler, PeerTerms settings, std::string name, int zone, std::uint64_t seed,
-            EventLog log_event);
+    PeerTransport(net::Scheduler& scheduler, PeerConfig settings, std::string name, int zone,
+                  std::uint64_t seed, EventLog log_event);
 
     void start();  // throws std::system_error if it cannot listen
     void leave();  // notifies other members; from then on only listens
@@ -43,7 +43,9 @@
     using ControlCommand = std::function<std::string(std::string_view rest)>;
     void answer_to(const std::string& name, ControlCommand command) { commands_[name] = std::move(command); }
     // Adds a listener that is called for every membership change.
-    void watch(std::function<void(const Changed&)> listener) { listeners_.push_back(std::move(listener)); }
+    void watch(std::function<void(const MembershipChange&)> listener) {
+        listeners_.push_back(std::move(listener));
+    }
     // Hands HTTP connections on the peers' port over to `handler`, which must outlive this object.
     void take_guests(std::function<net::Task(net::Stream&)> handler) { http_handler_ = std::move(handler); }
     std::string print_counters() const;  // one line each: name, space, value
@@ -67,16 +69,16 @@
     net::Task request_state(Connection& connection);
     net::Task serve_state(Connection& connection);
     net::Task serve_control(Connection& connection);
-    void start_connection(net::Fd fd, net::Task (Carrier::*serve)(Connection&));
+    void start_connection(net::Fd fd, net::Task (PeerTransport::*serve)(Connection&));
     void end_connection(Connection& connection);
     void execute_all(std::vector<Action> actions);
-    void execute_all(std::vector<SendTalk> messages);
+    void execute_all(std::vector<SendGossip> messages);
     void deliver(const DirectMessage& message);
     void update_gossip_members();
     void send(At to, const std::string& bytes);
     void execute(SendMessage& action);
     void execute(StateSync& action);
-    void execute(Changed& change);
+    void execute(MembershipChange& change);
     void execute(NameConflict& conflict);
     void reject(RejectReason reason, const std::string& from);
     bool receive_state(std::string_view bytes, const std::string& from);
@@ -84,12 +86,12 @@
     std::string run_command(std::string_view line);
 
     net::Scheduler& scheduler_;
-    const PeerTerms settings_;
+    const PeerConfig settings_;
     const EventLog log_event_;
     const Wire codec_;
     Membership membership_;
     Gossip gossip_;
-    std::vector<std::function<void(const Changed&)>> listeners_;
+    std::vector<std::function<void(const MembershipChange&)>> listeners_;
     std::map<std::string, DirectMessageHandler> direct_handlers_;
     std::map<std::string, ControlCommand> commands_;
     std::function<net::Task(net::Stream&)> http_handler_;
--- a/src/peers/decide.cpp
+++ b/src/peers/decide.cpp
@@ -35,7 +35,7 @@
 }
 
 Membership::Membership(std::string name, At at, int zone, std::uint64_t incarnation, std::uint64_t seed,
-                       MembershipTerms settings, std::vector<At> seeds)
+                       MembershipConfig settings, std::vector<At> seeds)
     : settings_(settings), seeds_(std::move(seeds)), rng_(seed) {
     self_ = {std::move(name), incarnation, MemberState::kAlive, rng_(), at, zone, ""};
     queue_update(self_.name);
@@ -140,7 +140,7 @@
         probe_->indirect_requests = probe_->nacks_missing = static_cast<int>(actions_.size() - before);
     }
     if (now < probe_->ends_at) return;
-    // Members asked for an indirect probe report a failure with a nack. Missing nacks suggest that this node
+    // Members asked for an indirect probe report a failure with a nack. CopyLag nacks suggest that this node
     // itself has trouble sending or receiving (Lifeguard 4.1).
     const auto target = probe_->target;
     adjust_health(probe_->indirect_requests > 0 ? probe_->nacks_missing : 1);
@@ -288,7 +288,7 @@
                             record.name);
     }
     queue_update(record.name);
-    if (was_member != now_member || replaced) actions_.emplace_back(Changed{record, now_member});
+    if (was_member != now_member || replaced) actions_.emplace_back(MembershipChange{record, now_member});
 }
 
 void Membership::update_alive_names(const std::string& name, KnownMember& known, bool was_alive,
--- a/src/peers/decide.hpp
+++ b/src/peers/decide.hpp
@@ -73,7 +73,7 @@
 };
 
 // Protocol settings. Times are in units of 0.1 ms.
-struct MembershipTerms {
+struct MembershipConfig {
     Time period = 10'000;                 // probe period (SWIM 3.1)
     Time timeout = 3'000;                 // for the direct probe; indirect probes are sent after it
     int indirect_probes = 3;              // members asked to probe indirectly
@@ -103,7 +103,7 @@
     At peer;
 };
 // A member joined, was replaced by another instance, or was removed. Suspects are still members.
-struct Changed {
+struct MembershipChange {
     MemberRecord record;
     bool is_member = false;
 };
@@ -111,7 +111,7 @@
 struct NameConflict {
     At address;
 };
-using Action = std::variant<SendMessage, StateSync, Changed, NameConflict>;
+using Action = std::variant<SendMessage, StateSync, MembershipChange, NameConflict>;
 
 // Counters of this node since its start.
 struct MembershipCounts {
@@ -125,7 +125,7 @@
 public:
     // `incarnation`: wall clock at the start, in milliseconds.
     Membership(std::string name, At at, int zone, std::uint64_t incarnation, std::uint64_t seed,
-               MembershipTerms settings, std::vector<At> seeds);
+               MembershipConfig settings, std::vector<At> seeds);
 
     std::vector<Action> tick(Time now);  // to be called at due() or later
     Time due() const { return due_; }
@@ -208,7 +208,7 @@
     void update_due();
     std::size_t random_below(std::size_t count) { return static_cast<std::size_t>(rng_() % count); }
 
-    const MembershipTerms settings_;
+    const MembershipConfig settings_;
     std::vector<At> seeds_;
     MemberRecord self_;
     bool leaving_ = false;
--- a/src/peers/gossip.cpp
+++ b/src/peers/gossip.cpp
@@ -51,8 +51,8 @@
     update_due();
 }
 
-std::vector<SendTalk> Gossip::tick(Time now) {
-    std::vector<SendTalk> out;
+std::vector<SendGossip> Gossip::tick(Time now) {
+    std::vector<SendGossip> out;
     if (now >= expiry_check_at_) {
         expiry_check_at_ = now + kExpiryCheckInterval;
         for (auto it = records_.begin(); it != records_.end();) {
@@ -117,7 +117,7 @@
 
 // Sends one message per round to a few random members, filled with the records that were transmitted least.
 // This bounds the traffic however many records are spreading.
-void Gossip::send_rumours(Time now, std::vector<SendTalk>& out) {
+void Gossip::send_rumours(Time now, std::vector<SendGossip>& out) {
     rumours_at_ = now + settings_.rumour_interval;
     if (members_.empty()) return;
     std::vector<Held*> spreading;
@@ -159,7 +159,7 @@
     return sums;
 }
 
-void Gossip::send_digest(Time now, std::vector<SendTalk>& out) {
+void Gossip::send_digest(Time now, std::vector<SendGossip>& out) {
     const Time span = behind_ ? settings_.rumour_interval : settings_.sync_interval;
     sync_at_ = now + span / 2 + static_cast<Time>(rng_() % static_cast<std::uint64_t>(span));
     if (members_.empty() || !take_budget(now, sizeof(Digest))) return;
@@ -225,11 +225,11 @@
     rumours_at_ = std::min(rumours_at_, now);
 }
 
-std::vector<SendTalk> Gossip::take(Time now, const Talk& message) {
+std::vector<SendGossip> Gossip::take(Time now, const Talk& message) {
     // Only records received as rumours spread further; those in a reply to a digest are known to others.
     for (const auto& record : message.records)
         apply_record(now, record, message.kind == Talk::Kind::kRumours);
-    auto out = message.has_digest() ? reply_to_digest(now, message) : std::vector<SendTalk>{};
+    auto out = message.has_digest() ? reply_to_digest(now, message) : std::vector<SendGossip>{};
     if (message.kind == Talk::Kind::kDigestMatch) behind_ = false;
     if (message.kind == Talk::Kind::kDigestMismatch) {
         behind_ = true;
@@ -242,7 +242,7 @@
 // Sends the records in the buckets that differ, and in reply to a request this node's digest, which shows the
 // requester what this node lacks. The number of messages is limited and the records are shuffled, so repeated
 // syncs deliver all of them.
-std::vector<SendTalk> Gossip::reply_to_digest(Time now, const Talk& message) {
+std::vector<SendGossip> Gossip::reply_to_digest(Time now, const Talk& message) {
     if (!take_budget(now, settings_.max_record_bytes)) return {};
     const auto own = digest(now);
     const bool is_request = message.kind == Talk::Kind::kDigestRequest;
@@ -254,7 +254,7 @@
         if (!held.expired(now) && own[bucket] != message.digest[bucket]) differing.push_back(&held);
     }
     std::shuffle(differing.begin(), differing.end(), rng_);
-    std::vector<SendTalk> out;
+    std::vector<SendGossip> out;
     auto reply = make_message(!is_request ? Talk::Kind::kRecords
                               : same      ? Talk::Kind::kDigestMatch
                                           : Talk::Kind::kDigestMismatch);
--- a/src/peers/gossip.hpp
+++ b/src/peers/gossip.hpp
@@ -84,7 +84,7 @@
 };
 
 // Send `talk` to `to` in one datagram.
-struct SendTalk {
+struct SendGossip {
     At to;
     Talk talk;
 };
@@ -109,9 +109,9 @@
     // Publishes `value` to all members for `lifetime` from now, replacing this node's earlier value of the
     // topic. An empty value withdraws it.
     void publish(Time now, const std::string& topic, std::string value, Time lifetime);
-    std::vector<SendTalk> tick(Time now);  // to be called at due() or later
+    std::vector<SendGossip> tick(Time now);  // to be called at due() or later
     Time due() const { return due_; }
-    std::vector<SendTalk> take(Time now, const Talk& message);
+    std::vector<SendGossip> take(Time now, const Talk& message);
 
     // The unexpired, not withdrawn records of a topic, including this node's own; `age` as of now.
     std::vector<Fact> facts(Time now, const std::string& topic = "") const;  // empty topic: all
@@ -134,14 +134,14 @@
 
     // Merges a received record; `is_rumour`: spread it further.
     void apply_record(Time now, const Fact& record, bool is_rumour);
-    std::vector<SendTalk> reply_to_digest(Time now, const Talk& message);
+    std::vector<SendGossip> reply_to_digest(Time now, const Talk& message);
     // Republishes this node's records with a newer epoch than `other_epoch`, found on a record of this node's
     // name.
     void republish_own(Time now, std::uint64_t other_epoch);
     Digest digest(Time now) const;
     Fact copy_with_age(const Held& held, Time now) const;
-    void send_digest(Time now, std::vector<SendTalk>& out);
-    void send_rumours(Time now, std::vector<SendTalk>& out);
+    void send_digest(Time now, std::vector<SendGossip>& out);
+    void send_rumours(Time now, std::vector<SendGossip>& out);
     std::vector<std::pair<std::string, At>> random_members(std::size_t count);
     Talk make_message(Talk::Kind kind) const;
     int max_transmissions() const;
--- a/src/peers/list_source.cpp
+++ b/src/peers/list_source.cpp
@@ -99,7 +99,7 @@
     response_due_at_ = 0;
 }
 
-bool ListSource::compare(Time now, std::uint64_t revision, const std::vector<Holding>& others) {
+bool ListSource::compare(Time now, std::uint64_t revision, const std::vector<ListHolder>& others) {
     // The first advertisement ends the retry delay, with jitter because other members wait as well.
     const bool was_waiting = call_at_ > now && consecutive_failures_ > 0 && !is_root();
     const bool had_none = list_holders_.empty();
--- a/src/peers/list_source.hpp
+++ b/src/peers/list_source.hpp
@@ -71,7 +71,7 @@
     // then calls lost().
     bool is_silent(Time now) const { return response_due_at_ > 0 && now >= response_due_at_; }
     void lost(Time now);  // the call to the source ended
-    struct Holding {      // advertisement of a member that holds a current list
+    struct ListHolder {   // advertisement of a member that holds a current list
         Source source;
         std::uint64_t revision = 0;
     };
@@ -80,7 +80,7 @@
     // a source calls one of them soon after the first advertisement. Returns true if this node's source has
     // lagged behind for too long (discovery may serve an old copy); then the holder of the newest revision is
     // called next, also by a root.
-    bool compare(Time now, std::uint64_t revision, const std::vector<Holding>& others);
+    bool compare(Time now, std::uint64_t revision, const std::vector<ListHolder>& others);
     // The source to call now in place of the current one, or none to keep it.
     std::optional<Source> tick(Time now);
     Time due() const { return due_; }
@@ -113,9 +113,9 @@
     std::size_t members_at_change_ = 0;  // number of members at changed_at_
     Time without_list_since_ = 0;        // 0: the source serves the list
     bool is_unsettled_ = true;
-    std::optional<Source> current_;       // source in use
-    std::vector<Holding> list_holders_;   // advertisements considered as sources
-    std::optional<Source> newer_holder_;  // holder of a newer list, to be called next
+    std::optional<Source> current_;         // source in use
+    std::vector<ListHolder> list_holders_;  // advertisements considered as sources
+    std::optional<Source> newer_holder_;    // holder of a newer list, to be called next
     Time behind_since_ = 0, next_switch_at_ = 0;
     int consecutive_failures_ = 0;
     Time call_at_ = 0;          // 0: none
--- a/src/peers/terms.hpp
+++ b/src/peers/terms.hpp
@@ -10,7 +10,7 @@
 
 namespace pinedoor::peers {
 
-struct PeerTerms {
+struct PeerConfig {
     bool on = false;
     std::string cluster = "pinedoor";  // messages of other clusters are rejected
     net::Endpoint listen;              // for datagrams and streams
@@ -19,7 +19,7 @@
     std::string seeds_file;  // one address per line, re-read periodically; empty: no file
     std::string secret;      // key for message authentication; empty: messages are not authenticated
     std::string control;     // path of the local control socket (`pinedoor peers`); empty: no socket
-    MembershipTerms membership;
+    MembershipConfig membership;
 };
 
 }  // namespace pinedoor::peers
--- a/src/placement/box_guard.hpp
+++ b/src/placement/box_guard.hpp
@@ -19,10 +19,10 @@
 namespace pinedoor::placement {
 
 // The state of one shard at one index server.
-class BoxGuard {
+class ShardGuard {
 public:
-    BoxGuard() = default;
-    BoxGuard(bool owns, Epoch epoch, bool reads = false)
+    ShardGuard() = default;
+    ShardGuard(bool owns, Epoch epoch, bool reads = false)
         : owns_(owns), reads_(reads), has_copy_(owns || reads), epoch_(epoch) {}
 
     struct Verdict {
--- a/src/placement/exact.cpp
+++ b/src/placement/exact.cpp
@@ -131,7 +131,7 @@
     }
     const int fullest = model.add_number(1);
     const auto boxes = fleet.boxes.size();
-    const auto contains = [](const std::vector<BoxId>& list, BoxId box) {
+    const auto contains = [](const std::vector<ServerNumber>& list, ServerNumber box) {
         return std::find(list.begin(), list.end(), box) != list.end();
     };
     std::vector<std::vector<int>> holds, owns;
--- a/src/placement/gatherer.cpp
+++ b/src/placement/gatherer.cpp
@@ -57,7 +57,7 @@
     cold_since_ = std::move(next);
 }
 
-bool Gatherer::may_receive(Time now, const Piece& piece, BoxId box) const {
+bool Gatherer::may_receive(Time now, const Piece& piece, ServerNumber box) const {
     const auto cold = cold_since_.find({piece.shard, box});
     if (cold == cold_since_.end()) return true;
     const double warm = static_cast<double>(now - cold->second) / static_cast<double>(config_.warm_after);
@@ -67,13 +67,13 @@
     return static_cast<double>(spread) / 4'294'967'296.0 < share;
 }
 
-std::vector<BoxId> Gatherer::boxes_now(Time now, const Piece& piece) const {
+std::vector<ServerNumber> Gatherer::boxes_now(Time now, const Piece& piece) const {
     const auto route = routes_.find(piece.route);
     if (!map_ || route == routes_.end()) return piece.boxes;
     const auto& shard = map_->at(piece.first);
     if (shard.id != piece.shard || !shard.holds(piece.last)) return piece.boxes;
     const bool readers = type_of(multigets_.at(route->second.number)).readers;
-    std::vector<BoxId> boxes, warm;
+    std::vector<ServerNumber> boxes, warm;
     for (const auto& each : shard.replicas) {
         if (!readers && each.role != Role::kOwner) continue;
         boxes.push_back(each.box);
@@ -122,13 +122,13 @@
         piece.route = new_route();
         routes.push_back(piece.route);
         routes_[piece.route] = {number, multiget.pieces.size()};
-        multiget.pieces.push_back({piece, TrackedFragment::State::kOpen, {}, PieceFate::kNeverSent, 0, 0});
+        multiget.pieces.push_back({piece, TrackedFragment::State::kOpen, {}, FragmentFate::kNeverSent, 0, 0});
         ++counted_.pieces;
     }
-    actions_.emplace_back(AskLeg{number, multiget.last_round, std::move(pieces)});
+    actions_.emplace_back(SendRound{number, multiget.last_round, std::move(pieces)});
 }
 
-Gatherer::Actions Gatherer::ask(Time now, Number number, GatherAsked asked) {
+Gatherer::Actions Gatherer::ask(Time now, Number number, GatherRequest asked) {
     Multiget multiget;
     multiget.budget_ends = now + config_.op_types[static_cast<std::size_t>(asked.op_type)].latency_budget;
     multiget.asked = std::move(asked);
@@ -146,9 +146,10 @@
     send_history_.push_back({now, pieces.size(), 0});
     if (pieces.empty() || pieces.size() > config_.most_pieces) {
         // Nothing can be sent without a map or beyond the fragment limit.
-        std::vector<std::pair<int, PieceFate>> fates;
-        for (const auto& each : multiget.asked.splits) fates.emplace_back(each.split, PieceFate::kNeverSent);
-        actions_.emplace_back(End{number, LegEnd::Kind::kPushedBack, false, 0, {}, std::move(fates)});
+        std::vector<std::pair<int, FragmentFate>> fates;
+        for (const auto& each : multiget.asked.splits)
+            fates.emplace_back(each.split, FragmentFate::kNeverSent);
+        actions_.emplace_back(End{number, RoundResult::Kind::kPushedBack, false, 0, {}, std::move(fates)});
         return std::exchange(actions_, {});
     }
     auto& held = multigets_[number] = std::move(multiget);
@@ -223,7 +224,7 @@
     if (map_can_locate(held))
         actions_.emplace_back(Wake{now});
     else
-        actions_.emplace_back(WantMap{held.piece.shard, known});
+        actions_.emplace_back(RequestMap{held.piece.shard, known});
     end_if_decided(now, number);
     return std::exchange(actions_, {});
 }
@@ -247,7 +248,7 @@
 
 Gatherer::Actions Gatherer::tick(Time now) { return map_is(now, map_); }
 
-Gatherer::Actions Gatherer::leg_ended(Time now, Number number, int leg, LegEnd result) {
+Gatherer::Actions Gatherer::leg_ended(Time now, Number number, int leg, RoundResult result) {
     const auto at = multigets_.find(number);
     if (at == multigets_.end()) return {};
     auto& multiget = at->second;
@@ -272,8 +273,8 @@
         routes_.erase(route);
     }
     multiget.rounds.erase(open);
-    if (result.kind != LegEnd::Kind::kAnswered) {
-        const bool pushed_back = result.kind == LegEnd::Kind::kPushedBack;
+    if (result.kind != RoundResult::Kind::kAnswered) {
+        const bool pushed_back = result.kind == RoundResult::Kind::kPushedBack;
         (pushed_back ? multiget.any_pushed_back : multiget.any_failed) = true;
         multiget.wait = std::max(multiget.wait, result.wait);
     }
@@ -314,15 +315,15 @@
     actions_.emplace_back(Wake{until});
 }
 
-std::vector<std::pair<int, PieceFate>> Gatherer::fates_of(const Multiget& multiget) const {
-    std::vector<std::set<PieceFate>> seen(multiget.asked.splits.size());
+std::vector<std::pair<int, FragmentFate>> Gatherer::fates_of(const Multiget& multiget) const {
+    std::vector<std::set<FragmentFate>> seen(multiget.asked.splits.size());
     for (const auto& held : multiget.pieces) {
         if (held.state != TrackedFragment::State::kRepeated) seen[held.piece.split].insert(held.fate);
     }
-    std::vector<std::pair<int, PieceFate>> fates;
+    std::vector<std::pair<int, FragmentFate>> fates;
     for (std::size_t s = 0; s < seen.size(); ++s) {
         // With different fates of its fragments, a split may have run.
-        const auto fate = seen[s].size() == 1 ? *seen[s].begin() : PieceFate::kMayHaveRun;
+        const auto fate = seen[s].size() == 1 ? *seen[s].begin() : FragmentFate::kMayHaveRun;
         fates.emplace_back(multiget.asked.splits[s].split, fate);
     }
     return fates;
@@ -330,7 +331,7 @@
 
 void Gatherer::end(Number number, Multiget& multiget) {
     for (const auto& [leg, routes] : multiget.rounds) {
-        actions_.emplace_back(LeaveLeg{number, leg});
+        actions_.emplace_back(AbandonRound{number, leg});
         for (const auto route : routes) routes_.erase(route);
         multiget.any_failed = true;  // its fragments may have run
     }
@@ -360,17 +361,18 @@
         ending.values.emplace_back(multiget.asked.splits[s].split, std::move(*merged));
     }
     ending.fates = fates_of(multiget);
-    const bool none_ran = std::all_of(ending.fates.begin(), ending.fates.end(),
-                                      [](const auto& each) { return each.second == PieceFate::kNeverSent; });
+    const bool none_ran = std::all_of(ending.fates.begin(), ending.fates.end(), [](const auto& each) {
+        return each.second == FragmentFate::kNeverSent;
+    });
     if (!ending.values.empty() && in >= type.least_share - kWeightTolerance) {
-        ending.kind = LegEnd::Kind::kAnswered;
+        ending.kind = RoundResult::Kind::kAnswered;
         ending.whole = in >= type.whole_share - kWeightTolerance;
     } else {
         ending.values.clear();
         // Pushed back if nothing ran, or if readers may run the op type and a round was pushed back.
         const bool pushed_back =
             !multiget.any_failed && (none_ran || (type.readers && multiget.any_pushed_back));
-        ending.kind = pushed_back ? LegEnd::Kind::kPushedBack : LegEnd::Kind::kFailed;
+        ending.kind = pushed_back ? RoundResult::Kind::kPushedBack : RoundResult::Kind::kFailed;
         ending.wait = multiget.wait;
     }
     actions_.emplace_back(std::move(ending));
@@ -385,8 +387,8 @@
     return rounds;
 }
 
-std::vector<std::pair<int, PieceFate>> Gatherer::left(Number number,
-                                                      const std::vector<std::pair<Route, PieceFate>>& fates) {
+std::vector<std::pair<int, FragmentFate>> Gatherer::left(
+    Number number, const std::vector<std::pair<Route, FragmentFate>>& fates) {
     const auto at = multigets_.find(number);
     if (at == multigets_.end()) return {};
     for (const auto& [route, fate] : fates) {
--- a/src/placement/gatherer.hpp
+++ b/src/placement/gatherer.hpp
@@ -12,8 +12,8 @@
 //
 // A split is answered only if all of its fragments are and their values merge. Whole and least shares are
 // computed from the weights that the client gave. Repeated fragments count as further sends; they have a
-// reserved share of that budget (GatherTerms::further_floor and further_ratio), and the decision module has
-// the rest.
+// reserved share of that budget (GathererConfig::further_floor and further_ratio), and the decision module
+// has the rest.
 //
 // An index server that has just received a shard is cold for it, however long its process has been running.
 // The share of reads that it receives rises linearly from cold_from to 1 within warm_after; a hash of the
@@ -37,7 +37,7 @@
 namespace pinedoor::placement {
 
 // Settings of one op type.
-struct GatheredType {
+struct GatheredOpType {
     MergeRule merge = MergeRule::kWhole;
     bool readers = false;    // readers may run its parts, not only the owner
     double least_share = 1;  // share of the weight needed for an answer
@@ -45,8 +45,8 @@
     Time latency_budget = 0;
 };
 
-struct GatherTerms {
-    std::vector<GatheredType> op_types;
+struct GathererConfig {
+    std::vector<GatheredOpType> op_types;
     std::uint64_t splits = 1;  // number of equal ranges that the key space is divided into
     // Budget of repeated fragments within the look-back window: the floor plus the ratio times first sends.
     double further_floor = 0, further_ratio = 0;
@@ -63,55 +63,55 @@
 using Route = int;             // identifies an open fragment; unique on the node
 
 // One requested split of a multiget.
-struct SplitAsked {
+struct RequestedSplit {
     int split = 0;
     double weight = 0;
     std::uint64_t key = 0;  // passed through to the decision module
     Time cost_hint = 0;     // passed through to the decision module
 };
 // A requested multiget.
-struct GatherAsked {
+struct GatherRequest {
     int op_type = 0;
     Time not_after = 0;
-    std::vector<SplitAsked> splits;
+    std::vector<RequestedSplit> splits;
 };
 
 // A fragment: the keys of one split that lie in one shard.
 struct Piece {
     Route route = 0;
-    std::size_t split = 0;  // index into GatherAsked::splits
+    std::size_t split = 0;  // index into GatherRequest::splits
     ShardId shard = 0;
     Epoch epoch = 0;
     Key first = 0, last = 0;  // both inclusive
     double weight = 0;
-    std::vector<BoxId> boxes;  // index servers that may run it
+    std::vector<ServerNumber> boxes;  // index servers that may run it
 };
 
-enum class PieceFate : char { kNeverSent = 'n', kMayHaveRun = 'm', kRan = 'r' };
+enum class FragmentFate : char { kNeverSent = 'n', kMayHaveRun = 'm', kRan = 'r' };
 
 // Result of a round.
-struct LegEnd {
+struct RoundResult {
     enum class Kind : std::uint8_t { kAnswered, kPushedBack, kFailed } kind = Kind::kFailed;
     Time wait = 0;  // kPushedBack: suggested delay before a retry
     std::vector<std::pair<Route, std::string>> values;
-    std::vector<std::pair<Route, PieceFate>> fates;
+    std::vector<std::pair<Route, FragmentFate>> fates;
 };
 
 // Actions that the caller executes.
 namespace gathering {
 // Sends a round of fragments.
-struct AskLeg {
+struct SendRound {
     Number number = 0;
     int leg = 0;
     std::vector<Piece> pieces;
 };
 // Abandons an open round.
-struct LeaveLeg {
+struct AbandonRound {
     Number number = 0;
     int leg = 0;
 };
 // Requests the map, since an index server has reported this epoch of the shard.
-struct WantMap {
+struct RequestMap {
     ShardId shard = 0;
     Epoch epoch = 0;
 };
@@ -122,40 +122,40 @@
 // The result of a multiget.
 struct End {
     Number number = 0;
-    LegEnd::Kind kind = LegEnd::Kind::kFailed;
+    RoundResult::Kind kind = RoundResult::Kind::kFailed;
     bool whole = false;
     Time wait = 0;
     std::vector<std::pair<int, std::string>> values;  // by split
-    std::vector<std::pair<int, PieceFate>> fates;     // by split
+    std::vector<std::pair<int, FragmentFate>> fates;  // by split
 };
-using Action = std::variant<AskLeg, LeaveLeg, WantMap, Wake, End>;
+using Action = std::variant<SendRound, AbandonRound, RequestMap, Wake, End>;
 }  // namespace gathering
 
 // Tracks the open multigets. Each member function that returns actions expects the caller to execute them.
 class Gatherer {
 public:
-    explicit Gatherer(GatherTerms terms) : config_(std::move(terms)) {}
+    explicit Gatherer(GathererConfig terms) : config_(std::move(terms)) {}
     using Actions = std::vector<gathering::Action>;
 
     Actions map_is(Time now, std::shared_ptr<const ShardMap> map);
-    Actions ask(Time now, Number number, GatherAsked asked);
+    Actions ask(Time now, Number number, GatherRequest asked);
     // An index server refused the fragment without running it; `known` is the epoch that it knows.
     Actions refused(Time now, Route route, Epoch known);
-    Actions leg_ended(Time now, Number number, int leg, LegEnd end);
+    Actions leg_ended(Time now, Number number, int leg, RoundResult end);
     Actions tick(Time now);
 
     // Removes a multiget whose client has disconnected. The caller abandons the open rounds and passes the
     // known fates of their fragments; returns the fates of the splits.
     std::vector<int> open_legs(Number number) const;
-    std::vector<std::pair<int, PieceFate>> left(Number number,
-                                                const std::vector<std::pair<Route, PieceFate>>& fates);
+    std::vector<std::pair<int, FragmentFate>> left(Number number,
+                                                   const std::vector<std::pair<Route, FragmentFate>>& fates);
 
     const Piece* piece(Route route) const;  // null if the fragment is not open
     // Returns the fragment to be sent now, with its epoch updated from the current map if the shard still
     // holds its keys: a fragment may be sent later than it was cut.
     const Piece* sending(Route route);
     // Index servers that may run the fragment by the current map, without those that are too cold for it.
-    std::vector<BoxId> boxes_now(Time now, const Piece& piece) const;
+    std::vector<ServerNumber> boxes_now(Time now, const Piece& piece) const;
 
     static std::pair<Key, Key> keys_of(int split, std::uint64_t splits);
 
@@ -180,12 +180,12 @@
             kFailed
         } state = State::kOpen;
         std::string value;
-        PieceFate fate = PieceFate::kNeverSent;
+        FragmentFate fate = FragmentFate::kNeverSent;
         Epoch known = 0;      // kWaiting: epoch known by the server that refused it
         Time refused_at = 0;  // kWaiting
     };
     struct Multiget {
-        GatherAsked asked;
+        GatherRequest asked;
         Time budget_ends = 0;
         std::vector<TrackedFragment> pieces;
         std::map<int, std::vector<Route>> rounds;  // open rounds
@@ -210,23 +210,23 @@
     void ask_again(Time now, Number number, Multiget& multiget);
     Epoch epoch_now(const Piece& piece) const;
     void mark_cold(Time now, const ShardMap& older);
-    bool may_receive(Time now, const Piece& piece, BoxId box) const;
+    bool may_receive(Time now, const Piece& piece, ServerNumber box) const;
     bool map_can_locate(const TrackedFragment& held) const;
     bool within_repeat_budget(Time now, std::size_t pieces);
     SplitWeights weights_of(const Multiget& multiget) const;
     void end_if_decided(Time now, Number number);
     void end(Number number, Multiget& multiget);
-    std::vector<std::pair<int, PieceFate>> fates_of(const Multiget& multiget) const;
-    const GatheredType& type_of(const Multiget& multiget) const {
+    std::vector<std::pair<int, FragmentFate>> fates_of(const Multiget& multiget) const;
+    const GatheredOpType& type_of(const Multiget& multiget) const {
         return config_.op_types[static_cast<std::size_t>(multiget.asked.op_type)];
     }
 
-    const GatherTerms config_;
+    const GathererConfig config_;
     std::shared_ptr<const ShardMap> map_;
     std::map<Number, Multiget> multigets_;
     std::map<Route, Place> routes_;
     Route last_route_ = 0;
-    std::map<std::pair<ShardId, BoxId>, Time> cold_since_;  // cold replicas that are in the map
+    std::map<std::pair<ShardId, ServerNumber>, Time> cold_since_;  // cold replicas that are in the map
     // Number of fragments sent for the first time and repeatedly at one time.
     struct Sent {
         Time at = 0;
--- a/src/placement/heat.cpp
+++ b/src/placement/heat.cpp
@@ -121,7 +121,7 @@
     return {};
 }
 
-HeatBook::HeatBook(HeatTerms terms, std::uint64_t seed)
+LoadTracker::LoadTracker(LoadTrackerConfig terms, std::uint64_t seed)
     : config_(terms), random_(static_cast<std::mt19937::result_type>(seed)), keys_(kHeavyKeys) {
     if (!(terms.split_above > 0) || terms.merge_below < 0 || terms.merge_below > 0.6 * terms.split_above)
         throw std::invalid_argument("merge_below must be at most 0.6 of split_above");
@@ -129,7 +129,7 @@
         throw std::invalid_argument("look must be positive, looks at least 1 and sample at least 2");
 }
 
-void HeatBook::asked(const Shard& shard, Key key, Time now) {
+void LoadTracker::asked(const Shard& shard, Key key, Time now) {
     keys_.add(key);
     auto [at, is_new] = shards_.try_emplace(shard.id);
     auto& heat = at->second;
@@ -146,7 +146,7 @@
 }
 
 // Splits at the median of the sampled keys, not of the range, so that each child receives half of the load.
-Proposal HeatBook::propose_split(const Shard& shard, const ShardLoad& heat) const {
+Proposal LoadTracker::propose_split(const Shard& shard, const ShardLoad& heat) const {
     auto keys = heat.sample;
     std::sort(keys.begin(), keys.end());
     const Key middle = keys[keys.size() / 2];
@@ -159,7 +159,7 @@
     return {Proposal::Kind::kSplit, shard.id, 0, at, heat.load};
 }
 
-std::vector<Proposal> HeatBook::look(const ShardMap& map, Time now) {
+std::vector<Proposal> LoadTracker::look(const ShardMap& map, Time now) {
     if (!looked_) {
         looked_ = true;
         last_look_ = now;
@@ -216,12 +216,12 @@
     return found;
 }
 
-double HeatBook::load(ShardId shard) const {
+double LoadTracker::load(ShardId shard) const {
     const auto at = shards_.find(shard);
     return at == shards_.end() ? 0 : at->second.load;
 }
 
-std::vector<std::pair<ShardId, double>> HeatBook::hottest(std::size_t most) const {
+std::vector<std::pair<ShardId, double>> LoadTracker::hottest(std::size_t most) const {
     std::vector<std::pair<ShardId, double>> all;
     for (const auto& [id, heat] : shards_) all.emplace_back(id, heat.load);
     std::sort(all.begin(), all.end(), [](const auto& a, const auto& b) {
--- a/src/placement/heat.hpp
+++ b/src/placement/heat.hpp
@@ -61,7 +61,7 @@
     const std::size_t depth_;
 };
 
-struct HeatTerms {
+struct LoadTrackerConfig {
     double split_above = 1'000;  // load of a shard, in parts per second
     double merge_below = 400;    // joint load of two adjacent shards; at most 0.6 of split_above
     Time look = 10'000;          // evaluation interval
@@ -84,9 +84,9 @@
 // Counts the parts of each shard and proposes splits and merges at each evaluation. To avoid oscillation at a
 // threshold, a threshold must be crossed in several consecutive evaluations, new shards are exempt for a rest
 // period, and the merge threshold lies well below the split threshold.
-class HeatBook {
+class LoadTracker {
 public:
-    HeatBook(HeatTerms terms, std::uint64_t seed);  // throws std::invalid_argument
+    LoadTracker(LoadTrackerConfig terms, std::uint64_t seed);  // throws std::invalid_argument
 
     void asked(const ShardMap& map, Key key, Time now) { asked(map.at(key), key, now); }
     void asked(const Shard& shard, Key key, Time now);
@@ -110,7 +110,7 @@
     };
     Proposal propose_split(const Shard& shard, const ShardLoad& heat) const;
 
-    const HeatTerms config_;
+    const LoadTrackerConfig config_;
     std::mt19937 random_;
     HeavyKeys keys_;
     std::unordered_map<ShardId, ShardLoad> shards_;
--- a/src/placement/map_follower.cpp
+++ b/src/placement/map_follower.cpp
@@ -5,7 +5,7 @@
 
 namespace pinedoor::placement {
 
-MapFollower::Heard MapFollower::hear(Time now, MapNews news) {
+MapFollower::Heard MapFollower::hear(Time now, MapUpdate news) {
     return std::visit([&](auto&& what) { return take(now, std::forward<decltype(what)>(what)); },
                       std::move(news));
 }
--- a/src/placement/map_follower.hpp
+++ b/src/placement/map_follower.hpp
@@ -30,7 +30,7 @@
 
 namespace pinedoor::placement {
 
-struct FollowTerms {
+struct MapFollowerConfig {
     Time max_gap_wait = 1'000;       // wait for missing changes before the whole map is requested
     Time min_backoff = 1'000;        // first delay between two requests for the whole map; doubles each time
     Time max_backoff = 100'000;      // limit of that delay
@@ -40,14 +40,14 @@
 // Applies map updates and decides when the whole map must be requested.
 class MapFollower {
 public:
-    explicit MapFollower(FollowTerms terms) : config_(terms) {}
+    explicit MapFollower(MapFollowerConfig terms) : config_(terms) {}
 
     enum class Did : std::uint8_t { kTaken, kRepeated, kOlder, kAside, kRefused };
     struct Heard {
         Did did = Did::kRefused;
         std::string why;  // kRefused, kOlder, kAside: message for the log
     };
-    Heard hear(Time now, MapNews news);
+    Heard hear(Time now, MapUpdate news);
     void lost(Time now);  // the stream of updates has broken, so the whole map must be requested
     // An index server has refused a part of this shard with this epoch. If it is newer than the map's, the
     // map is outdated and the whole map is requested.
@@ -78,7 +78,7 @@
     void schedule_request(Time at);
     void reset_backoff();  // after a valid update
 
-    const FollowTerms config_;
+    const MapFollowerConfig config_;
     std::shared_ptr<const ShardMap> current_;
     std::map<Version, MapChanges> aside_;  // by MapChanges::after
     Time request_at_ = kNever;
--- a/src/placement/map_text.cpp
+++ b/src/placement/map_text.cpp
@@ -38,7 +38,7 @@
     if (!found) throw InvalidMap{std::string(name) + " is no key"};
     return *found;
 }
-BoxId require_server(const parse::Json& json, BoxNames& names) {
+ServerNumber require_server(const parse::Json& json, ServerNames& names) {
     const auto& name = require_string(json, "box");
     const auto number = name.empty() ? std::nullopt : names.number(name);
     if (!number) throw InvalidMap{"a box without a name, or one too many"};
@@ -50,7 +50,7 @@
     return *found;
 }
 
-Shard read_shard(const parse::Json& json, BoxNames& names) {
+Shard read_shard(const parse::Json& json, ServerNames& names) {
     Shard shard;
     shard.id = require_integer(json, "id");
     shard.first = require_key(json, "first");
@@ -65,7 +65,7 @@
     return shard;
 }
 
-Step read_step(const parse::Json& json, BoxNames& names) {
+Step read_step(const parse::Json& json, ServerNames& names) {
     const auto& kind = require_string(json, "step");
     if (kind == "split")
         return Split{require_integer(json, "shard"), require_key(json, "at"), require_integer(json, "lower"),
@@ -85,10 +85,10 @@
     return out;
 }
 
-std::string print_step(const Step& step, const BoxNames& names) {
+std::string print_step(const Step& step, const ServerNames& names) {
     struct Print {
-        const BoxNames& names;
-        std::string of_box(const char* kind, ShardId shard, BoxId box) const {
+        const ServerNames& names;
+        std::string of_box(const char* kind, ShardId shard, ServerNumber box) const {
             return std::string("{\"step\":\"") + kind + "\",\"shard\":" + std::to_string(shard) +
                    ",\"box\":" + quoted(names.name(box)) + '}';
         }
@@ -110,21 +110,21 @@
 
 }  // namespace
 
-std::optional<BoxId> BoxNames::number(const std::string& name) {
+std::optional<ServerNumber> ServerNames::number(const std::string& name) {
     if (const auto known = find(name)) return known;
     if (names_.size() > max_names_) return std::nullopt;
-    const auto number = static_cast<BoxId>(names_.size());
+    const auto number = static_cast<ServerNumber>(names_.size());
     names_.push_back(name);
     numbers_.emplace(name, number);
     return number;
 }
 
-std::optional<BoxId> BoxNames::find(const std::string& name) const {
+std::optional<ServerNumber> ServerNames::find(const std::string& name) const {
     const auto at = numbers_.find(name);
     return at == numbers_.end() ? std::nullopt : std::optional(at->second);
 }
 
-const std::string& BoxNames::name(BoxId box) const { return names_[box < names_.size() ? box : 0]; }
+const std::string& ServerNames::name(ServerNumber box) const { return names_[box < names_.size() ? box : 0]; }
 
 std::string print_key(Key key) {
     char digits[20];
@@ -139,7 +139,7 @@
     return key;
 }
 
-MapNews read_map_news(std::string_view line, BoxNames& names) {
+MapUpdate read_map_news(std::string_view line, ServerNames& names) {
     try {
         const auto json = parse::parse_json(line, {kMaxMapBytes, 8});
         const auto version = require_integer(json, "version");
@@ -152,14 +152,14 @@
         MapChanges changes{version, require_integer(json, "after"), {}};
         for (const auto& each : require_list(json, "steps")) changes.steps.push_back(read_step(each, names));
         return changes;
-    } catch (const parse::BadJson& error) {
+    } catch (const parse::JsonError& error) {
         return Unreadable{error.what()};
     } catch (const InvalidMap& bad) {
         return Unreadable{bad.why};
     }
 }
 
-std::string print_map(const ShardMap& map, const BoxNames& names) {
+std::string print_map(const ShardMap& map, const ServerNames& names) {
     std::string out = "{\"version\":" + std::to_string(map.version()) + ",\"shards\":[";
     for (const auto& shard : map.shards()) {
         if (out.back() != '[') out += ',';
@@ -176,7 +176,7 @@
     return out + "]}";
 }
 
-std::string print_changes(Version after, const std::vector<Step>& steps, const BoxNames& names) {
+std::string print_changes(Version after, const std::vector<Step>& steps, const ServerNames& names) {
     std::string out = "{\"version\":" + std::to_string(after + steps.size()) +
                       ",\"after\":" + std::to_string(after) + ",\"steps\":[";
     for (const auto& step : steps) {
--- a/src/placement/map_text.hpp
+++ b/src/placement/map_text.hpp
@@ -22,16 +22,16 @@
 
 // Assigns a number to each index server name, from 1 on, for the lifetime of the process. The number of names
 // is limited; number() returns nothing beyond the limit.
-class BoxNames {
+class ServerNames {
 public:
-    explicit BoxNames(std::size_t most = 100'000) : max_names_(most) {}
-    std::optional<BoxId> number(const std::string& name);
-    std::optional<BoxId> find(const std::string& name) const;
-    const std::string& name(BoxId box) const;  // empty if the number is unknown
+    explicit ServerNames(std::size_t most = 100'000) : max_names_(most) {}
+    std::optional<ServerNumber> number(const std::string& name);
+    std::optional<ServerNumber> find(const std::string& name) const;
+    const std::string& name(ServerNumber box) const;  // empty if the number is unknown
 
 private:
     std::size_t max_names_;
-    std::map<std::string, BoxId> numbers_;
+    std::map<std::string, ServerNumber> numbers_;
     std::vector<std::string> names_{""};  // number 0 is not assigned
 };
 
@@ -50,11 +50,11 @@
 struct Unreadable {
     std::string why;
 };
-using MapNews = std::variant<WholeMap, MapChanges, Unreadable>;
+using MapUpdate = std::variant<WholeMap, MapChanges, Unreadable>;
 
-MapNews read_map_news(std::string_view line, BoxNames& names);
-std::string print_map(const ShardMap& map, const BoxNames& names);
-std::string print_changes(Version after, const std::vector<Step>& steps, const BoxNames& names);
+MapUpdate read_map_news(std::string_view line, ServerNames& names);
+std::string print_map(const ShardMap& map, const ServerNames& names);
+std::string print_changes(Version after, const std::vector<Step>& steps, const ServerNames& names);
 
 std::string print_key(Key key);                      // hexadecimal, without leading zeros
 std::optional<Key> read_key(std::string_view text);  // up to 16 hexadecimal digits
--- a/src/placement/move_desk.hpp
+++ b/src/placement/move_desk.hpp
@@ -16,7 +16,7 @@
 
 namespace pinedoor::placement {
 
-struct DeskTerms {
+struct MoveQueueConfig {
     std::size_t at_once = 4;       // limit on running moves
     std::size_t at_once_box = 1;   // limit on running moves from one index server, and to one
     std::size_t at_once_zone = 4;  // limit on running moves to one zone
@@ -26,23 +26,23 @@
 };
 
 // A requested move.
-struct WantedMove {
+struct QueuedMove {
     MoveId id = 0;
     ShardId shard = 0;
-    BoxId from = 0, to = 0;
+    ServerNumber from = 0, to = 0;
     std::size_t wave = 0;
     bool begun = false;  // began before a restart of the process; continues regardless of the limits
     int zone = 0;        // of `to`
 };
 
 // Schedules moves within the configured limits.
-class MoveDesk {
+class MoveQueue {
 public:
-    explicit MoveDesk(DeskTerms terms) : config_(terms) {}  // expects valid settings
+    explicit MoveQueue(MoveQueueConfig terms) : config_(terms) {}  // expects valid settings
     // Validates the settings. Returns an error message, empty if they are valid.
-    static std::string fault_of(const DeskTerms& terms);
+    static std::string fault_of(const MoveQueueConfig& terms);
 
-    void add(const WantedMove& wanted);
+    void add(const QueuedMove& wanted);
     // Starts all moves that may run now, and returns their ids.
     std::vector<MoveId> begin();
     enum class End : std::uint8_t { kDone, kUndone, kAborted };
@@ -62,11 +62,11 @@
     std::size_t waiting() const { return waiting_.size(); }
 
 private:
-    bool within_limits(const WantedMove& wanted) const;
+    bool within_limits(const QueuedMove& wanted) const;
 
-    const DeskTerms config_;
-    std::vector<WantedMove> waiting_;  // begun moves first, then by wave, then in order of add()
-    std::map<MoveId, WantedMove> running_;
+    const MoveQueueConfig config_;
+    std::vector<QueuedMove> waiting_;  // begun moves first, then by wave, then in order of add()
+    std::map<MoveId, QueuedMove> running_;
     bool paused_ = false;
     bool paused_by_hand_ = false;
     bool stopped_ = false;
--- a/src/placement/mover.cpp
+++ b/src/placement/mover.cpp
@@ -59,27 +59,27 @@
     if (!step_saved_ || ended()) return;
     if (paused_ && move_.step <= MoveStep::kCatchUp) return;
     switch (move_.step) {
-        case MoveStep::kPrepare: actions_.emplace_back(AskCopy{}); break;
-        case MoveStep::kCatchUp: actions_.emplace_back(AskMissing{}); break;
+        case MoveStep::kPrepare: actions_.emplace_back(RequestCopy{}); break;
+        case MoveStep::kCatchUp: actions_.emplace_back(RequestLag{}); break;
         case MoveStep::kFence:
             if (fence_requested_at_ < 0) fence_requested_at_ = now_;
             if (fenced_)
-                actions_.emplace_back(AskReach{fence_position_});
+                actions_.emplace_back(RequestCatchUp{fence_position_});
             else
-                actions_.emplace_back(AskFence{});
+                actions_.emplace_back(RequestFence{});
             break;
         case MoveStep::kSwitch:
             // Both are requested at once: activating `to` before publishing the map would lengthen the time
             // during which front nodes are refused. Either order is safe, since only `to` runs parts of the
             // new epoch.
             if (!published_) actions_.emplace_back(Publish{});
-            actions_.emplace_back(AskOwn{});
+            actions_.emplace_back(RequestOwn{});
             break;
-        case MoveStep::kDrain: actions_.emplace_back(AskDrained{}); break;
-        case MoveStep::kRetire: actions_.emplace_back(AskDrop{move_.from}); break;
+        case MoveStep::kDrain: actions_.emplace_back(RequestDrained{}); break;
+        case MoveStep::kRetire: actions_.emplace_back(RequestDrop{move_.from}); break;
         case MoveStep::kUndo:
-            if (!unfenced_) actions_.emplace_back(AskUnfence{});
-            if (!dropped_) actions_.emplace_back(AskDrop{move_.to});
+            if (!unfenced_) actions_.emplace_back(RequestUnfence{});
+            if (!dropped_) actions_.emplace_back(RequestDrop{move_.to});
             break;
         case MoveStep::kDone:
         case MoveStep::kUndone: return;
@@ -102,7 +102,7 @@
     if (move_.step == MoveStep::kPrepare && step_saved_) enter_step(MoveStep::kCatchUp);
 }
 
-void Mover::on(const Missing& missing) {
+void Mover::on(const CopyLag& missing) {
     if (move_.step != MoveStep::kCatchUp || !step_saved_ || paused_) return;
     if (missing.much <= config_.max_lag_at_fence) enter_step(MoveStep::kFence);
 }
@@ -114,7 +114,7 @@
     send_requests();
 }
 
-void Mover::on(const Reached& reached) {
+void Mover::on(const CaughtUp& reached) {
     if (move_.step != MoveStep::kFence || !step_saved_ || !fenced_) return;
     if (reached.upto < fence_position_) return;  // answers an earlier request
     enter_step(MoveStep::kSwitch);
@@ -146,7 +146,7 @@
     if (dropped_) enter_step(MoveStep::kUndone);
 }
 
-void Mover::on(const AbortAsked&) {
+void Mover::on(const AbortRequested&) {
     if (move_.step == MoveStep::kUndo || ended()) return;
     if (!can_undo()) {
         actions_.emplace_back(CannotAbort{});
--- a/src/placement/mover.hpp
+++ b/src/placement/mover.hpp
@@ -76,7 +76,7 @@
 struct Move {
     MoveId id = 0;
     ShardId shard = 0;
-    BoxId from = 0, to = 0;
+    ServerNumber from = 0, to = 0;
     Epoch epoch = 0;  // the shard's epoch before the move
     MoveStep step = MoveStep::kPrepare;
     MoveKind kind = MoveKind::kOwner;
@@ -84,7 +84,7 @@
     bool operator==(const Move&) const = default;
 };
 
-struct MoveTerms {
+struct MoverConfig {
     Position max_lag_at_fence = 100;      // fences once `to` lacks at most this many positions
     Time request_retry_interval = 2'000;  // repeats unanswered requests and saves
     Time max_fence_duration = 20'000;  // no server runs the shard during the fence; then the move is undone
@@ -101,7 +101,7 @@
 // `to` holds a copy of the shard.
 struct Copied {};
 // Number of positions that `from` has and `to` lacks.
-struct Missing {
+struct CopyLag {
     Position much = 0;
 };
 // `from` runs no more parts of the shard; `upto` is the last position that it ran.
@@ -109,7 +109,7 @@
     Position upto = 0;
 };
 // `to` has everything up to and including `upto`.
-struct Reached {
+struct CaughtUp {
     Position upto = 0;
 };
 // The map with the new owner is published.
@@ -120,19 +120,19 @@
 struct Drained {};
 // `box`, which is `from` or `to`, dropped its replica.
 struct Dropped {
-    BoxId box = 0;
+    ServerNumber box = 0;
 };
 // `from` runs parts again.
 struct Unfenced {};
 // The operator requested an abort.
-struct AbortAsked {};
+struct AbortRequested {};
 // Sends no requests of the steps before the fence until Resume; later steps continue, so that no fence is
 // left up.
 struct Pause {};
 struct Resume {};
 struct Tick {};
-using Event = std::variant<Kept, Copied, Missing, Fenced, Reached, Published, Owns, Drained, Dropped,
-                           Unfenced, AbortAsked, Pause, Resume, Tick>;
+using Event = std::variant<Kept, Copied, CopyLag, Fenced, CaughtUp, Published, Owns, Drained, Dropped,
+                           Unfenced, AbortRequested, Pause, Resume, Tick>;
 
 // Actions.
 
@@ -140,22 +140,22 @@
 struct Keep {
     Move move;
 };
-// Requests answered by Copied, Missing, Fenced and Reached.
-struct AskCopy {};
-struct AskMissing {};
-struct AskFence {};
-struct AskReach {
+// Requests answered by Copied, CopyLag, Fenced and CaughtUp.
+struct RequestCopy {};
+struct RequestLag {};
+struct RequestFence {};
+struct RequestCatchUp {
     Position upto = 0;
 };
 // Publishes the map with the new owner; answered by Published.
 struct Publish {};
 // Requests answered by Owns, Drained, Dropped and Unfenced.
-struct AskOwn {};
-struct AskDrained {};
-struct AskDrop {
-    BoxId box = 0;
+struct RequestOwn {};
+struct RequestDrained {};
+struct RequestDrop {
+    ServerNumber box = 0;
 };
-struct AskUnfence {};
+struct RequestUnfence {};
 // Schedules a Tick at this time.
 struct Wake {
     Time at = 0;
@@ -166,13 +166,13 @@
 };
 // An abort was requested after the switch; only another move can reverse this one.
 struct CannotAbort {};
-using Action = std::variant<Keep, AskCopy, AskMissing, AskFence, AskReach, Publish, AskOwn, AskDrained,
-                            AskDrop, AskUnfence, Wake, Ended, CannotAbort>;
+using Action = std::variant<Keep, RequestCopy, RequestLag, RequestFence, RequestCatchUp, Publish, RequestOwn,
+                            RequestDrained, RequestDrop, RequestUnfence, Wake, Ended, CannotAbort>;
 }  // namespace moving
 
 class Mover {
 public:
-    Mover(Move move, MoveTerms terms) : config_(terms), move_(move) {}
+    Mover(Move move, MoverConfig terms) : config_(terms), move_(move) {}
 
     // Starts a new move, or resumes a saved one from its step.
     std::vector<moving::Action> start(Time now);
@@ -193,20 +193,20 @@
     void send_requests();
     void on(const moving::Kept& kept);
     void on(const moving::Copied&);
-    void on(const moving::Missing& missing);
+    void on(const moving::CopyLag& missing);
     void on(const moving::Fenced& fenced);
-    void on(const moving::Reached& reached);
+    void on(const moving::CaughtUp& reached);
     void on(const moving::Published&);
     void on(const moving::Owns&);
     void on(const moving::Drained&);
     void on(const moving::Dropped& dropped);
     void on(const moving::Unfenced&);
-    void on(const moving::AbortAsked&);
+    void on(const moving::AbortRequested&);
     void on(const moving::Pause&);
     void on(const moving::Resume&);
     void on(const moving::Tick&);
 
-    MoveTerms config_;
+    MoverConfig config_;
     Move move_;
     Time now_ = 0;
     bool step_saved_ = false;  // the current step is saved durably
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -18,9 +18,9 @@
 constexpr double kMinGain = 1e-9;
 
 std::string shard_name(ShardId id) { return "shard " + std::to_string(id); }
-std::string box_name(BoxId id) { return "box " + std::to_string(id); }
+std::string box_name(ServerNumber id) { return "box " + std::to_string(id); }
 
-bool contains(const std::vector<BoxId>& boxes, BoxId box) {
+bool contains(const std::vector<ServerNumber>& boxes, ServerNumber box) {
     return std::find(boxes.begin(), boxes.end(), box) != boxes.end();
 }
 
@@ -30,13 +30,13 @@
     explicit ServerIndex(const Fleet& fleet) {
         for (std::size_t i = 0; i < fleet.boxes.size(); ++i) at_[fleet.boxes[i].id] = i;
     }
-    std::size_t operator[](BoxId id) const {
+    std::size_t operator[](ServerNumber id) const {
         const auto at = at_.find(id);
         return at == at_.end() ? kNotFound : at->second;
     }
 
 private:
-    std::unordered_map<BoxId, std::size_t> at_;
+    std::unordered_map<ServerNumber, std::size_t> at_;
 };
 
 // Number of zones that replicas can be spread over: zones with a server that is not draining.
@@ -63,7 +63,7 @@
     const std::vector<Replica>& of(std::size_t shard) const { return placed_[shard]; }
     double relative_load(std::size_t box) const { return load_[box] / fleet_.boxes[box].capacity; }
     const std::set<std::size_t>& shards_on(std::size_t box) const { return shards_on_[box]; }
-    std::size_t box(BoxId id) const { return index_[id]; }
+    std::size_t box(ServerNumber id) const { return index_[id]; }
 
     void set(std::size_t shard, std::vector<Replica> replicas) {
         count(shard, -1);
@@ -160,7 +160,7 @@
         const auto& need = fleet_.shards[shard];
         std::vector<Replica> kept;
         const auto wanted = need.replicas;
-        const auto keep = [&](BoxId box) {
+        const auto keep = [&](ServerNumber box) {
             if (kept.size() >= wanted || is_on(kept, box)) return;
             const auto at = draft_.box(box);
             if (fleet_.boxes[at].draining || contains(need.never_on, box)) return;
@@ -523,7 +523,7 @@
 
 std::string fault_of(const Fleet& fleet) {
     const ServerIndex index(fleet);
-    std::set<BoxId> boxes;
+    std::set<ServerNumber> boxes;
     bool any = false;
     for (const auto& box : fleet.boxes) {
         if (!boxes.insert(box.id).second) return box_name(box.id) + " is there twice";
@@ -538,7 +538,7 @@
         if (!(need.reads >= 0) || !(need.writes >= 0) || !(need.size >= 0))
             return name + " has a load or a size below 0";
         if (need.replicas == 0) return name + " is to have no replica";
-        std::set<BoxId> on_boxes;
+        std::set<ServerNumber> on_boxes;
         int owners = 0;
         for (const auto& each : need.now) {
             if (index[each.box] == kNotFound)
@@ -568,7 +568,7 @@
             return name + " has " + std::to_string(placed[s].size()) + " replicas of " +
                    std::to_string(need.replicas);
         std::map<int, std::size_t> in_zone;
-        std::set<BoxId> boxes;
+        std::set<ServerNumber> boxes;
         int owners = 0;
         for (const auto& each : placed[s]) {
             const auto& box = fleet.boxes[index[each.box]];
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -22,7 +22,7 @@
 
 // An index server.
 struct Box {
-    BoxId id = 0;
+    ServerNumber id = 0;
     int zone = 0;
     double capacity = 1;    // load limit, in the units of Need::reads and Need::writes
     double space = 1;       // storage, in the units of Need::size
@@ -35,13 +35,13 @@
     double reads = 0;   // per second, spread evenly over the replicas
     double writes = 0;  // per second, all at the owner
     double size = 0;
-    std::size_t replicas = 1;     // number of replicas in the target
-    std::vector<Replica> now;     // current replicas, exactly one of them the owner
-    std::vector<BoxId> pinned;    // servers that must hold a replica
-    std::vector<BoxId> never_on;  // servers that must not hold a replica
+    std::size_t replicas = 1;            // number of replicas in the target
+    std::vector<Replica> now;            // current replicas, exactly one of them the owner
+    std::vector<ServerNumber> pinned;    // servers that must hold a replica
+    std::vector<ServerNumber> never_on;  // servers that must not hold a replica
 };
 
-struct PlanTerms {
+struct PlanConfig {
     double fill = 0.9;                 // usable share of a server's space, at any moment
     double near_enough = 0.05;         // balancing stops at this excess over the mean load, as a share of it
     std::size_t most_copies = 10'000;  // limit on copies made for balancing, per plan
@@ -54,15 +54,15 @@
 struct Fleet {
     std::vector<Box> boxes;
     std::vector<Need> shards;
-    PlanTerms terms;
+    PlanConfig terms;
 };
 
 // One step of a plan. A copy adds a reader; a pass makes the reader `to` the owner and the owner a reader.
 struct PlanStep {
     enum class Kind : std::uint8_t { kCopy, kPass, kRemove } kind = Kind::kCopy;
     ShardId shard = 0;
-    BoxId from = 0;  // kCopy: source; kPass: current owner; kRemove: server whose replica is removed
-    BoxId to = 0;    // kCopy, kPass: destination
+    ServerNumber from = 0;  // kCopy: source; kPass: current owner; kRemove: server whose replica is removed
+    ServerNumber to = 0;    // kCopy, kPass: destination
     bool operator==(const PlanStep&) const = default;
 };
 std::string print(const PlanStep& step);
--- a/src/placement/shard_map.cpp
+++ b/src/placement/shard_map.cpp
@@ -11,7 +11,7 @@
 std::string name(ShardId id) { return "shard " + std::to_string(id); }
 
 std::string fault_of_replicas(const Shard& shard) {
-    std::set<BoxId> boxes;
+    std::set<ServerNumber> boxes;
     int owners = 0;
     for (const auto& each : shard.replicas) {
         owners += each.role == Role::kOwner ? 1 : 0;
@@ -25,11 +25,11 @@
 
 }  // namespace
 
-bool is_on(const std::vector<Replica>& replicas, BoxId box) {
+bool is_on(const std::vector<Replica>& replicas, ServerNumber box) {
     return std::any_of(replicas.begin(), replicas.end(), [box](const Replica& r) { return r.box == box; });
 }
 
-BoxId owner_of(const std::vector<Replica>& replicas) {
+ServerNumber owner_of(const std::vector<Replica>& replicas) {
     for (const auto& each : replicas) {
         if (each.role == Role::kOwner) return each.box;
     }
@@ -98,7 +98,7 @@
     return map;
 }
 
-ShardMap ShardMap::even(std::size_t count, const std::vector<BoxId>& boxes, std::size_t replicas) {
+ShardMap ShardMap::even(std::size_t count, const std::vector<ServerNumber>& boxes, std::size_t replicas) {
     std::vector<Shard> shards;
     const Key step = std::numeric_limits<Key>::max() / count;
     for (std::size_t i = 0; i < count; ++i) {
@@ -234,7 +234,7 @@
     if (was == nullptr) return Refused{"there is no " + name(id)};
     auto next = *was;
     ++next.epoch;
-    const auto replica = [&next](BoxId box) {
+    const auto replica = [&next](ServerNumber box) {
         return std::find_if(next.replicas.begin(), next.replicas.end(),
                             [box](const Replica& r) { return r.box == box; });
     };
