--- a/src/placement/shard_map.hpp
+++ b/src/placement/shard_map.hpp
@@ -19,19 +19,19 @@
 
 using Key = std::uint64_t;
 using ShardId = std::uint64_t;
-using BoxId = std::uint32_t;
+using ServerNumber = std::uint32_t;
 using Epoch = std::uint64_t;    // of a shard; increases by one with each step that changes it
 using Version = std::uint64_t;  // of the whole map; increases by one with each step
 
 // The owner runs all parts; a reader runs only those that may run more than once.
 enum class Role : std::uint8_t { kOwner, kReader };
 struct Replica {
-    BoxId box = 0;
+    ServerNumber box = 0;
     Role role = Role::kReader;
     auto operator<=>(const Replica&) const = default;
 };
-bool is_on(const std::vector<Replica>& replicas, BoxId box);
-BoxId owner_of(const std::vector<Replica>& replicas);  // 0 if there is no owner
+bool is_on(const std::vector<Replica>& replicas, ServerNumber box);
+ServerNumber owner_of(const std::vector<Replica>& replicas);  // 0 if there is no owner
 
 struct Shard {
     ShardId id = 0;
@@ -39,7 +39,7 @@
     Epoch epoch = 1;
     std::vector<Replica> replicas;  // exactly one of them the owner
 
-    BoxId owner() const { return owner_of(replicas); }
+    ServerNumber owner() const { return owner_of(replicas); }
     bool holds(Key key) const { return first <= key && key <= last; }
     bool operator==(const Shard&) const = default;
 };
@@ -59,16 +59,16 @@
 };
 struct AddReader {
     ShardId shard = 0;
-    BoxId box = 0;
+    ServerNumber box = 0;
 };
 struct RemoveReader {
     ShardId shard = 0;
-    BoxId box = 0;
+    ServerNumber box = 0;
 };
 // Makes a reader the owner; the old owner becomes a reader.
 struct PassOwnership {
     ShardId shard = 0;
-    BoxId to = 0;
+    ServerNumber to = 0;
 };
 using Step = std::variant<Split, Merge, AddReader, RemoveReader, PassOwnership>;
 std::string print(const Step& step);
@@ -79,7 +79,7 @@
     static std::string fault_of(std::vector<Shard> shards);
     // Throws std::invalid_argument with the message of fault_of().
     static ShardMap of(std::vector<Shard> shards, Version version = 1);
-    static ShardMap even(std::size_t shards, const std::vector<BoxId>& boxes, std::size_t replicas);
+    static ShardMap even(std::size_t shards, const std::vector<ServerNumber>& boxes, std::size_t replicas);
 
     const Shard& at(Key key) const;
     const Shard* find(ShardId id) const;  // null if there is none; linear search, not for the hot path
--- a/src/policy/list_follower.cpp
+++ b/src/policy/list_follower.cpp
@@ -12,9 +12,9 @@
 
 }  // namespace
 
-std::vector<ListEntry> KnownList::apply(const ListNews& update) {
+std::vector<ListEntry> KnownList::apply(const ListUpdate& update) {
     std::vector<ListEntry> changed;
-    if (update.kind != ListKind::kChanges) {
+    if (update.kind != ListUpdateKind::kChanges) {
         for (auto& [id, entry] : listed_) {
             entry.state = ServerState::kGone;
             changed.push_back(entry);
@@ -34,7 +34,7 @@
     return static_cast<int>(std::count_if(listed_.begin(), listed_.end(), is_ready));
 }
 
-ListFollower::ListFollower(Inboxes& inboxes, ListTerms config, int front_nodes)
+ListFollower::ListFollower(Inboxes& inboxes, ServerListConfig config, int front_nodes)
     : inboxes_(inboxes), config_(config),
       fleet_span_(config.own_agent ? max_pause() : config.must_ask_in * front_nodes / kCallsServed),
       lease_(config) {}
@@ -56,14 +56,15 @@
 void ListFollower::call() {
     const bool may_overlap = holds_list() && !config_.own_agent;
     called_at_ = inboxes_.now;
-    inboxes_.actions.emplace_back(WatchList{lease_.max_silence(), may_overlap ? kMaxOtherCalls : 0});
+    inboxes_.actions.emplace_back(WatchServerList{lease_.max_silence(), may_overlap ? kMaxOtherCalls : 0});
     const Time retry_after = config_.must_ask_in / 4 + inboxes_.random_up_to(config_.must_ask_in / 8);
     call_at_ = inboxes_.now + (may_overlap ? lease_.overdue_timeout(inboxes_.now) : retry_after);
 }
 
-void ListFollower::handle(const ListNews& update) {
-    if (update.kind == ListKind::kFailed || update.kind == ListKind::kMoved) return on_call_ended(update);
-    watching_ |= update.kind != ListKind::kSaved;
+void ListFollower::handle(const ListUpdate& update) {
+    if (update.kind == ListUpdateKind::kFailed || update.kind == ListUpdateKind::kMoved)
+        return on_call_ended(update);
+    watching_ |= update.kind != ListUpdateKind::kSaved;
     lease_.on_contact(inboxes_.now);
     saved_age_ = watching_ ? 0 : update.age;
     call_within_ = std::max(config_.must_ask_in / 4, watching_ ? 0 : config_.must_ask_in - update.age);
@@ -71,7 +72,7 @@
     inboxes_.overload.push_back(ReadyServers{listed_.count_ready()});
 }
 
-void ListFollower::on_call_ended(const ListNews& update) {
+void ListFollower::on_call_ended(const ListUpdate& update) {
     const bool was_watching = std::exchange(watching_, false);
     if (update.unheard)
         lease_.on_contact(inboxes_.now - *update.unheard);
@@ -81,7 +82,7 @@
         lease_.on_incomplete_answer(inboxes_.now);
     else
         lease_.on_refusal();
-    if (update.kind == ListKind::kMoved)
+    if (update.kind == ListUpdateKind::kMoved)
         call_at_ = inboxes_.now + lease_.overdue_timeout(inboxes_.now);
     else if (was_watching)
         on_watch_ended();
--- a/src/policy/list_follower.hpp
+++ b/src/policy/list_follower.hpp
@@ -14,7 +14,7 @@
 class KnownList {
 public:
     // Returns the entries that may have changed. Servers that a full list does not name are removed.
-    std::vector<ListEntry> apply(const ListNews& update);
+    std::vector<ListEntry> apply(const ListUpdate& update);
     bool empty() const { return listed_.empty(); }
     int count_ready() const;
 
@@ -24,13 +24,13 @@
 
 class ListFollower {
 public:
-    ListFollower(Inboxes& inboxes, ListTerms config, int front_nodes);
+    ListFollower(Inboxes& inboxes, ServerListConfig config, int front_nodes);
 
     void handle(const Tick&);
-    void handle(const ListNews& update);
+    void handle(const ListUpdate& update);
 
 private:
-    void on_call_ended(const ListNews& update);
+    void on_call_ended(const ListUpdate& update);
     void on_watch_ended();
     void on_call_refused();
     void call();
@@ -45,7 +45,7 @@
     Time first_span() const;
 
     Inboxes& inboxes_;
-    const ListTerms config_;
+    const ServerListConfig config_;
     const Time fleet_span_;  // half of the time that discovery takes to serve all front nodes
     KnownList listed_;
     ListLease lease_;
--- a/src/policy/list_lease.hpp
+++ b/src/policy/list_lease.hpp
@@ -8,7 +8,7 @@
 
 class ListLease {
 public:
-    explicit ListLease(ListTerms config) : config_(config) {}
+    explicit ListLease(ServerListConfig config) : config_(config) {}
 
     // Records a contact with discovery. A time before the last contact changes nothing.
     void on_contact(Time when);
@@ -41,7 +41,7 @@
 
     static constexpr Time kNever = std::numeric_limits<Time>::min();
 
-    ListTerms config_;
+    ServerListConfig config_;
     Time last_contact_ = kNever;
     Time incomplete_answer_at_ = kNever;
 };
--- a/src/policy/messages.hpp
+++ b/src/policy/messages.hpp
@@ -108,12 +108,12 @@
 };
 
 using SendKey = std::pair<Id, int>;  // part and send number
-using ServerMessage = std::variant<Tick, ListEntry, StartAttempt, SendEnded, AnswerStats, ServerWord>;
+using ServerMessage = std::variant<Tick, ListEntry, StartAttempt, SendEnded, AnswerStats, ServerReport>;
 using OverloadMessage =
     std::variant<Tick, OverloadSample, LatencySample, PartWeights, ReadyServers, SlowStartChange>;
-using ListMessage = std::variant<Tick, ListNews>;
+using ListMessage = std::variant<Tick, ListUpdate>;
 using RequestMessage = std::variant<Tick, AttemptEnded, AttemptOverdue, Alpha, MultigetArrival, SecondStep,
-                                    ClientLeft, DispatchPart, DeadlyKey>;
+                                    ClientDisconnected, DispatchPart, DeadlyKey>;
 
 // The inboxes of the modules, the actions of the current turn, and the state that all modules share.
 struct Inboxes {
@@ -127,7 +127,7 @@
     std::vector<Action> actions;
     std::mt19937 rng;
     Time now = 0;
-    FleetShare fleet_quota;            // unlimited until one is received
+    FleetQuota fleet_quota;            // unlimited until one is received
     double further_sends = 0;          // since the start of this node
     bool lease_forbids_sends = false;  // the list is expired, and discovery is reachable
 
--- a/src/policy/replica_choice.cpp
+++ b/src/policy/replica_choice.cpp
@@ -79,7 +79,7 @@
     const bool too_slow = expected_wait(server) > max_wait;
     const bool avoided = server.last_lost_at > 0 && since_lost < kAvoidBudgets * type.latency_budget;
     const bool suspect =
-        type.repeat != Repeat::kRetriable && (avoided || server.health != HealthState::kHealthy);
+        type.repeat != RetrySafety::kRetriable && (avoided || server.health != HealthState::kHealthy);
     // A server that fails at once has the fewest parts out because of it, and would attract the parts that
     // others lost.
     const bool just_failed = server.last_lost_at > 0 && since_lost < type.latency_budget;
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -27,7 +27,8 @@
 }
 
 RequestLifecycle::RequestLifecycle(Inboxes& inboxes, std::vector<OpType> op_types, ShardRing ring,
-                                   SendTerms sends, FurtherSendTerms further, ClientTerms clients, Time turn)
+                                   SendConfig sends, FurtherSendConfig further, ClientConfig clients,
+                                   Time turn)
     : inboxes_(inboxes), op_types_(std::move(op_types)), sends_(sends), clients_(clients), turn_(turn),
       slack_(turn + sends.connect_timeout), budget_(inboxes, further, slack_), replicas_(inboxes, ring),
       admission_(min_latency_budget(op_types_)), repeats_(op_types_.size(), clients.marks_repeats) {}
@@ -130,7 +131,7 @@
     const auto [request, part] = requests_.find_part(overdue.part);
     if (part == nullptr || part->stage != Stage::kOut) return;
     const auto& type = type_of(request->arrival);
-    part->wants_further_send = type.repeat != Repeat::kNonRetriable && may_send(*part, type);
+    part->wants_further_send = type.repeat != RetrySafety::kNonRetriable && may_send(*part, type);
     const auto* server =
         part->wants_further_send ? pick(*part, type, request->budget_ends - inboxes_.now) : nullptr;
     if (server == nullptr) return;
@@ -139,7 +140,7 @@
     cancel_sends(*part);
 }
 
-void RequestLifecycle::handle(const ClientLeft& left) {
+void RequestLifecycle::handle(const ClientDisconnected& left) {
     if (auto* request = requests_.find(left.multiget)) forget(*request);
 }
 
@@ -192,7 +193,7 @@
     request.one_at_a_time = true;
     const bool is_second =
         request.crashed_servers.insert(server).second && request.crashed_servers.size() == 2;
-    if (!is_second || type_of(request.arrival).repeat == Repeat::kNonRetriable) return false;
+    if (!is_second || type_of(request.arrival).repeat == RetrySafety::kNonRetriable) return false;
     if (!budget_.allows(request.parts.size())) return false;
     for (const auto& other : request.parts) {
         if (other.arrival.id != request.single_part) cancel_sends(other);
@@ -268,8 +269,8 @@
 bool RequestLifecycle::may_send(const PartState& part, const OpType& type) const {
     if (part.attempts.empty()) return true;
     if (static_cast<int>(part.attempts.size()) >= sends_.most_sends) return false;
-    if (type.repeat == Repeat::kRetriable || part.all_proven_not_run()) return true;
-    if (type.repeat == Repeat::kNonRetriable) return false;
+    if (type.repeat == RetrySafety::kRetriable || part.all_proven_not_run()) return true;
+    if (type.repeat == RetrySafety::kNonRetriable) return false;
     const auto first_that_may_have_run = std::find_if(part.attempts.begin(), part.attempts.end(),
                                                       [](const auto& a) { return a.may_have_run; });
     return inboxes_.now + slack_ < first_that_may_have_run->sent_at + type.dedup_window;
@@ -301,7 +302,7 @@
     if (!sends_.cancel) return;
     for (std::size_t i = 0; i < part.attempts.size(); ++i) {
         if (!part.attempts[i].ended)
-            inboxes_.actions.emplace_back(CallOff{part.arrival.id, static_cast<int>(i)});
+            inboxes_.actions.emplace_back(CancelSend{part.arrival.id, static_cast<int>(i)});
     }
 }
 
@@ -341,7 +342,7 @@
 // A pushback states that a retry is harmless, and is used only where that is so. Otherwise the request fails.
 void RequestLifecycle::give_up(MultigetState& request, GiveUpReason reason) {
     const auto& type = type_of(request.arrival);
-    const bool harmless = type.repeat == Repeat::kRetriable || request.all_proven_not_run();
+    const bool harmless = type.repeat == RetrySafety::kRetriable || request.all_proven_not_run();
     if (!request.is_retry) repeats_.on_given_up(request.arrival.op_type);
     // Spread at random over the upper half: clients that are pushed back together must not return together.
     const Time max_wait = clients_.longest_retry_after;
--- a/src/policy/request_lifecycle.hpp
+++ b/src/policy/request_lifecycle.hpp
@@ -16,8 +16,8 @@
 
 class RequestLifecycle {
 public:
-    RequestLifecycle(Inboxes& inboxes, std::vector<OpType> op_types, ShardRing ring, SendTerms sends,
-                     FurtherSendTerms further, ClientTerms clients, Time turn);
+    RequestLifecycle(Inboxes& inboxes, std::vector<OpType> op_types, ShardRing ring, SendConfig sends,
+                     FurtherSendConfig further, ClientConfig clients, Time turn);
 
     bool idle() const { return requests_.empty(); }
     std::vector<DeadlyKey> deadly_keys() const { return deadly_keys_.own(); }
@@ -30,7 +30,7 @@
     void handle(const DispatchPart& message);
     void handle(const AttemptEnded& ended);
     void handle(const AttemptOverdue& overdue);
-    void handle(const ClientLeft& left);
+    void handle(const ClientDisconnected& left);
     void handle(const Tick&);
 
 private:
@@ -62,8 +62,8 @@
 
     Inboxes& inboxes_;
     const std::vector<OpType> op_types_;
-    const SendTerms sends_;
-    const ClientTerms clients_;
+    const SendConfig sends_;
+    const ClientConfig clients_;
     const Time turn_;
     const Time slack_;  // longest time from a decision until its send arrives: a turn and a connect time-out
     RetryBudget budget_;
--- a/src/policy/retry_budget.hpp
+++ b/src/policy/retry_budget.hpp
@@ -12,7 +12,7 @@
 public:
     // `slack`: longest time from a decision until the send arrives: a turn and a connect time-out. A send
     // counts from its arrival, which is not known here; the budget holds whenever in this time it arrives.
-    RetryBudget(Inboxes& inboxes, FurtherSendTerms config, Time slack)
+    RetryBudget(Inboxes& inboxes, FurtherSendConfig config, Time slack)
         : inboxes_(inboxes), config_(config), slack_(slack) {}
 
     void record_received(int requests_and_parts) { record({inboxes_.now, requests_and_parts, 0}); }
@@ -31,7 +31,7 @@
     int further_sends_since(Time when) const;
 
     Inboxes& inboxes_;
-    const FurtherSendTerms config_;
+    const FurtherSendConfig config_;
     const Time slack_;
     std::deque<Entry> log_;  // entries that still count, oldest first
 };
--- a/src/policy/server_health.cpp
+++ b/src/policy/server_health.cpp
@@ -55,7 +55,7 @@
     return call_;
 }
 
-ServerHealth::ServerHealth(Inboxes& inboxes, ServerId id, ColdTerms cold_start, NodePlace node,
+ServerHealth::ServerHealth(Inboxes& inboxes, ServerId id, ColdStartConfig cold_start, NodeConfig node,
                            ShardRing ring, Time connect_timeout, Time min_budget)
     : inboxes_(inboxes), id_(id), connect_timeout_(connect_timeout), min_silence_(min_budget / 2),
       ejection_time_(min_budget), slow_start_(cold_start, node.front_nodes), sends_(ring.parts_per_call),
@@ -95,7 +95,7 @@
 
 // Helps a node that sees little of a server, or has just started: the observations of others count where it
 // has no later answer of its own, and while others try a server this node need not.
-void ServerHealth::handle(const ServerWord& report) {
+void ServerHealth::handle(const ServerReport& report) {
     slow_start_.set_others_rate(report.taken);
     tried_by_others_ = report.held;
     if (report.started > std::max(slow_start_.started_at(), last_answered_at_))
--- a/src/policy/server_health.hpp
+++ b/src/policy/server_health.hpp
@@ -45,14 +45,14 @@
 class ServerHealth {
 public:
     // `min_budget`: the shortest latency budget of all op types.
-    ServerHealth(Inboxes& inboxes, ServerId id, ColdTerms cold_start, NodePlace node, ShardRing ring,
+    ServerHealth(Inboxes& inboxes, ServerId id, ColdStartConfig cold_start, NodeConfig node, ShardRing ring,
                  Time connect_timeout, Time min_budget);
 
     void handle(const Tick&);
     void handle(const ListEntry& entry);
     void handle(const StartAttempt& attempt);
     void handle(const AnswerStats& stats);
-    void handle(const ServerWord& report);
+    void handle(const ServerReport& report);
     void handle(const SendEnded& ended);
 
     bool is_removed() const { return entry_.state == ServerState::kGone && sends_.empty(); }
--- a/src/policy/slow_start.hpp
+++ b/src/policy/slow_start.hpp
@@ -11,7 +11,7 @@
 
 class SlowStart {
 public:
-    SlowStart(ColdTerms config, int front_nodes) : config_(config), front_nodes_(front_nodes) {}
+    SlowStart(ColdStartConfig config, int front_nodes) : config_(config), front_nodes_(front_nodes) {}
 
     // `slots`: the fraction of a slot to start with. It should be random, or all front nodes that learn of
     // the start together would send their first part together.
@@ -31,7 +31,7 @@
     std::uint64_t parts_sent() const { return parts_sent_; }
 
 private:
-    const ColdTerms config_;
+    const ColdStartConfig config_;
     const int front_nodes_;
     Time started_at_ = 0;
     double slots_ = 0;
--- a/src/service/client_side.cpp
+++ b/src/service/client_side.cpp
@@ -190,8 +190,8 @@
     auto& stream = connection.stream;
     auto& waiter = stream.waiter();
     for (bool open = true; open;) {
-        parse::HttpReader request(parse::HttpReader::Kind::kRequest);
-        using State = parse::HttpReader::State;
+        parse::HttpParser request(parse::HttpParser::Kind::kRequest);
+        using State = parse::HttpParser::State;
         Time arrived = 0;
         bool sent_continue = false;
         for (;;) {  // reads one request
@@ -282,10 +282,10 @@
 }
 
 std::optional<ClientConnections::Reply> ClientConnections::handle_request(Connection& connection,
-                                                                          parse::HttpReader& request,
+                                                                          parse::HttpParser& request,
                                                                           Time arrived) {
-    if (request.state() == parse::HttpReader::State::kBad) return bad_request(request.fault(), request.why());
-    if (request.state() != parse::HttpReader::State::kDone)
+    if (request.state() == parse::HttpParser::State::kBad) return bad_request(request.fault(), request.why());
+    if (request.state() != parse::HttpParser::State::kDone)
         return bad_request(408, "the request did not come whole");
     const std::string_view path = std::string_view(request.target()).substr(0, request.target().find('?'));
     if (request.method() == "POST") return submit_multiget(connection, request, arrived);
@@ -302,15 +302,16 @@
 }
 
 std::optional<ClientConnections::Reply> ClientConnections::submit_multiget(Connection& connection,
-                                                                           parse::HttpReader& request,
+                                                                           parse::HttpParser& request,
                                                                            Time arrived) {
-    MultigetAsked multiget;
+    MultigetRequest multiget;
     const auto fault = parse_multiget(request, arrived, multiget);
     if (!fault.empty()) return bad_request(400, fault);
-    const auto [acceptance, ticket] = handler_.ask(std::move(multiget), [at = &connection](Ending ending) {
-        at->result = std::move(ending);
-        at->stream.waiter().signal();
-    });
+    const auto [acceptance, ticket] =
+        handler_.ask(std::move(multiget), [at = &connection](MultigetResult ending) {
+            at->result = std::move(ending);
+            at->stream.waiter().signal();
+        });
     switch (acceptance) {
         case Acceptance::kTaken: connection.ticket = ticket; return std::nullopt;
         case Acceptance::kNoRoom: return Reply{503, "", "no room\n"};
@@ -325,8 +326,8 @@
     return {status, "Content-Type: text/plain\r\n", reason + '\n', true};
 }
 
-std::string ClientConnections::parse_multiget(parse::HttpReader& request, Time arrived,
-                                              MultigetAsked& multiget) const {
+std::string ClientConnections::parse_multiget(parse::HttpParser& request, Time arrived,
+                                              MultigetRequest& multiget) const {
     const auto index_of = [](const std::vector<std::string>& names, std::string_view name) {
         return static_cast<int>(std::find(names.begin(), names.end(), name) - names.begin());
     };
@@ -366,11 +367,11 @@
     return parse_parts(body, multiget);
 }
 
-std::string ClientConnections::parse_parts(const std::string& body, MultigetAsked& multiget) const {
+std::string ClientConnections::parse_parts(const std::string& body, MultigetRequest& multiget) const {
     parse::Json json;
     try {
         json = parse::parse_json(body);
-    } catch (const parse::BadJson& error) {
+    } catch (const parse::JsonError& error) {
         return error.what();
     }
     const auto* text = json.member("query");
@@ -420,18 +421,19 @@
     return {};
 }
 
-ClientConnections::Reply ClientConnections::make_reply(const Ending& ending) {
+ClientConnections::Reply ClientConnections::make_reply(const MultigetResult& ending) {
     switch (ending.kind) {
-        case Ending::Kind::kPushedBack: return {503, retry_after_header(ending.wait), ""};
-        case Ending::Kind::kFailed:
+        case MultigetResult::Kind::kPushedBack: return {503, retry_after_header(ending.wait), ""};
+        case MultigetResult::Kind::kFailed:
             return {500, ending.told.empty() ? "" : "Content-Type: text/plain\r\n", text_line(ending.told)};
-        case Ending::Kind::kRecorded:
+        case MultigetResult::Kind::kRecorded:
             return {200, "Content-Type: application/json\r\nIdempotent-Replayed: true\r\n", ending.told};
-        case Ending::Kind::kUnderWay:
+        case MultigetResult::Kind::kUnderWay:
             return {409, "Content-Type: text/plain\r\n" + retry_after_header(ending.wait),
                     text_line(ending.told)};
-        case Ending::Kind::kOtherBody: return {422, "Content-Type: text/plain\r\n", text_line(ending.told)};
-        case Ending::Kind::kAnswered: break;
+        case MultigetResult::Kind::kOtherBody:
+            return {422, "Content-Type: text/plain\r\n", text_line(ending.told)};
+        case MultigetResult::Kind::kAnswered: break;
     }
     return {200, "Content-Type: application/json\r\n", answer_body(ending)};
 }
--- a/src/service/client_side.hpp
+++ b/src/service/client_side.hpp
@@ -47,7 +47,7 @@
         // When the first bytes of a pipelined request, behind the open one, were read; 0: none were.
         Time next_arrived_at = 0;
         Ticket ticket = 0;  // of the open multiget; 0: none
-        std::optional<Ending> result;
+        std::optional<MultigetResult> result;
         net::Task task;  // last member: destroyed first
     };
     struct Reply {
@@ -68,14 +68,14 @@
     int eviction_rank(const Connection& connection) const;
     void remove(Connection& connection);
     // Returns nothing if the answer follows with the multiget's end.
-    std::optional<Reply> handle_request(Connection& connection, parse::HttpReader& request, Time arrived);
-    std::optional<Reply> submit_multiget(Connection& connection, parse::HttpReader& request, Time arrived);
+    std::optional<Reply> handle_request(Connection& connection, parse::HttpParser& request, Time arrived);
+    std::optional<Reply> submit_multiget(Connection& connection, parse::HttpParser& request, Time arrived);
     // Returns what is wrong with the request, or an empty string.
-    std::string parse_multiget(parse::HttpReader& request, Time arrived, MultigetAsked& multiget) const;
+    std::string parse_multiget(parse::HttpParser& request, Time arrived, MultigetRequest& multiget) const;
     // Returns what is wrong with the body, or an empty string.
-    std::string parse_parts(const std::string& body, MultigetAsked& multiget) const;
+    std::string parse_parts(const std::string& body, MultigetRequest& multiget) const;
     Reply bad_request(int status, std::string reason);
-    static Reply make_reply(const Ending& ending);
+    static Reply make_reply(const MultigetResult& ending);
 
     net::Scheduler& scheduler_;
     RequestHandler& handler_;
--- a/src/service/exchange.cpp
+++ b/src/service/exchange.cpp
@@ -7,10 +7,10 @@
 namespace pinedoor::service {
 namespace {
 
-std::string_view name_of(const Ending& ending) {
+std::string_view name_of(const MultigetResult& ending) {
     switch (ending.kind) {
-        case Ending::Kind::kAnswered: return ending.whole ? "answered whole" : "answered in part";
-        case Ending::Kind::kPushedBack: return "refused";
+        case MultigetResult::Kind::kAnswered: return ending.whole ? "answered whole" : "answered in part";
+        case MultigetResult::Kind::kPushedBack: return "refused";
         default: return "failed";
     }
 }
@@ -65,7 +65,7 @@
     // If the process was suspended, list changes and requests may arrive in one turn: the list changes are
     // applied first, so that they count for these requests.
     std::stable_partition(events.begin(), events.end(),
-                          [](const Event& event) { return std::holds_alternative<ListNews>(event); });
+                          [](const Event& event) { return std::holds_alternative<ListUpdate>(event); });
     while (!timers_.empty() && timers_.begin()->first <= now) {
         events.emplace_back(Bell{timers_.begin()->second});
         timers_.erase(timers_.begin());
@@ -112,7 +112,7 @@
     return name_uses_.contains(name) ? Acceptance::kNameInUse : Acceptance::kTaken;
 }
 
-TakenRequest Dispatcher::ask(MultigetAsked multiget, std::function<void(Ending)> ended) {
+SubmitResult Dispatcher::ask(MultigetRequest multiget, std::function<void(MultigetResult)> ended) {
     if (const auto acceptance = could_take(multiget.name); acceptance != Acceptance::kTaken) {
         request_log_.rejected(multiget.name, acceptance == Acceptance::kNoRoom ? "no room" : "name in use");
         return {acceptance, 0};
@@ -142,20 +142,20 @@
     return {Acceptance::kTaken, id};
 }
 
-store::PartFates Dispatcher::leave(Ticket ticket) {
+store::PartOutcomes Dispatcher::leave(Ticket ticket) {
     const auto multiget = static_cast<Id>(ticket);
     const auto at = multigets_.find(multiget);
     if (at == multigets_.end()) return {};
     request_log_.ended(at->second.name, "left by its client", "");
-    auto parts = at->second.wants_part_fates ? fates(at->second) : store::PartFates{};
+    auto parts = at->second.wants_part_fates ? fates(at->second) : store::PartOutcomes{};
     remove(at);
     counters_.add(Count::kClientsGone);
-    enqueue(ClientLeft{multiget});
+    enqueue(ClientDisconnected{multiget});
     return parts;
 }
 
-store::PartFates Dispatcher::fates(const OpenMultiget& open) const {
-    store::PartFates fates;
+store::PartOutcomes Dispatcher::fates(const OpenMultiget& open) const {
+    store::PartOutcomes fates;
     for (const Id id : open.parts) fates.emplace_back(parts_.at(id).shard, parts_.at(id).fate());
     return fates;
 }
@@ -172,10 +172,10 @@
     return open;
 }
 
-void Dispatcher::finish_multiget(Id multiget, Ending ending, std::string_view reason) {
+void Dispatcher::finish_multiget(Id multiget, MultigetResult ending, std::string_view reason) {
     const auto at = multigets_.find(multiget);
     if (at == multigets_.end()) return;  // the client left in the same turn
-    if (ending.kind == Ending::Kind::kAnswered) {
+    if (ending.kind == MultigetResult::Kind::kAnswered) {
         for (const Id id : at->second.parts) {
             auto& part = parts_.at(id);
             if (part.answered && !part.moved) ending.values.emplace_back(part.shard, std::move(part.value));
@@ -240,7 +240,7 @@
     return at != parts_.end() && !at->second.answered;
 }
 
-void Dispatcher::notify(const std::string& server, ServerWord report) {
+void Dispatcher::notify(const std::string& server, ServerReport report) {
     const auto at = servers_.find(server);
     if (at == servers_.end()) return;
     report.server = at->second.id;
@@ -258,10 +258,10 @@
     return all;
 }
 
-void Dispatcher::apply_list(ListKind kind, std::vector<ListedServer> members, Time age) {
+void Dispatcher::apply_list(ListUpdateKind kind, std::vector<ListedServer> members, Time age) {
     counters_.add(Count::kListNews);
     last_list_contact_ = scheduler_.now() - std::max<Time>(0, age);
-    ListNews news{kind, {}, age < 0 ? ListNews::kOld : age, {}, false};
+    ListUpdate news{kind, {}, age < 0 ? ListUpdate::kOld : age, {}, false};
     std::set<ServerId> named;
     for (auto& member : members) {
         // A server keeps its id for as long as it is listed, even if its address changes.
@@ -280,7 +280,7 @@
         transport_->update_server(known.id, known.endpoint, member.entry.state, member.entry.started);
         news.entries.push_back(member.entry);
     }
-    const bool whole = kind == ListKind::kFull || kind == ListKind::kSaved;
+    const bool whole = kind == ListUpdateKind::kFull || kind == ListUpdateKind::kSaved;
     for (const auto& [name, known] : servers_) {  // a full list removes the servers that it does not name
         if (whole && !named.contains(known.id))
             transport_->update_server(known.id, known.endpoint, ServerState::kGone, 0);
@@ -288,9 +288,10 @@
     enqueue(std::move(news));
 }
 
-void Dispatcher::report_list_loss(ListKind kind, std::optional<Time> since_contact, bool answered_in_part) {
-    if (kind == ListKind::kFailed) counters_.add(Count::kListFailures);
-    enqueue(ListNews{kind, {}, ListNews::kOld, since_contact, answered_in_part});
+void Dispatcher::report_list_loss(ListUpdateKind kind, std::optional<Time> since_contact,
+                                  bool answered_in_part) {
+    if (kind == ListUpdateKind::kFailed) counters_.add(Count::kListFailures);
+    enqueue(ListUpdate{kind, {}, ListUpdate::kOld, since_contact, answered_in_part});
 }
 
 std::optional<ServerId> Dispatcher::find_server(const std::string& name) const {
@@ -328,7 +329,7 @@
     transport_->send(std::move(call));
 }
 
-void Dispatcher::execute(const CallOff& call_off) {
+void Dispatcher::execute(const CancelSend& call_off) {
     if (!outstanding_sends_.contains({call_off.part, call_off.send}))
         return;  // the send ended in the same turn
     counters_.add(Count::kCallOffs);
@@ -337,16 +338,16 @@
 
 void Dispatcher::execute(const Answer& answer) {
     counters_.add(answer.whole ? Count::kAnsweredWhole : Count::kAnsweredInPart);
-    Ending ending;
-    ending.kind = Ending::Kind::kAnswered;
+    MultigetResult ending;
+    ending.kind = MultigetResult::Kind::kAnswered;
     ending.whole = answer.whole;
     finish_multiget(answer.multiget, std::move(ending), "");
 }
 
 void Dispatcher::execute(const PushBack& push_back) {
     counters_.add(Count::kPushedBack);
-    Ending ending;
-    ending.kind = Ending::Kind::kPushedBack;
+    MultigetResult ending;
+    ending.kind = MultigetResult::Kind::kPushedBack;
     ending.wait = push_back.wait;
     finish_multiget(push_back.multiget, std::move(ending), name_of(push_back.reason));
 }
@@ -356,7 +357,7 @@
     finish_multiget(fail.multiget, {}, name_of(fail.reason));
 }
 
-void Dispatcher::execute(const SetBell& timer) {
+void Dispatcher::execute(const SetTimer& timer) {
     timers_.emplace(last_turn_at_ + std::max<Time>(1, timer.after), timer.token);
 }
 
@@ -365,7 +366,7 @@
     log_.event(Level::kInfo, std::string_view(line.text).substr(0, line.text.find_first_of(" :")), line.text);
 }
 
-void Dispatcher::execute(const Probe& probe) { enqueue(Probed{probe.server, false, 0, {}}); }
+void Dispatcher::execute(const Probe& probe) { enqueue(ProbeEnded{probe.server, false, 0, {}}); }
 
 std::string Dispatcher::format_list_age() const {
     if (last_list_contact_ == 0) return "never heard before";
--- a/src/service/exchange.hpp
+++ b/src/service/exchange.hpp
@@ -53,7 +53,7 @@
 class ServerListSource {
 public:
     virtual ~ServerListSource() = default;
-    virtual void watch(const WatchList& options) = 0;
+    virtual void watch(const WatchServerList& options) = 0;
     virtual void fetch() = 0;
 };
 
@@ -87,8 +87,8 @@
     // Called after attach() and after the known server list has been loaded.
     void start();
 
-    TakenRequest ask(MultigetAsked multiget, std::function<void(Ending)> ended) override;
-    store::PartFates leave(Ticket ticket) override;
+    SubmitResult ask(MultigetRequest multiget, std::function<void(MultigetResult)> ended) override;
+    store::PartOutcomes leave(Ticket ticket) override;
     Acceptance could_take(const std::string& name) const override;
 
     // Reports the outcome of a send, exactly once for each send. The value is used with kReturned only.
@@ -103,17 +103,17 @@
     std::optional<ServerId> find_server(const std::string& name) const;
 
     // `age` is for kSaved: time since the list was known to be valid; -1: unknown.
-    void apply_list(ListKind kind, std::vector<ListedServer> members, Time age = -1);
+    void apply_list(ListUpdateKind kind, std::vector<ListedServer> members, Time age = -1);
     // A call for the server list failed, a watch ended, or discovery moved to another address (kFailed or
     // kMoved). `since_contact` is the time since the last contact with discovery, if there was any.
-    void report_list_loss(ListKind kind, std::optional<Time> since_contact, bool answered_in_part);
+    void report_list_loss(ListUpdateKind kind, std::optional<Time> since_contact, bool answered_in_part);
     // A watch reported that the list is unchanged.
     void note_list_contact(Time at) { last_list_contact_ = std::max(last_list_contact_, at); }
     // Reports of other front nodes on a server; ignored if the server is not listed.
-    void notify(const std::string& server, ServerWord report);
+    void notify(const std::string& server, ServerReport report);
     void notify(DeadlyKey key) { enqueue(key); }
     // This node's share of the limits that hold for the whole fleet.
-    void notify(FleetShare share) { enqueue(share); }
+    void notify(FleetQuota share) { enqueue(share); }
     double further_sends() const { return node_.further_sends(); }  // since the start of the process
     std::vector<DeadlyKey> deadly_keys() const { return node_.deadly_keys(); }
     // The decision module's view of each server, with its name on the server list.
@@ -136,12 +136,12 @@
         Time not_after = 0;
         std::vector<Id> parts;
         bool wants_part_fates = false;
-        std::function<void(Ending)> on_end;
+        std::function<void(MultigetResult)> on_end;
     };
     struct OpenPart {
-        store::PartFate fate() const {
-            if (has_run) return store::PartFate::kRan;
-            return possibly_run_sends > 0 ? store::PartFate::kMayHaveRun : store::PartFate::kNeverSent;
+        store::PartOutcome fate() const {
+            if (has_run) return store::PartOutcome::kRan;
+            return possibly_run_sends > 0 ? store::PartOutcome::kMayHaveRun : store::PartOutcome::kNeverSent;
         }
 
         Id multiget = 0;
@@ -164,21 +164,21 @@
     // Changes the number of uses of a multiget name.
     void adjust_name_uses(const std::string& name, int change);
     std::size_t open_count() const { return multigets_.size() + open_parts_; }
-    store::PartFates fates(const OpenMultiget& open) const;
+    store::PartOutcomes fates(const OpenMultiget& open) const;
     // Removes a multiget and its parts from the open ones.
     OpenMultiget remove(std::map<Id, OpenMultiget>::iterator position);
     // Calls the completion callback of a multiget with its result.
-    void finish_multiget(Id multiget, Ending ending, std::string_view reason);
+    void finish_multiget(Id multiget, MultigetResult ending, std::string_view reason);
 
     void execute(const Send& send);
-    void execute(const CallOff& call_off);
+    void execute(const CancelSend& call_off);
     void execute(const Answer& answer);
     void execute(const PushBack& push_back);
     void execute(const Fail& fail);
-    void execute(const SetBell& timer);
+    void execute(const SetTimer& timer);
     void execute(const LogLine& line);
-    void execute(const WatchList& watch) { list_source_->watch(watch); }
-    void execute(const FetchList&) { list_source_->fetch(); }
+    void execute(const WatchServerList& watch) { list_source_->watch(watch); }
+    void execute(const FetchServerList&) { list_source_->fetch(); }
     void execute(const Probe& probe);
 
     net::Scheduler& scheduler_;
--- a/src/service/fleet_side.cpp
+++ b/src/service/fleet_side.cpp
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-FleetReporter::FleetReporter(net::Scheduler& scheduler, Dispatcher& dispatcher, peers::Carrier& carrier,
-                             Log& log, fleet::WordTerms terms)
+FleetReporter::FleetReporter(net::Scheduler& scheduler, Dispatcher& dispatcher, peers::PeerTransport& carrier,
+                             Log& log, fleet::ReportConfig terms)
     : scheduler_(scheduler), dispatcher_(dispatcher), carrier_(carrier), log_(log), terms_(terms),
       reader_(terms.verdict), outgoing_(terms), incoming_(terms, carrier.membership().self().name),
       waiter_(scheduler) {}
@@ -55,7 +55,7 @@
     publish_keys();
 }
 
-fleet::Said FleetReporter::read_reports(fleet::WordReader& reader) const {
+fleet::Said FleetReporter::read_reports(fleet::ReportReader& reader) const {
     std::map<std::string, int> zones;
     for (const auto& claim : carrier_.membership().members()) zones[claim.name] = claim.zone;
     const auto now = scheduler_.now();
@@ -63,9 +63,9 @@
                        carrier_.membership().self().name);
 }
 
-std::vector<fleet::ServerSeen> FleetReporter::local_view() const {
+std::vector<fleet::ServerObservation> FleetReporter::local_view() const {
     const auto now = scheduler_.now();
-    std::vector<fleet::ServerSeen> all;
+    std::vector<fleet::ServerObservation> all;
     for (const auto& [name, view] : dispatcher_.servers()) {
         const Time cold_for = view.started > 0 ? std::max<Time>(0, now - view.started) : -1;
         all.push_back({name, view.doubted, view.failed, view.answered, cold_for, view.parts});
@@ -165,7 +165,7 @@
               ", failed " + age_text(now, each.failed) + ", answered " + age_text(now, each.answered) + '\n';
     }
     if (out.empty()) return "no server of that name is listed\n";
-    fleet::WordReader reader(terms_.verdict);
+    fleet::ReportReader reader(terms_.verdict);
     const auto others = read_reports(reader);
     const auto entry = others.servers.find(std::string(server));
     const auto opinions =
--- a/src/service/fleet_side.hpp
+++ b/src/service/fleet_side.hpp
@@ -21,8 +21,8 @@
 // Publishes this node's reports and passes the combined reports of the others to the dispatcher.
 class FleetReporter {
 public:
-    FleetReporter(net::Scheduler& scheduler, Dispatcher& dispatcher, peers::Carrier& carrier, Log& log,
-                  fleet::WordTerms terms);
+    FleetReporter(net::Scheduler& scheduler, Dispatcher& dispatcher, peers::PeerTransport& carrier, Log& log,
+                  fleet::ReportConfig terms);
 
     void start();
     std::string print_gauges() const;
@@ -31,29 +31,29 @@
     net::Task run();
     // Reads new gossip entries and publishes this node's reports.
     void update();
-    fleet::Said read_reports(fleet::WordReader& reader) const;
+    fleet::Said read_reports(fleet::ReportReader& reader) const;
     void publish_reports();
     void apply_reports();
     void publish_keys();
     void apply_keys();
-    std::vector<fleet::ServerSeen> local_view() const;
+    std::vector<fleet::ServerObservation> local_view() const;
     // For operators: all verdicts, or the reports on one server.
     std::string print_verdicts() const;
     std::string print_server(std::string_view server) const;
 
     net::Scheduler& scheduler_;
     Dispatcher& dispatcher_;
-    peers::Carrier& carrier_;
+    peers::PeerTransport& carrier_;
     Log& log_;
-    const fleet::WordTerms terms_;
-    fleet::WordReader reader_;
-    fleet::ServerTeller outgoing_;
-    fleet::ServerHearer incoming_;
+    const fleet::ReportConfig terms_;
+    fleet::ReportReader reader_;
+    fleet::ReportPublisher outgoing_;
+    fleet::ConsensusTracker incoming_;
     fleet::Said other_reports_;  // reports of other nodes, as last read
     std::uint64_t seen_changes_ = 0;
     Time read_at_ = 0;
     // Reports on servers that are not on the server list yet.
-    std::map<std::string, fleet::ServerTold> pending_reports_;
+    std::map<std::string, fleet::ServerConsensus> pending_reports_;
     std::set<std::string> set_aside_;  // servers that are set aside by verdicts the module has received
     std::vector<std::uint64_t> published_keys_;
     std::map<std::uint64_t, Time> received_keys_;  // key -> end of its validity
--- a/src/service/front_door.cpp
+++ b/src/service/front_door.cpp
@@ -16,7 +16,7 @@
 // In the simulator pushed lists arrive by themselves. On sockets an agent beside each front node has them and
 // sends them on a watch, and discovery counts a list that the agent has as received. So a watch must be open
 // all the time, and a broken one must be opened again well within the time in which sends have to stop.
-ListTerms on_sockets(ListTerms terms, Time connect_timeout) {
+ServerListConfig on_sockets(ServerListConfig terms, Time connect_timeout) {
     if (terms.ask) return terms;
     terms.ask = true;
     terms.own_agent = true;
@@ -25,8 +25,8 @@
 }
 
 // With placement, repeated pieces get a share of the further sends, and the module gets the rest.
-FrontNode make_node(std::uint64_t seed, const stated::Stated& stated, const Holders* holders,
-                    const placement::PlacementTerms& placement) {
+FrontNode make_node(std::uint64_t seed, const stated::Settings& stated, const ReplicaMap* holders,
+                    const placement::PlacementConfig& placement) {
     auto ring = stated.shard_ring();
     auto further = stated.further_send_terms();
     ring.holders = holders;
@@ -40,11 +40,11 @@
                      stated.client_terms(), stated.tenants(), stated.hint_terms());
 }
 
-Time longest_timeout(const stated::Stated& stated) {
+Time longest_timeout(const stated::Settings& stated) {
     Time longest = 0;
     for (const auto& type : stated.op_types()) {
         if (type.second_step_parts > 0) {
-            throw stated::BadStated(
+            throw stated::ConfigError(
                 "settings: family_info.follow_up asks for a second step, which this protocol does not "
                 "support");
         }
@@ -58,15 +58,16 @@
 constexpr std::size_t kIdlePerOpenRequest = 2;
 
 // Half of the memory is for requests of clients, each at its largest size.
-std::size_t max_clients(const stated::Launch& launch, const DescriptorBudget& descriptors) {
-    constexpr parse::HttpBounds kLargest;
+std::size_t max_clients(const stated::LaunchConfig& launch, const DescriptorBudget& descriptors) {
+    constexpr parse::HttpLimits kLargest;
     return std::min(descriptors.for_clients(), launch.memory() / 2 / (kLargest.head + kLargest.body));
 }
 
 }  // namespace
 
-FrontDoor::FrontDoor(net::Scheduler& scheduler, const stated::Launch& launch,
-                     const stated::Installation& installation, std::FILE* log, LogTerms log_terms)
+FrontNodeService::FrontNodeService(net::Scheduler& scheduler, const stated::LaunchConfig& launch,
+                                   const stated::NodeSettings& installation, std::FILE* log,
+                                   LogOptions log_terms)
     : scheduler_(scheduler), launch_(launch), log_(log, scheduler, counters_, log_terms),
       descriptors_(launch.sockets()), placement_(make_placement(installation)),
       dispatcher_(scheduler,
@@ -101,7 +102,7 @@
         std::make_unique<FleetReporter>(scheduler, dispatcher_, *peers_, log_, installation.fleet.words);
 }
 
-void FrontDoor::start() {
+void FrontNodeService::start() {
     dispatcher_.attach(server_connections_, list_client_, placement_.get());
     if (placement_) placement_->attach(dispatcher_);
     server_connections_.start();
@@ -120,44 +121,44 @@
     });
 }
 
-void FrontDoor::stop() {
+void FrontNodeService::stop() {
     log_.event(Level::kInfo, "shutdown", "shutdown requested; accepted requests are answered first");
     client_connections_.stop();
     if (limiter_) limiter_->stop();
     if (peers_) peers_->leave();
 }
 
-bool FrontDoor::done() {
+bool FrontNodeService::done() {
     if (!client_connections_.done() || !keeper_) return client_connections_.done();
     keeper_->finish();
     return keeper_->done();
 }
 
-std::unique_ptr<store::Keeper> FrontDoor::make_keeper(const stated::Installation& installation) {
+std::unique_ptr<store::RecordKeeper> FrontNodeService::make_keeper(const stated::NodeSettings& installation) {
     if (installation.store.kind == store::Kind::kNone) return nullptr;
     const auto& settings = launch_.settings();
     const auto terms = settings.client_terms();
-    store::Recorded recorded{launch_.name(),
-                             settings.op_type_names(),
-                             settings.tenant_names(),
-                             {},
-                             {},
-                             terms.retry_after ? terms.longest_retry_after : 0};
+    store::RecordKeeperConfig recorded{launch_.name(),
+                                       settings.op_type_names(),
+                                       settings.tenant_names(),
+                                       {},
+                                       {},
+                                       terms.retry_after ? terms.longest_retry_after : 0};
     for (const auto& type : settings.op_types())
-        recorded.retriable.push_back(type.repeat == Repeat::kRetriable);
+        recorded.retriable.push_back(type.repeat == RetrySafety::kRetriable);
     try {
         recorded.recorded = store::which(recorded.op_types, recorded.retriable, installation.store.op_types);
     } catch (const std::invalid_argument& error) {
-        throw stated::BadStated(error.what());
+        throw stated::ConfigError(error.what());
     }
-    return std::make_unique<store::Keeper>(
+    return std::make_unique<store::RecordKeeper>(
         scheduler_, inner_handler(), log_, installation.store, std::move(recorded), launch_.seed(),
         store::make_backend(scheduler_, installation.store), std::make_unique<store::RealFiles>());
 }
 
-std::unique_ptr<peers::Carrier> FrontDoor::make_peers(const stated::Installation& installation) {
+std::unique_ptr<peers::PeerTransport> FrontNodeService::make_peers(const stated::NodeSettings& installation) {
     if (!installation.peers.on) return nullptr;
-    return std::make_unique<peers::Carrier>(
+    return std::make_unique<peers::PeerTransport>(
         scheduler_, installation.peers, launch_.name(), launch_.settings().node_place().zone, launch_.seed(),
         [this](std::string_view event, const std::string& text) {
             const bool warns = event == "peer_conflict" || event == "peer_refused";
@@ -165,7 +166,7 @@
         });
 }
 
-std::unique_ptr<FleetLimiter> FrontDoor::make_limits(const stated::Installation& installation) {
+std::unique_ptr<FleetLimiter> FrontNodeService::make_limits(const stated::NodeSettings& installation) {
     if (!installation.fleet.on) return nullptr;
     const auto& settings = launch_.settings();
     const auto terms = settings.client_terms();
@@ -177,41 +178,41 @@
                                   terms.retry_after ? terms.longest_retry_after : 0},
             launch_.seed());
     } catch (const std::invalid_argument& error) {
-        throw stated::BadStated(error.what());
+        throw stated::ConfigError(error.what());
     }
 }
 
-RequestHandler& FrontDoor::request_handler() {
+RequestHandler& FrontNodeService::request_handler() {
     if (limiter_) return *limiter_;
     return recording_handler();
 }
 
-RequestHandler& FrontDoor::recording_handler() {
+RequestHandler& FrontNodeService::recording_handler() {
     if (keeper_) return *keeper_;
     return inner_handler();
 }
 
-RequestHandler& FrontDoor::inner_handler() {
+RequestHandler& FrontNodeService::inner_handler() {
     if (placement_) return *placement_;
     return dispatcher_;
 }
 
-std::unique_ptr<PlacementHandler> FrontDoor::make_placement(const stated::Installation& installation) {
+std::unique_ptr<PlacementHandler> FrontNodeService::make_placement(const stated::NodeSettings& installation) {
     const auto& terms = installation.placement;
     if (!terms.on) return nullptr;
     const auto& settings = launch_.settings();
     const auto names = settings.op_type_names();
     const auto types = settings.op_types();
-    placement::GatherTerms gather;
+    placement::GathererConfig gather;
     for (const auto& [name, rule] : terms.merge) {
         if (std::find(names.begin(), names.end(), name) == names.end())
-            throw stated::BadStated("placement.merge names " + name + ", which is not an op type");
+            throw stated::ConfigError("placement.merge names " + name + ", which is not an op type");
     }
     for (std::size_t i = 0; i < names.size(); ++i) {
         const auto& type = types[i];
         const auto rule = terms.merge.find(names[i]);
         gather.op_types.push_back({rule == terms.merge.end() ? placement::MergeRule::kWhole : rule->second,
-                                   type.repeat == Repeat::kRetriable, type.least_share, type.whole_share,
+                                   type.repeat == RetrySafety::kRetriable, type.least_share, type.whole_share,
                                    type.latency_budget});
     }
     const auto further = settings.further_send_terms();
@@ -228,14 +229,14 @@
                                               launch_.seed());
 }
 
-void FrontDoor::reload() {
+void FrontNodeService::reload() {
     reads_left_ = kMaxReloadReads;
     reload_waiter_.signal();
 }
 
 // An invalid file may be in the middle of its replacement, so it is read again for a while. Each fault is
 // logged once.
-net::Task FrontDoor::run_reloads() {
+net::Task FrontNodeService::run_reloads() {
     for (std::string last_fault;;) {
         co_await reload_waiter_.wait(0,
                                      reads_left_ > 0 ? scheduler_.now() + kReloadReadInterval : net::kNever);
@@ -249,7 +250,7 @@
     }
 }
 
-std::string FrontDoor::apply_configuration() {
+std::string FrontNodeService::apply_configuration() {
     try {
         const auto newer = launch_.read_again();
         list_client_.move_to(newer.discovery());
@@ -263,7 +264,7 @@
     }
 }
 
-std::string FrontDoor::print_counters() const {
+std::string FrontNodeService::print_counters() const {
     std::string out = counters_.print() + dispatcher_.print_gauges() + server_connections_.print_gauges() +
                       client_connections_.print_gauges();
     if (keeper_) out += keeper_->print_gauges();
--- a/src/service/front_door.hpp
+++ b/src/service/front_door.hpp
@@ -27,10 +27,10 @@
 namespace pinedoor::service {
 
 // Creates and connects the components that the configuration asks for.
-class FrontDoor {
+class FrontNodeService {
 public:
-    FrontDoor(net::Scheduler& scheduler, const stated::Launch& launch,
-              const stated::Installation& installation, std::FILE* log, LogTerms log_terms = {});
+    FrontNodeService(net::Scheduler& scheduler, const stated::LaunchConfig& launch,
+                     const stated::NodeSettings& installation, std::FILE* log, LogOptions log_terms = {});
 
     void start();  // listens; throws if it cannot
     void stop();   // answers the accepted multigets first
@@ -43,10 +43,10 @@
     net::Task run_reloads();
     // Returns what is wrong with the configuration, or an empty string.
     std::string apply_configuration();
-    std::unique_ptr<store::Keeper> make_keeper(const stated::Installation& installation);
-    std::unique_ptr<PlacementHandler> make_placement(const stated::Installation& installation);
-    std::unique_ptr<peers::Carrier> make_peers(const stated::Installation& installation);
-    std::unique_ptr<FleetLimiter> make_limits(const stated::Installation& installation);
+    std::unique_ptr<store::RecordKeeper> make_keeper(const stated::NodeSettings& installation);
+    std::unique_ptr<PlacementHandler> make_placement(const stated::NodeSettings& installation);
+    std::unique_ptr<peers::PeerTransport> make_peers(const stated::NodeSettings& installation);
+    std::unique_ptr<FleetLimiter> make_limits(const stated::NodeSettings& installation);
     // The layers that handle requests, from the outermost to the innermost: limits, store, placement,
     // dispatcher.
     RequestHandler& request_handler();
@@ -54,17 +54,17 @@
     RequestHandler& inner_handler();
 
     net::Scheduler& scheduler_;
-    const stated::Launch launch_;
+    const stated::LaunchConfig launch_;
     Counters counters_;
     Log log_;
     const DescriptorBudget descriptors_;
     std::unique_ptr<PlacementHandler> placement_;  // null: shards are placed by the ring
     Dispatcher dispatcher_;
-    std::unique_ptr<store::Keeper> keeper_;          // null: nothing is recorded
+    std::unique_ptr<store::RecordKeeper> keeper_;    // null: nothing is recorded
     std::unique_ptr<FleetReporter> fleet_reporter_;  // only with peers
     std::unique_ptr<ServerListRelay> list_relay_;    // only with peers; declared before `peers_`, which runs
                                                      // the tasks that serve its followers
-    std::unique_ptr<peers::Carrier> peers_;          // null: no peers are configured
+    std::unique_ptr<peers::PeerTransport> peers_;    // null: no peers are configured
     std::unique_ptr<FleetLimiter> limiter_;          // null: no limits for the whole fleet
     ServerConnections server_connections_;
     ServerListClient list_client_;
--- a/src/service/limit_side.cpp
+++ b/src/service/limit_side.cpp
@@ -42,8 +42,8 @@
 }
 
 FleetLimiter::FleetLimiter(net::Scheduler& scheduler, RequestHandler& inner, Dispatcher& dispatcher,
-                           peers::Carrier* carrier, Log& log, const fleet::FleetTerms& terms, Options options,
-                           std::uint64_t seed)
+                           peers::PeerTransport* carrier, Log& log, const fleet::FleetTerms& terms,
+                           Options options, std::uint64_t seed)
     : scheduler_(scheduler), inner_(inner), dispatcher_(dispatcher), carrier_(carrier), log_(log),
       max_retry_after_(options.max_retry_after), waiter_(scheduler) {
     for (const auto& each : terms.limits) {
@@ -56,18 +56,18 @@
                                              {},
                                              {},
                                              fleet::Gate(each, ++seed),
-                                             fleet::ConnectionPace(each),
+                                             fleet::ConnectionRateLimiter(each),
                                              {},
-                                             fleet::Bucket(each),
+                                             fleet::TokenBucket(each),
                                              {},
                                              false}));
         auto& limit = *limits_.back();
         switch (each.kind) {
-            case fleet::LimitTerms::Kind::kAlone: limit.even_share = each.per_second / options.nodes; break;
-            case fleet::LimitTerms::Kind::kAbout:
+            case fleet::LimitConfig::Kind::kAlone: limit.even_share = each.per_second / options.nodes; break;
+            case fleet::LimitConfig::Kind::kAbout:
                 limit.about.emplace(terms.about(each, options.nodes));
                 break;
-            case fleet::LimitTerms::Kind::kNeverOver: {
+            case fleet::LimitConfig::Kind::kNeverOver: {
                 const auto& self = carrier->membership().self();
                 limit.leases.emplace(each.name, self.name, self.life, terms.leases(each, options.nodes),
                                      scheduler.now());
@@ -91,7 +91,7 @@
 }
 
 void FleetLimiter::register_handlers() {
-    carrier_->watch([this](const peers::Changed&) { update_members(); });
+    carrier_->watch([this](const peers::MembershipChange&) { update_members(); });
     carrier_->read_letters(fleet::kLeaseTopic, [this](const std::string& from, const std::string& bytes) {
         receive_lease(from, bytes);
     });
@@ -164,7 +164,7 @@
 // A share is valid for a few intervals and no longer than the lease it is based on, so that a process that
 // was suspended does not go on using it.
 void FleetLimiter::update_module(Time now) {
-    FleetShare share;
+    FleetQuota share;
     share.until = now + 3 * kUpdateInterval;
     int most_out = 0;
     if (has_limit(Of::kPartsOut)) {
@@ -204,7 +204,7 @@
         .empty();
 }
 
-void FleetLimiter::send_leases(std::vector<fleet::SendLease> all) {
+void FleetLimiter::send_leases(std::vector<fleet::OutgoingLeaseMessage> all) {
     for (auto& each : all)
         carrier_->send_letter(each.to, fleet::kLeaseTopic, fleet::write_lease(each.message));
 }
@@ -232,7 +232,7 @@
 }
 
 // Reads the clock for each request: after a suspension nothing that has expired meanwhile is used.
-TakenRequest FleetLimiter::ask(MultigetAsked multiget, std::function<void(Ending)> ended) {
+SubmitResult FleetLimiter::ask(MultigetRequest multiget, std::function<void(MultigetResult)> ended) {
     if (const auto acceptance = inner_.could_take(multiget.name); acceptance != Acceptance::kTaken)
         return {acceptance, 0};
     const auto now = scheduler_.now();
@@ -247,8 +247,8 @@
         gates, [&](Limit* each) { return each->gate.has_room(now, each->may_use(now)); },
         [&](Limit* each) { each->gate.pass(now, each->may_use(now)); });
     if (exhausted.empty()) return inner_.ask(std::move(multiget), std::move(ended));
-    Ending ending;
-    ending.kind = Ending::Kind::kPushedBack;
+    MultigetResult ending;
+    ending.kind = MultigetResult::Kind::kPushedBack;
     for (auto* each : exhausted) {
         if (max_retry_after_ > 0)
             ending.wait = std::max(ending.wait, each->gate.wait(each->may_use(now), max_retry_after_));
--- a/src/service/limit_side.hpp
+++ b/src/service/limit_side.hpp
@@ -31,31 +31,31 @@
     // `carrier`: null if no limit needs other nodes. Throws std::invalid_argument if a limit names an unknown
     // tenant or op type.
     FleetLimiter(net::Scheduler& scheduler, RequestHandler& inner, Dispatcher& dispatcher,
-                 peers::Carrier* carrier, Log& log, const fleet::FleetTerms& terms, Options options,
+                 peers::PeerTransport* carrier, Log& log, const fleet::FleetTerms& terms, Options options,
                  std::uint64_t seed);
 
     void start();
     void stop();  // gives back leased shares
-    TakenRequest ask(MultigetAsked multiget, std::function<void(Ending)> ended) override;
-    store::PartFates leave(Ticket multiget) override { return inner_.leave(multiget); }
+    SubmitResult ask(MultigetRequest multiget, std::function<void(MultigetResult)> ended) override;
+    store::PartOutcomes leave(Ticket multiget) override { return inner_.leave(multiget); }
     Acceptance could_take(const std::string& name) const override { return inner_.could_take(name); }
-    bool limits_connections() const { return has_limit(fleet::LimitTerms::Of::kConnections); }
+    bool limits_connections() const { return has_limit(fleet::LimitConfig::Of::kConnections); }
     bool may_connect(net::Endpoint at);
     std::string print_gauges() const;
 
 private:
-    using Of = fleet::LimitTerms::Of;
+    using Of = fleet::LimitConfig::Of;
     struct Limit {
-        fleet::LimitTerms terms;
+        fleet::LimitConfig terms;
         int tenant = -1, op_type = -1;  // -1: any
         double even_share = 0;          // fixed even share, where neither of the next two is set
-        std::optional<fleet::Leases> leases;
-        std::optional<fleet::AboutShare> about;
+        std::optional<fleet::LeaseParticipant> leases;
+        std::optional<fleet::ApproximateShare> about;
         fleet::Gate gate;  // used according to what is limited
-        fleet::ConnectionPace pace;
-        fleet::PartsOut parts_out;
-        fleet::Bucket further_sends;
-        fleet::Demand further_demand;
+        fleet::ConnectionRateLimiter pace;
+        fleet::PartsOutDemand parts_out;
+        fleet::TokenBucket further_sends;
+        fleet::DemandEstimator further_demand;
         bool owned = false;
         double may_use(Time now) {
             return leases ? leases->may_use(now) : about ? about->may_use(now) : even_share;
@@ -68,7 +68,7 @@
     net::Task run();
     // Registers the handlers for membership changes, lease messages and operator queries.
     void register_handlers();
-    void send_leases(std::vector<fleet::SendLease> all);
+    void send_leases(std::vector<fleet::OutgoingLeaseMessage> all);
     void receive_lease(const std::string& from, const std::string& bytes);
     void update_members();
     void exchange_needs(Time now);  // reads the needs of other nodes and publishes this node's
@@ -79,7 +79,7 @@
     net::Scheduler& scheduler_;
     RequestHandler& inner_;
     Dispatcher& dispatcher_;
-    peers::Carrier* const carrier_;
+    peers::PeerTransport* const carrier_;
     Log& log_;
     const Time max_retry_after_;
     std::vector<std::unique_ptr<Limit>> limits_;
--- a/src/service/line_watch.cpp
+++ b/src/service/line_watch.cpp
@@ -42,8 +42,8 @@
     const auto request = parse::http_get(call.target, net::to_text(call.endpoint));
     std::size_t written = 0;
     bool has_input = false;
-    parse::HttpReader reader(parse::HttpReader::Kind::kResponse, {16 * 1024, call.max_object_bytes});
-    parse::JsonObjects objects(call.max_object_bytes);
+    parse::HttpParser reader(parse::HttpParser::Kind::kResponse, {16 * 1024, call.max_object_bytes});
+    parse::JsonObjectSplitter objects(call.max_object_bytes);
     const auto end = [&](CallEnd reason) { state.end = reason; };
     for (;;) {
         if (connection.broken()) co_return end(has_input ? CallEnd::kBroken : CallEnd::kNoConnection);
@@ -61,8 +61,8 @@
         }
         auto& buffer = connection.buffer();
         buffer.drop(reader.feed(buffer.held()));
-        if (reader.state() == parse::HttpReader::State::kBad) co_return end(CallEnd::kMalformed);
-        if (reader.state() != parse::HttpReader::State::kHead) state.status = reader.status();
+        if (reader.state() == parse::HttpParser::State::kBad) co_return end(CallEnd::kMalformed);
+        if (reader.state() != parse::HttpParser::State::kHead) state.status = reader.status();
         if (state.status != 0 && state.status != 200) co_return end(CallEnd::kRefused);
         const auto body = reader.take_body();
         objects.feed(body);
@@ -75,7 +75,7 @@
         if (has_new_input && (state.objects == 0 || is_whole)) state.last_input = scheduler.now();
         if (!body.empty() && is_whole && call.on_alive) call.on_alive();
         if (objects.bad()) co_return end(CallEnd::kMalformed);
-        if (reader.state() == parse::HttpReader::State::kDone) co_return end(CallEnd::kComplete);
+        if (reader.state() == parse::HttpParser::State::kDone) co_return end(CallEnd::kComplete);
         // Checked after reading: input that arrived while this process was suspended counts.
         if (scheduler.now() - state.last_input >= call.silence_timeout) co_return end(CallEnd::kSilent);
         co_await waiter.wait(net::kRead | (written < request.size() ? net::kWrite : 0U),
--- a/src/service/list_share.cpp
+++ b/src/service/list_share.cpp
@@ -37,14 +37,15 @@
 
 }  // namespace
 
-ServerListRelay::ServerListRelay(net::Scheduler& scheduler, ServerListClient& list, peers::Carrier& carrier,
-                                 Log& log, std::string name, std::uint64_t seed)
+ServerListRelay::ServerListRelay(net::Scheduler& scheduler, ServerListClient& list,
+                                 peers::PeerTransport& carrier, Log& log, std::string name,
+                                 std::uint64_t seed)
     : scheduler_(scheduler), list_client_(list), carrier_(carrier), log_(log),
       source_selection_(std::move(name), seed, {}), waiter_(scheduler) {}
 
 void ServerListRelay::start() {
     list_client_.set_listener(*this);
-    carrier_.watch([this](const peers::Changed&) { waiter_.signal(); });
+    carrier_.watch([this](const peers::MembershipChange&) { waiter_.signal(); });
     carrier_.take_guests([this](net::Stream& stream) { return serve_follower(stream); });
     task_ = run();
     task_.start([this](std::exception_ptr failure) {
@@ -123,7 +124,7 @@
     };
     std::map<std::string, peers::At> members;
     for (const auto& each : carrier_.membership().members()) members[each.name] = each.at;
-    std::vector<peers::ListSource::Holding> others;
+    std::vector<peers::ListSource::ListHolder> others;
     for (const auto& fact : carrier_.gossip().facts(now, kListTopic)) {
         const auto member = members.find(fact.origin);
         if (member == members.end() || fact.origin == carrier_.membership().self().name) continue;
@@ -255,12 +256,12 @@
         ~Registration() { followers.erase(position); }
     };
     auto& waiter = stream.waiter();
-    parse::HttpReader reader(parse::HttpReader::Kind::kRequest);
+    parse::HttpParser reader(parse::HttpParser::Kind::kRequest);
     const auto until = scheduler_.now() + kSourceTimeout;
-    while (reader.state() != parse::HttpReader::State::kDone) {
+    while (reader.state() != parse::HttpParser::State::kDone) {
         stream.buffer().drop(reader.feed(stream.buffer().held()));
-        if (reader.state() == parse::HttpReader::State::kDone) break;
-        if (reader.state() == parse::HttpReader::State::kBad || scheduler_.now() >= until) co_return;
+        if (reader.state() == parse::HttpParser::State::kDone) break;
+        if (reader.state() == parse::HttpParser::State::kBad || scheduler_.now() >= until) co_return;
         if (waiter.may(net::kRead)) {
             const auto got = stream.read();
             if (got == net::Stream::Got::kEnd || got == net::Stream::Got::kBroken) co_return;
--- a/src/service/list_share.hpp
+++ b/src/service/list_share.hpp
@@ -21,8 +21,8 @@
 // Follows one source of the server list and serves followers.
 class ServerListRelay : public ServerListListener {
 public:
-    ServerListRelay(net::Scheduler& scheduler, ServerListClient& list, peers::Carrier& carrier, Log& log,
-                    std::string name, std::uint64_t seed);
+    ServerListRelay(net::Scheduler& scheduler, ServerListClient& list, peers::PeerTransport& carrier,
+                    Log& log, std::string name, std::uint64_t seed);
 
     void start();
     void on_list(const std::string& revision, bool whole, const std::vector<ListedServer>& members,
@@ -60,7 +60,7 @@
 
     net::Scheduler& scheduler_;
     ServerListClient& list_client_;
-    peers::Carrier& carrier_;
+    peers::PeerTransport& carrier_;
     Log& log_;
     peers::ListSource source_selection_;
     std::optional<peers::ListSource::Source> current_source_;
--- a/src/service/list_watch.cpp
+++ b/src/service/list_watch.cpp
@@ -26,7 +26,7 @@
         log_.event(Level::kWarning, "known_list_refused", "the stored server list is invalid and is ignored");
 }
 
-void ServerListClient::watch(const WatchList& options) {
+void ServerListClient::watch(const WatchServerList& options) {
     watch_requested_ = true;
     if (listener_ != nullptr) return;
     if (options.longest_silence > 0) silence_timeout_ = options.longest_silence;
@@ -56,7 +56,7 @@
     drop_calls();
     if (!watch_requested_) return;
     start_call(true, 0);
-    dispatcher_.report_list_loss(ListKind::kMoved, since_last_contact(), false);
+    dispatcher_.report_list_loss(ListUpdateKind::kMoved, since_last_contact(), false);
 }
 
 void ServerListClient::drop_calls() { calls_.clear(); }
@@ -85,7 +85,7 @@
         {{"reason", std::string(name_of(state.end))},
          {"silent_ms", std::to_string((scheduler_.now() - state.last_input) / 10)}});
     const bool in_part = state.objects == 0 && state.status == 200 && state.end != CallEnd::kInProgress;
-    dispatcher_.report_list_loss(ListKind::kFailed, since_last_contact(), in_part);
+    dispatcher_.report_list_loss(ListUpdateKind::kFailed, since_last_contact(), in_part);
     if (listener_ != nullptr) listener_->on_call_ended();
 }
 
@@ -145,7 +145,7 @@
         if (from_member && message.member("revision") == nullptr && message.member("age_ms") != nullptr)
             return listener_->on_alive(parse_source_info(message)), true;
         return apply_list(message, false);
-    } catch (const parse::BadJson& error) {
+    } catch (const parse::JsonError& error) {
         log_.event(Level::kWarning, "discovery_failed", std::string("discovery: ") + error.what());
         return false;
     }
@@ -174,8 +174,8 @@
                 (id != nullptr && id->string() != nullptr ? id->string()->substr(0, 80) : "without id"));
     }
     revision_ = revision->number()->text;
-    const auto kind = *complete->boolean() ? ListKind::kFull : ListKind::kChanges;
-    if (kind == ListKind::kFull) {
+    const auto kind = *complete->boolean() ? ListUpdateKind::kFull : ListUpdateKind::kChanges;
+    if (kind == ListUpdateKind::kFull) {
         std::set<std::string> names;
         for (const auto& member : read) names.insert(member.name);
         starts_.keep_only(names);
@@ -183,9 +183,9 @@
     if (listener_ != nullptr && !saved) {
         const auto source =
             source_ == discovery_ ? ServerListListener::SourceInfo{} : parse_source_info(list);
-        listener_->on_list(revision_, kind == ListKind::kFull, read, source);
+        listener_->on_list(revision_, kind == ListUpdateKind::kFull, read, source);
     }
-    log_list(saved ? ListKind::kSaved : kind, read.size());
+    log_list(saved ? ListUpdateKind::kSaved : kind, read.size());
     if (!saved) {
         dispatcher_.apply_list(kind, std::move(read));
         return true;
@@ -196,14 +196,14 @@
     const Time age = is_dated ? scheduler_.now() -
                                     static_cast<Time>(std::clamp(saved_at->number()->value, 0.0, kMaxMs) * 10)
                               : -1;
-    dispatcher_.apply_list(ListKind::kSaved, std::move(read), age);
+    dispatcher_.apply_list(ListUpdateKind::kSaved, std::move(read), age);
     return true;
 }
 
-void ServerListClient::log_list(ListKind kind, std::size_t entries) {
-    const char* const what = kind == ListKind::kSaved  ? "the known list"
-                             : kind == ListKind::kFull ? "the whole list"
-                                                       : "changes of the list";
+void ServerListClient::log_list(ListUpdateKind kind, std::size_t entries) {
+    const char* const what = kind == ListUpdateKind::kSaved  ? "the known list"
+                             : kind == ListUpdateKind::kFull ? "the whole list"
+                                                             : "changes of the list";
     log_.event(
         Level::kInfo, "list_told",
         std::string(what) + ", " + std::to_string(entries) + " entries, " + dispatcher_.format_list_age(),
--- a/src/service/list_watch.hpp
+++ b/src/service/list_watch.hpp
@@ -47,7 +47,7 @@
 
     // Loads the list that this front node has stored.
     void load_known(const parse::Json& known);
-    void watch(const WatchList& options) override;
+    void watch(const WatchServerList& options) override;
     void fetch() override;
     // Discovery has moved to another address. Calls to the old address are dropped without a notification and
     // the list is requested from the new one at once; the current list stays in use.
@@ -75,7 +75,7 @@
     // Other front nodes that serve the list send something each second.
     static constexpr Time kPeerSilenceTimeout = 30'000;
 
-    void log_list(ListKind kind, std::size_t entries);
+    void log_list(ListUpdateKind kind, std::size_t entries);
     bool apply_object(const std::string& text);
     bool apply_list(const parse::Json& list, bool saved);
     static Time parse_age(const parse::Json& message);
--- a/src/service/log.cpp
+++ b/src/service/log.cpp
@@ -91,7 +91,7 @@
 
 }  // namespace
 
-Log::Log(std::FILE* out, const net::Scheduler& scheduler, Counters& counters, LogTerms options)
+Log::Log(std::FILE* out, const net::Scheduler& scheduler, Counters& counters, LogOptions options)
     : out_(out), scheduler_(scheduler), counters_(counters), options_(options),
       logger_(std::make_unique<spdlog::logger>("pinedoor", std::make_shared<LineSink>(out))) {
     logger_->set_level(to_spdlog(options.least));
--- a/src/service/log.hpp
+++ b/src/service/log.hpp
@@ -21,7 +21,7 @@
 enum class Level { kDebug, kInfo, kWarning, kError };
 enum class LogFormat { kPairs, kJson };
 
-struct LogTerms {
+struct LogOptions {
     LogFormat format = LogFormat::kPairs;
     Level least = Level::kInfo;
 };
@@ -33,7 +33,7 @@
         std::string value;
     };
 
-    Log(std::FILE* out, const net::Scheduler& scheduler, Counters& counters, LogTerms options = {});
+    Log(std::FILE* out, const net::Scheduler& scheduler, Counters& counters, LogOptions options = {});
     ~Log();
 
     bool is_enabled(Level level) const;  // whether lines of this level are written
@@ -50,7 +50,7 @@
     std::FILE* out_;
     const net::Scheduler& scheduler_;
     Counters& counters_;
-    const LogTerms options_;
+    const LogOptions options_;
     std::unique_ptr<spdlog::logger> logger_;
     net::Moment second_started_ = 0;
     std::map<std::string, int, std::less<>> lines_this_second_;  // event -> lines in the current second
--- a/src/service/placement_side.cpp
+++ b/src/service/placement_side.cpp
@@ -13,13 +13,13 @@
 constexpr Time kSilenceTimeout = 30'000;
 constexpr std::size_t kHottestShards = 20;  // hottest shards to be listed among the counters
 
-store::PartFate to_store(PieceFate fate) { return static_cast<store::PartFate>(fate); }
-PieceFate from_store(store::PartFate fate) { return static_cast<PieceFate>(fate); }
+store::PartOutcome to_store(FragmentFate fate) { return static_cast<store::PartOutcome>(fate); }
+FragmentFate from_store(store::PartOutcome fate) { return static_cast<FragmentFate>(fate); }
 
 }  // namespace
 
-PlacementHandler::PlacementHandler(net::Scheduler& scheduler, Log& log, PlacementTerms terms,
-                                   GatherTerms gather, net::Endpoint discovery, std::uint64_t seed)
+PlacementHandler::PlacementHandler(net::Scheduler& scheduler, Log& log, PlacementConfig terms,
+                                   GathererConfig gather, net::Endpoint discovery, std::uint64_t seed)
     : scheduler_(scheduler), log_(log), terms_(std::move(terms)), discovery_(discovery),
       follower_(terms_.follow), gatherer_(std::move(gather)), heat_(terms_.heat, seed), waiter_(scheduler) {}
 
@@ -104,11 +104,11 @@
     }
 }
 
-TakenRequest PlacementHandler::ask(MultigetAsked multiget, std::function<void(Ending)> ended) {
+SubmitResult PlacementHandler::ask(MultigetRequest multiget, std::function<void(MultigetResult)> ended) {
     if (const auto acceptance = dispatcher_->could_take(multiget.name); acceptance != Acceptance::kTaken)
         return {acceptance, 0};
     const auto number = ++last_number_;
-    GatherAsked request{multiget.op_type, multiget.not_after, {}};
+    GatherRequest request{multiget.op_type, multiget.not_after, {}};
     for (const auto& part : multiget.parts)
         request.splits.push_back({part.shard, part.weight, part.key, part.cost_hint});
     open_[number] = {std::move(multiget), std::move(ended), {}};
@@ -116,20 +116,20 @@
     return {Acceptance::kTaken, number};
 }
 
-store::PartFates PlacementHandler::leave(Ticket multiget) {
+store::PartOutcomes PlacementHandler::leave(Ticket multiget) {
     const auto at = open_.find(multiget);
     if (at == open_.end()) return {};
-    std::vector<std::pair<Route, PieceFate>> known;
+    std::vector<std::pair<Route, FragmentFate>> known;
     for (const int leg : gatherer_.open_legs(multiget)) {
         for (const auto& [route, fate] : dispatcher_->leave(at->second.legs[leg]))
             known.emplace_back(route, from_store(fate));
     }
-    store::PartFates fates;
+    store::PartOutcomes fates;
     for (const auto& [split, fate] : gatherer_.left(multiget, known))
         fates.emplace_back(split, to_store(fate));
     const bool wants_fates = at->second.request.tells_parts;
     open_.erase(at);
-    return wants_fates ? fates : store::PartFates{};
+    return wants_fates ? fates : store::PartOutcomes{};
 }
 
 std::shared_ptr<const std::string> PlacementHandler::request_text(
@@ -168,11 +168,11 @@
     executing_ = false;
 }
 
-void PlacementHandler::execute(const gathering::AskLeg& leg) {
+void PlacementHandler::execute(const gathering::SendRound& leg) {
     const auto at = open_.find(leg.number);
     if (at == open_.end()) return;  // the client has left
     const auto& first = at->second.request;
-    MultigetAsked multiget;
+    MultigetRequest multiget;
     multiget.name = leg.leg == 0 ? first.name : first.name + '~' + std::to_string(leg.leg);
     multiget.op_type = first.op_type;
     multiget.tenant = first.tenant;
@@ -190,8 +190,8 @@
         if (leg.leg == 0 && follower_.present())
             heat_.asked(follower_.present()->at(piece.first), piece.first, scheduler_.now());
     }
-    const auto [acceptance, ticket] =
-        dispatcher_->ask(std::move(multiget), [this, number = leg.number, which = leg.leg](Ending ending) {
+    const auto [acceptance, ticket] = dispatcher_->ask(
+        std::move(multiget), [this, number = leg.number, which = leg.leg](MultigetResult ending) {
             leg_ended(number, which, std::move(ending));
         });
     if (acceptance == Acceptance::kTaken) {
@@ -199,28 +199,28 @@
             still->second.legs[leg.leg] = ticket;
         return;
     }
-    Ending none;
-    none.kind = Ending::Kind::kPushedBack;
+    MultigetResult none;
+    none.kind = MultigetResult::Kind::kPushedBack;
     leg_ended(leg.number, leg.leg, std::move(none));
 }
 
-void PlacementHandler::leg_ended(Number number, int leg, Ending ending) {
-    LegEnd result;
-    result.kind = ending.kind == Ending::Kind::kAnswered     ? LegEnd::Kind::kAnswered
-                  : ending.kind == Ending::Kind::kPushedBack ? LegEnd::Kind::kPushedBack
-                                                             : LegEnd::Kind::kFailed;
+void PlacementHandler::leg_ended(Number number, int leg, MultigetResult ending) {
+    RoundResult result;
+    result.kind = ending.kind == MultigetResult::Kind::kAnswered     ? RoundResult::Kind::kAnswered
+                  : ending.kind == MultigetResult::Kind::kPushedBack ? RoundResult::Kind::kPushedBack
+                                                                     : RoundResult::Kind::kFailed;
     result.wait = ending.wait;
     for (auto& [route, value] : ending.values) result.values.emplace_back(route, std::move(value));
     for (const auto& [route, fate] : ending.parts) result.fates.emplace_back(route, from_store(fate));
     execute_all(gatherer_.leg_ended(scheduler_.now(), number, leg, std::move(result)));
 }
 
-void PlacementHandler::execute(const gathering::LeaveLeg& leg) {
+void PlacementHandler::execute(const gathering::AbandonRound& leg) {
     const auto at = open_.find(leg.number);
     if (at != open_.end()) dispatcher_->leave(at->second.legs[leg.leg]);
 }
 
-void PlacementHandler::execute(const gathering::WantMap& want) {
+void PlacementHandler::execute(const gathering::RequestMap& want) {
     follower_.epoch_seen(scheduler_.now(), want.shard, want.epoch);
     waiter_.signal();
 }
@@ -233,10 +233,10 @@
 void PlacementHandler::execute(const gathering::End& end) {
     const auto at = open_.find(end.number);
     if (at == open_.end()) return;
-    Ending ending;
-    ending.kind = end.kind == LegEnd::Kind::kAnswered     ? Ending::Kind::kAnswered
-                  : end.kind == LegEnd::Kind::kPushedBack ? Ending::Kind::kPushedBack
-                                                          : Ending::Kind::kFailed;
+    MultigetResult ending;
+    ending.kind = end.kind == RoundResult::Kind::kAnswered     ? MultigetResult::Kind::kAnswered
+                  : end.kind == RoundResult::Kind::kPushedBack ? MultigetResult::Kind::kPushedBack
+                                                               : MultigetResult::Kind::kFailed;
     ending.whole = end.whole;
     ending.wait = end.wait;
     ending.values = end.values;
--- a/src/service/placement_side.hpp
+++ b/src/service/placement_side.hpp
@@ -22,18 +22,18 @@
 namespace pinedoor::service {
 
 // Request handler that divides multigets by the placement map and gathers their results.
-class PlacementHandler : public RequestHandler, public PartRouting, public Holders {
+class PlacementHandler : public RequestHandler, public PartRouting, public ReplicaMap {
 public:
-    PlacementHandler(net::Scheduler& scheduler, Log& log, placement::PlacementTerms terms,
-                     placement::GatherTerms gather, net::Endpoint discovery, std::uint64_t seed);
+    PlacementHandler(net::Scheduler& scheduler, Log& log, placement::PlacementConfig terms,
+                     placement::GathererConfig gather, net::Endpoint discovery, std::uint64_t seed);
 
     void attach(Dispatcher& dispatcher) { dispatcher_ = &dispatcher; }
     void start();
     // Discovery has moved; the map is requested at the new address.
     void move_to(net::Endpoint discovery);
 
-    TakenRequest ask(MultigetAsked multiget, std::function<void(Ending)> ended) override;
-    store::PartFates leave(Ticket multiget) override;
+    SubmitResult ask(MultigetRequest multiget, std::function<void(MultigetResult)> ended) override;
+    store::PartOutcomes leave(Ticket multiget) override;
     Acceptance could_take(const std::string& name) const override { return dispatcher_->could_take(name); }
 
     std::shared_ptr<const std::string> request_text(int route,
@@ -45,8 +45,8 @@
 
 private:
     struct OpenMultiget {
-        MultigetAsked request;
-        std::function<void(Ending)> on_end;
+        MultigetRequest request;
+        std::function<void(MultigetResult)> on_end;
         std::map<int, Ticket> legs;
     };
     net::Task run();
@@ -54,22 +54,22 @@
     bool handle_object(const std::string& line);
     void check_heat();
     void execute_all(placement::Gatherer::Actions actions);
-    void execute(const placement::gathering::AskLeg& leg);
-    void execute(const placement::gathering::LeaveLeg& leg);
-    void execute(const placement::gathering::WantMap& want);
+    void execute(const placement::gathering::SendRound& leg);
+    void execute(const placement::gathering::AbandonRound& leg);
+    void execute(const placement::gathering::RequestMap& want);
     void execute(const placement::gathering::Wake& wake);
     void execute(const placement::gathering::End& end);
-    void leg_ended(placement::Number number, int leg, Ending ending);
+    void leg_ended(placement::Number number, int leg, MultigetResult ending);
 
     net::Scheduler& scheduler_;
     Log& log_;
-    const placement::PlacementTerms terms_;
+    const placement::PlacementConfig terms_;
     net::Endpoint discovery_;
     Dispatcher* dispatcher_ = nullptr;
-    placement::BoxNames box_names_;
+    placement::ServerNames box_names_;
     placement::MapFollower follower_;
     placement::Gatherer gatherer_;
-    placement::HeatBook heat_;
+    placement::LoadTracker heat_;
     std::map<placement::Number, OpenMultiget> open_;
     placement::Number last_number_ = 0;
     std::deque<placement::gathering::Action> pending_actions_;
--- a/src/service/request_handler.cpp
+++ b/src/service/request_handler.cpp
@@ -4,7 +4,7 @@
 
 namespace pinedoor::service {
 
-std::string answer_body(const Ending& ending) {
+std::string answer_body(const MultigetResult& ending) {
     std::string body = ending.whole ? "{\"whole\":true,\"results\":[" : "{\"whole\":false,\"results\":[";
     bool first = true;
     for (const auto& [shard, value] : ending.values) {
--- a/src/service/request_handler.hpp
+++ b/src/service/request_handler.hpp
@@ -13,7 +13,7 @@
 namespace pinedoor::service {
 
 // A multiget as its client asked for it.
-struct MultigetAsked {
+struct MultigetRequest {
     std::string name;  // chosen by the client, unique among its requests
     int op_type = 0;
     int tenant = 0;
@@ -27,7 +27,7 @@
 };
 
 // How a multiget ended.
-struct Ending {
+struct MultigetResult {
     // The last three come from the store alone: a multiget with the same key was answered, is in progress, or
     // had another body. Nothing was sent.
     enum class Kind {
@@ -41,17 +41,17 @@
     bool whole = false;
     Time wait = 0;  // Retry-After advice with kPushedBack or kUnderWay; 0: none
     std::vector<std::pair<int, std::string>> values;  // shard and value of each answered part
-    store::PartFates parts;                           // fate of each part, if requested
+    store::PartOutcomes parts;                        // fate of each part, if requested
     std::string told;  // kRecorded: the body of the answer; else a message for people
 };
 
 // Returns the JSON body of an answer.
-std::string answer_body(const Ending& ending);
+std::string answer_body(const MultigetResult& ending);
 
 enum class Acceptance { kTaken, kNoRoom, kNameInUse };
 using Ticket = std::uint64_t;  // identifies an accepted multiget until its end
 
-struct TakenRequest {
+struct SubmitResult {
     Acceptance acceptance = Acceptance::kNoRoom;
     Ticket ticket = 0;  // 0: it was not accepted, or has ended already
 };
@@ -62,9 +62,9 @@
 public:
     virtual ~RequestHandler() = default;
     // Calls `ended` exactly once, possibly before submit() returns, unless abandon() is called first.
-    virtual TakenRequest ask(MultigetAsked multiget, std::function<void(Ending)> ended) = 0;
+    virtual SubmitResult ask(MultigetRequest multiget, std::function<void(MultigetResult)> ended) = 0;
     // Abandons a multiget. Returns the fates of its parts; empty if it has ended.
-    virtual store::PartFates leave(Ticket multiget) = 0;
+    virtual store::PartOutcomes leave(Ticket multiget) = 0;
     // What submit() would return now.
     virtual Acceptance could_take(const std::string& name) const = 0;
 };
--- a/src/service/server_side.cpp
+++ b/src/service/server_side.cpp
@@ -333,7 +333,7 @@
     }
     const auto key = at->second;
     if (active_sends_.at(key).stage != Stage::kSent) return false;  // answered before the request was written
-    if (result->end == parse::ResultEnd::kMoved) {
+    if (result->end == parse::ResultStatus::kMoved) {
         std::uint64_t epoch = 0;
         const auto* last = result->value.data() + result->value.size();
         const auto [end, error] = std::from_chars(result->value.data(), last, epoch);
@@ -344,9 +344,9 @@
         return true;
     }
     connection.last_answered = result->id;
-    const auto outcome = result->end == parse::ResultEnd::kDone   ? Outcome::kReturned
-                         : result->end == parse::ResultEnd::kFull ? Outcome::kFull
-                                                                  : Outcome::kError;
+    const auto outcome = result->end == parse::ResultStatus::kDone   ? Outcome::kReturned
+                         : result->end == parse::ResultStatus::kFull ? Outcome::kFull
+                                                                     : Outcome::kError;
     finish_send(key, outcome, parse_report(result->report), std::string(result->value));
     return true;
 }
--- a/src/simhost/main.cpp
+++ b/src/simhost/main.cpp
@@ -17,7 +17,7 @@
 using pinedoor::FrontNode;
 using pinedoor::wire::ProtocolError;
 
-FrontNode make_node(const pinedoor::wire::Hello& hello, const pinedoor::stated::Stated& settings) {
+FrontNode make_node(const pinedoor::wire::Hello& hello, const pinedoor::stated::Settings& settings) {
     return FrontNode(hello.seed, settings.node_place(), settings.op_types(), settings.shard_ring(),
                      settings.send_terms(), settings.further_send_terms(), settings.cold_terms(),
                      settings.list_terms(), settings.client_terms(), settings.tenants(),
@@ -53,7 +53,7 @@
 private:
     static void handle(int, Instance& instance, const pinedoor::wire::Hello& hello) {
         instance = Instance{};
-        const auto settings = pinedoor::stated::Stated::from_text(hello.settings);
+        const auto settings = pinedoor::stated::Settings::from_text(hello.settings);
         instance.node = make_node(hello, settings);
         instance.op_types = settings.op_types().size();
         instance.turn_due = true;
@@ -84,7 +84,7 @@
         step->parts.push_back(arrival.part);
     }
     static void handle(int number, Instance& instance, const pinedoor::wire::DiscoveryUpdate& update) {
-        add_event(number, instance, pinedoor::ListNews{update.kind, update.entries});
+        add_event(number, instance, pinedoor::ListUpdate{update.kind, update.entries});
     }
     static void handle(int number, Instance& instance, const pinedoor::wire::HeadReceived&) {
         require_node(number, instance);
--- a/src/stated/fleet_file.cpp
+++ b/src/stated/fleet_file.cpp
@@ -13,7 +13,7 @@
 constexpr std::int64_t kMaxCount = 1'000'000;
 constexpr double kMaxValue = 1e15;
 
-void read_limits(TomlTable table, PlanTerms& terms) {
+void read_limits(TomlTable table, PlanConfig& terms) {
     terms.fill = table.number("fill", terms.fill, 0.01, 1);
     terms.near_enough = table.number("near_enough", terms.near_enough, 0, 10);
     const auto count = [&table](const char* key, std::size_t default_value, std::int64_t min_value) {
@@ -44,11 +44,11 @@
     return box;
 }
 
-Need read_need(TomlTable table, const BoxNames& names) {
+Need read_need(TomlTable table, const ServerNames& names) {
     Need need;
     need.shard = static_cast<ShardId>(table.whole("id", 0, 1, INT64_MAX));
     const auto boxes = [&](const char* key) {
-        std::vector<BoxId> found;
+        std::vector<ServerNumber> found;
         for (const auto& name : table.texts(key)) {
             const auto box = names.find(name);
             if (!box) table.reject(key, "names '" + name + "', which is not a box of this file");
@@ -80,14 +80,15 @@
     for (auto& entry : table.tables("shards"))
         file.fleet.shards.push_back(read_need(std::move(entry), file.names));
     table.finish();
-    if (const auto error = fault_of(file.fleet); !error.empty()) throw BadStated(path + ": " + error);
+    if (const auto error = fault_of(file.fleet); !error.empty()) throw ConfigError(path + ": " + error);
     return file;
 }
 
 FleetFile read_fleet_file(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
     std::ostringstream text;
-    if (!file || !(text << file.rdbuf())) throw BadStated(path + ": cannot be read; name a file that exists");
+    if (!file || !(text << file.rdbuf()))
+        throw ConfigError(path + ": cannot be read; name a file that exists");
     return parse_fleet(text.str(), path);
 }
 
--- a/src/stated/fleet_file.hpp
+++ b/src/stated/fleet_file.hpp
@@ -18,11 +18,11 @@
 // The parsed fleet, with the names of its boxes and zones; a zone's number is its index in `zones`.
 struct FleetFile {
     placement::Fleet fleet;
-    placement::BoxNames names;
+    placement::ServerNames names;
     std::vector<std::string> zones;
 };
 
-// Both throw BadStated; the message names the file, the line, the key and how to correct it.
+// Both throw ConfigError; the message names the file, the line, the key and how to correct it.
 FleetFile read_fleet_file(const std::string& path);
 FleetFile parse_fleet(std::string_view text, const std::string& path);
 
--- a/src/stated/installation.cpp
+++ b/src/stated/installation.cpp
@@ -27,7 +27,7 @@
            unit;
 }
 
-void read_write(TomlTable table, store::WriteTerms& terms) {
+void read_write(TomlTable table, store::WriteConfig& terms) {
     terms.most_batch = read_size(table, "most_batch", terms.most_batch, 1, 1, 10'000);
     terms.most_waiting = read_size(table, "most_waiting", terms.most_waiting, 1, 1, 1'000'000);
     terms.gather = read_time(table, "gather_ms", terms.gather, 0, 1'000);
@@ -40,14 +40,14 @@
     table.finish();
 }
 
-void read_spill(TomlTable table, store::StoreTerms& terms) {
+void read_spill(TomlTable table, store::StoreConfig& terms) {
     terms.write.spill_bytes = read_size(table, "most_mb", terms.write.spill_bytes, kMb, 1, 1'000'000);
     terms.spill_file_bytes = read_size(table, "file_mb", terms.spill_file_bytes, kMb, 1, 1'000);
     terms.write.outcome_room = read_size(table, "outcome_room", terms.write.outcome_room, 1, 256, 65'536);
     table.finish();
 }
 
-void read_postgres(TomlTable table, store::StoreTerms& terms) {
+void read_postgres(TomlTable table, store::StoreConfig& terms) {
     terms.postgres.conninfo = table.text("conninfo", "");
     if (terms.kind == store::Kind::kPostgres && terms.postgres.conninfo.empty())
         table.reject("conninfo", "is missing; write where the database is, as libpq takes it");
@@ -58,14 +58,14 @@
     table.finish();
 }
 
-void read_keep(TomlTable table, store::KeepTerms& terms) {
+void read_keep(TomlTable table, store::RetentionConfig& terms) {
     terms.days = static_cast<int>(table.whole("days", terms.days, 0, 36'500));
     terms.step = read_size(table, "step", terms.step, 1, 1, 10'000);
     terms.every = read_time(table, "every_ms", terms.every, 10, 86'400'000);
     table.finish();
 }
 
-void read_store(TomlTable table, store::StoreTerms& terms) {
+void read_store(TomlTable table, store::StoreConfig& terms) {
     const auto kind = table.word("kind", {"none", "sqlite", "postgres"});
     terms.kind = kind == "sqlite"     ? store::Kind::kSqlite
                  : kind == "postgres" ? store::Kind::kPostgres
@@ -84,7 +84,7 @@
     table.finish();
 }
 
-void read_placement(TomlTable table, placement::PlacementTerms& terms) {
+void read_placement(TomlTable table, placement::PlacementConfig& terms) {
     terms.on = table.flag("on", false);
     terms.path = table.text("path", terms.path);
     if (terms.path.empty() || terms.path.front() != '/') table.reject("path", "must begin with /");
@@ -115,7 +115,7 @@
     return *parsed;
 }
 
-void read_peers(TomlTable table, peers::PeerTerms& terms) {
+void read_peers(TomlTable table, peers::PeerConfig& terms) {
     terms.on = table.flag("on", false);
     terms.cluster = table.text("cluster", terms.cluster);
     if (terms.cluster.empty() || terms.cluster.size() > 64 || terms.cluster.find(' ') != std::string::npos)
@@ -166,14 +166,14 @@
     if (terms.lease > terms.vote)
         table.reject("lease_ms", "is more than vote_ms: shares must end before the votes do");
     for (auto& entry : table.tables("limits")) {
-        fleet::LimitTerms limit;
+        fleet::LimitConfig limit;
         limit.name = entry.text("name", "");
         if (limit.name.empty() || limit.name.size() > 32 ||
             limit.name.find_first_of(" \"\n") != std::string::npos)
             entry.reject("name", "must be 1 to 32 characters without blanks");
         limit.tenant = entry.text("tenant", "");
         limit.op_type = entry.text("op_type", "");
-        using Of = fleet::LimitTerms::Of;
+        using Of = fleet::LimitConfig::Of;
         const auto resource_name =
             entry.word("of", {"multigets", "further-sends", "connections", "parts-out"});
         for (const auto resource : {Of::kFurtherSends, Of::kConnections, Of::kPartsOut}) {
@@ -188,7 +188,7 @@
             entry.reject(at_once ? "at_once" : "per_second",
                          "is missing; write the limit of all front nodes together");
         if (!at_once) limit.burst = entry.number("burst", limit.per_second / 10, 0, 1e9);
-        using Kind = fleet::LimitTerms::Kind;
+        using Kind = fleet::LimitConfig::Kind;
         const auto kind = entry.word("kind", {"never-over", "about", "alone"});
         limit.kind = kind == "about" ? Kind::kAbout : kind == "alone" ? Kind::kAlone : Kind::kNeverOver;
         if (at_once && limit.kind == Kind::kNeverOver)
@@ -198,19 +198,19 @@
         entry.finish();
         terms.limits.push_back(std::move(limit));
     }
-    const auto count = [&terms](fleet::LimitTerms::Kind kind) {
+    const auto count = [&terms](fleet::LimitConfig::Kind kind) {
         return static_cast<std::size_t>(
             std::count_if(terms.limits.begin(), terms.limits.end(),
                           [kind](const auto& entry) { return entry.kind == kind; }));
     };
-    if (count(fleet::LimitTerms::Kind::kAbout) > fleet::kMostAbout)
+    if (count(fleet::LimitConfig::Kind::kAbout) > fleet::kMostAbout)
         table.reject("limits", "has more than twenty entries of kind \"about\"");
     if (terms.on && !peers && terms.needs_peers())
         table.reject("on",
                      "needs [peers] unless all limits are of kind \"alone\": peers divide the other limits "
                      "among themselves");
     const auto voters = terms.voters.size();
-    if (terms.on && (count(fleet::LimitTerms::Kind::kNeverOver) > 0 || voters > 0) &&
+    if (terms.on && (count(fleet::LimitConfig::Kind::kNeverOver) > 0 || voters > 0) &&
         (voters % 2 == 0 || voters > 7))
         table.reject("voters", "must be 1, 3, 5 or 7 names of front nodes, the same on all of them");
     table.finish();
@@ -218,9 +218,9 @@
 
 }  // namespace
 
-Installation Installation::from_text(std::string_view text, const std::string& path) {
+NodeSettings NodeSettings::from_text(std::string_view text, const std::string& path) {
     const auto parsed = parse_toml(text, path);
-    Installation installation;
+    NodeSettings installation;
     TomlTable table(parsed, "", path);
     auto log = table.table("log");
     installation.log.format = log.word("format", {"pairs", "json"});
@@ -234,10 +234,11 @@
     return installation;
 }
 
-Installation Installation::read_file(const std::string& path) {
+NodeSettings NodeSettings::read_file(const std::string& path) {
     std::ifstream file(path, std::ios::binary);
     std::ostringstream text;
-    if (!file || !(text << file.rdbuf())) throw BadStated(path + ": cannot be read; name a file that exists");
+    if (!file || !(text << file.rdbuf()))
+        throw ConfigError(path + ": cannot be read; name a file that exists");
     return from_text(text.str(), path);
 }
 
--- a/src/stated/installation.hpp
+++ b/src/stated/installation.hpp
@@ -15,22 +15,22 @@
 namespace pinedoor::stated {
 
 // The log's format and minimum level, spelled as in the file.
-struct LogWords {
+struct LogSettings {
     std::string format = "pairs";
     std::string level = "info";
 };
 
 // The settings file, parsed and checked.
-struct Installation {
-    LogWords log;
-    store::StoreTerms store;
-    placement::PlacementTerms placement;
-    peers::PeerTerms peers;
+struct NodeSettings {
+    LogSettings log;
+    store::StoreConfig store;
+    placement::PlacementConfig placement;
+    peers::PeerConfig peers;
     fleet::FleetTerms fleet;
 
-    // Both throw BadStated; the message names the file, the line, the key and how to correct it.
-    static Installation read_file(const std::string& path);
-    static Installation from_text(std::string_view text, const std::string& path);
+    // Both throw ConfigError; the message names the file, the line, the key and how to correct it.
+    static NodeSettings read_file(const std::string& path);
+    static NodeSettings from_text(std::string_view text, const std::string& path);
 };
 
 }  // namespace pinedoor::stated
--- a/src/stated/launch.cpp
+++ b/src/stated/launch.cpp
@@ -13,30 +13,30 @@
 
 const parse::Json& member(const parse::Json& in, const std::string& path, const std::string& name) {
     const auto* found = in.member(name);
-    if (found == nullptr) throw BadStated("configuration: " + path + " is missing");
+    if (found == nullptr) throw ConfigError("configuration: " + path + " is missing");
     return *found;
 }
 
 std::string text_of(const parse::Json& file, const std::string& name, const char* variable) {
     if (variable != nullptr && *variable != '\0') return variable;
     const auto* text = member(file, name, name).string();
-    if (text == nullptr || text->empty()) throw BadStated("configuration: " + name + " is no text");
+    if (text == nullptr || text->empty()) throw ConfigError("configuration: " + name + " is no text");
     return *text;
 }
 
 net::Endpoint endpoint_of(const parse::Json& file, const std::string& name, const char* variable) {
     const auto text = text_of(file, name, variable);
     const auto endpoint = net::parse_endpoint(text);
-    if (!endpoint) throw BadStated("configuration: " + name + " is no address and port: '" + text + "'");
+    if (!endpoint) throw ConfigError("configuration: " + name + " is no address and port: '" + text + "'");
     return *endpoint;
 }
 
 double limit_of(const parse::Json& limits, const std::string& name, double min_value) {
     const auto path = "limits." + name;
     const auto* number = member(limits, path, name).number();
-    if (number == nullptr) throw BadStated("configuration: " + path + " is not a number");
+    if (number == nullptr) throw ConfigError("configuration: " + path + " is not a number");
     if (number->value < min_value || number->value > 1e9) {
-        throw BadStated("configuration: " + path + " is out of range: " + number->text);
+        throw ConfigError("configuration: " + path + " is out of range: " + number->text);
     }
     return number->value;
 }
@@ -48,42 +48,42 @@
         const auto [end, error] = std::from_chars(text->data(), text->data() + text->size(), seed, 16);
         if (error == std::errc{} && end == text->data() + text->size() && !text->empty()) return seed;
     }
-    throw BadStated("configuration: seed is not 1 to 16 hex digits");
+    throw ConfigError("configuration: seed is not 1 to 16 hex digits");
 }
 
 }  // namespace
 
-Launch Launch::read(const Variable& variable) {
+LaunchConfig LaunchConfig::read(const Variable& variable) {
     const char* path = variable("ROUTER_CONFIG");
-    if (path == nullptr || *path == '\0') throw BadStated("ROUTER_CONFIG is not set");
+    if (path == nullptr || *path == '\0') throw ConfigError("ROUTER_CONFIG is not set");
     return read_file(path, variable);
 }
 
-Launch Launch::read_again() const {
+LaunchConfig LaunchConfig::read_again() const {
     return read_file(path_, [](const char*) { return nullptr; });
 }
 
-Launch Launch::read_file(const std::string& path, const Variable& variable) {
+LaunchConfig LaunchConfig::read_file(const std::string& path, const Variable& variable) {
     std::ifstream file(path, std::ios::binary);
     std::ostringstream text;
     if (!file || !(text << file.rdbuf())) {
-        throw BadStated("ROUTER_CONFIG: cannot read '" + path + "'");
+        throw ConfigError("ROUTER_CONFIG: cannot read '" + path + "'");
     }
     try {
-        Launch launch(parse::parse_json(text.str(), {kMaxFileBytes, 32}), variable);
+        LaunchConfig launch(parse::parse_json(text.str(), {kMaxFileBytes, 32}), variable);
         launch.path_ = path;
         return launch;
-    } catch (const parse::BadJson& error) {
-        throw BadStated(std::string("configuration: ") + error.what());
+    } catch (const parse::JsonError& error) {
+        throw ConfigError(std::string("configuration: ") + error.what());
     }
 }
 
-Launch::Launch(const parse::Json& file, const Variable& variable)
+LaunchConfig::LaunchConfig(const parse::Json& file, const Variable& variable)
     : name_(text_of(file, "name", variable("ROUTER_NAME"))),
       listen_(endpoint_of(file, "listen", variable("ROUTER_LISTEN"))),
       discovery_(endpoint_of(file, "discovery", variable("ROUTER_DISCOVERY"))), seed_(seed_of(file)),
       known_(member(file, "known", "known")),
-      settings_(Stated::from_json(member(file, "settings", "settings"))) {
+      settings_(Settings::from_json(member(file, "settings", "settings"))) {
     const auto& limits = member(file, "limits", "limits");
     sockets_ = static_cast<std::size_t>(limit_of(limits, "sockets", kMinSockets));
     memory_ = static_cast<std::size_t>(limit_of(limits, "memory_mb", kMinMemoryMb) * (1 << 20));
@@ -91,7 +91,7 @@
     for (const char* key : {"name", "listen", "limits", "settings"}) fixed_values_[key] = *file.member(key);
 }
 
-std::vector<std::string> Launch::needing_restart(const Launch& newer) const {
+std::vector<std::string> LaunchConfig::needing_restart(const LaunchConfig& newer) const {
     std::vector<std::string> keys;
     for (const auto& [key, value] : fixed_values_) {
         if (newer.fixed_values_.at(key) != value) keys.push_back(key);
--- a/src/stated/launch.hpp
+++ b/src/stated/launch.hpp
@@ -14,20 +14,21 @@
 
 namespace pinedoor::stated {
 
-// The launch configuration. All keys are checked on construction, which throws BadStated with the key's name.
-class Launch {
+// The launch configuration. All keys are checked on construction, which throws ConfigError with the key's
+// name.
+class LaunchConfig {
 public:
     // Returns the value of an environment variable, or null if it is not set.
     using Variable = std::function<const char*(const char* name)>;
 
-    static Launch read(const Variable& variable);
-    Launch(const parse::Json& file, const Variable& variable);
+    static LaunchConfig read(const Variable& variable);
+    LaunchConfig(const parse::Json& file, const Variable& variable);
 
     // Reads the same file again. Environment variables are ignored then: they hold the values of the start
     // and would hide changes in the file.
-    Launch read_again() const;
+    LaunchConfig read_again() const;
     // The keys that differ in `newer` and take effect only after a restart.
-    std::vector<std::string> needing_restart(const Launch& newer) const;
+    std::vector<std::string> needing_restart(const LaunchConfig& newer) const;
 
     const std::string& name() const { return name_; }
     net::Endpoint listen() const { return listen_; }
@@ -36,10 +37,10 @@
     std::size_t sockets() const { return sockets_; }  // the number of descriptors that this process may hold
     std::size_t memory() const { return memory_; }    // bytes
     const parse::Json& known() const { return known_; }
-    const Stated& settings() const { return settings_; }
+    const Settings& settings() const { return settings_; }
 
 private:
-    static Launch read_file(const std::string& path, const Variable& variable);
+    static LaunchConfig read_file(const std::string& path, const Variable& variable);
 
     std::string path_;
     std::map<std::string, parse::Json> fixed_values_;  // those that cannot change while the process runs
@@ -50,7 +51,7 @@
     std::size_t sockets_ = 0;
     std::size_t memory_ = 0;
     parse::Json known_;
-    Stated settings_;
+    Settings settings_;
 };
 
 }  // namespace pinedoor::stated
--- a/src/stated/stated.cpp
+++ b/src/stated/stated.cpp
@@ -14,17 +14,17 @@
     double value = 0;
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (error != std::errc{} || end != text.data() + text.size() || !std::isfinite(value)) {
-        throw BadStated("settings: " + path + " is not a number: '" + text + "'");
+        throw ConfigError("settings: " + path + " is not a number: '" + text + "'");
     }
     if (value < min_value || value > max_value)
-        throw BadStated("settings: " + path + " is out of range: " + text);
+        throw ConfigError("settings: " + path + " is out of range: " + text);
     return value;
 }
 
 }  // namespace
 
-Stated Stated::from_text(std::string_view text) {
-    Stated result;
+Settings Settings::from_text(std::string_view text) {
+    Settings result;
     while (!text.empty()) {
         const auto end = std::min(text.find('\n'), text.size());
         const auto line = text.substr(0, end);
@@ -32,7 +32,7 @@
         if (line.empty()) continue;
         const auto separator = line.find('=');
         if (separator == std::string_view::npos) {
-            throw BadStated("settings: line without '=': '" + std::string(line.substr(0, 80)) + "'");
+            throw ConfigError("settings: line without '=': '" + std::string(line.substr(0, 80)) + "'");
         }
         result.values_.insert_or_assign(std::string(line.substr(0, separator)),
                                         std::string(line.substr(separator + 1)));
@@ -40,16 +40,16 @@
     return result;
 }
 
-Stated Stated::from_json(const parse::Json& settings) {
-    if (settings.members() == nullptr) throw BadStated("settings: no object");
-    Stated result;
+Settings Settings::from_json(const parse::Json& settings) {
+    if (settings.members() == nullptr) throw ConfigError("settings: no object");
+    Settings result;
     result.flatten("", settings);
     return result;
 }
 
 // Converts nested JSON to the form of the simulator's text: names are joined to paths, lists of plain values
 // are joined by commas, and each list gets a count.
-void Stated::flatten(const std::string& path, const parse::Json& value) {
+void Settings::flatten(const std::string& path, const parse::Json& value) {
     if (const auto* members = value.members()) {
         for (const auto& [name, member] : *members) flatten(path.empty() ? name : path + '.' + name, member);
     } else if (const auto* list = value.list()) {
@@ -74,44 +74,44 @@
     }
 }
 
-const std::string* Stated::find(const std::string& path) const {
+const std::string* Settings::find(const std::string& path) const {
     const auto it = values_.find(path);
     return it == values_.end() ? nullptr : &it->second;
 }
 
-const std::string& Stated::text(const std::string& path) const {
+const std::string& Settings::text(const std::string& path) const {
     const auto* value = find(path);
-    if (value == nullptr) throw BadStated("settings: " + path + " is missing");
+    if (value == nullptr) throw ConfigError("settings: " + path + " is missing");
     return *value;
 }
 
-double Stated::number(const std::string& path, double min_value, double max_value) const {
+double Settings::number(const std::string& path, double min_value, double max_value) const {
     return to_number(path, text(path), min_value, max_value);
 }
 
-double Stated::number_or(const std::string& path, double min_value, double max_value,
-                         double default_value) const {
+double Settings::number_or(const std::string& path, double min_value, double max_value,
+                           double default_value) const {
     return find(path) == nullptr ? default_value : number(path, min_value, max_value);
 }
 
-int Stated::whole(const std::string& path, int min_value, int max_value) const {
+int Settings::whole(const std::string& path, int min_value, int max_value) const {
     const double value = number(path, min_value, max_value);
-    if (value != std::floor(value)) throw BadStated("settings: " + path + " is not a whole number");
+    if (value != std::floor(value)) throw ConfigError("settings: " + path + " is not a whole number");
     return static_cast<int>(value);
 }
 
-Time Stated::time(const std::string& path) const {
+Time Settings::time(const std::string& path) const {
     return static_cast<Time>(std::llround(number(path, 0, kMaxMs) * 10));
 }
 
-bool Stated::flag(const std::string& path) const {
+bool Settings::flag(const std::string& path) const {
     const auto& value = text(path);
     if (value == "true") return true;
     if (value == "false") return false;
-    throw BadStated("settings: " + path + " is neither true nor false: '" + value + "'");
+    throw ConfigError("settings: " + path + " is neither true nor false: '" + value + "'");
 }
 
-std::vector<std::string> Stated::list(const std::string& path) const {
+std::vector<std::string> Settings::list(const std::string& path) const {
     std::vector<std::string> items;
     std::string_view rest = text(path);
     while (!rest.empty()) {
@@ -122,14 +122,15 @@
     return items;
 }
 
-double Stated::list_number(const std::string& path, std::size_t i, double min_value, double max_value) const {
+double Settings::list_number(const std::string& path, std::size_t i, double min_value,
+                             double max_value) const {
     const auto items = list(path);
-    if (i >= items.size()) throw BadStated("settings: " + path + " has too few values");
+    if (i >= items.size()) throw ConfigError("settings: " + path + " has too few values");
     return to_number(path, items[i], min_value, max_value);
 }
 
-NodePlace Stated::node_place() const {
-    NodePlace place;
+NodeConfig Settings::node_place() const {
+    NodeConfig place;
     place.me = whole("me", 0, kMaxCount);
     place.front_nodes = whole("siblings", 1, kMaxCount);
     place.zone = whole("zone", 0, kMaxCount);
@@ -137,7 +138,7 @@
     return place;
 }
 
-std::vector<OpType> Stated::op_types() const {
+std::vector<OpType> Settings::op_types() const {
     std::vector<OpType> types(static_cast<std::size_t>(whole("classes.count", 0, 10'000)));
     for (std::size_t i = 0; i < types.size(); ++i) {
         const std::string prefix = "classes." + std::to_string(i) + ".";
@@ -146,16 +147,16 @@
         type.route_timeout = time(prefix + "deadline_ms");
         const auto& effect = text(prefix + "effect");
         if (effect == "free") {
-            type.repeat = Repeat::kRetriable;
+            type.repeat = RetrySafety::kRetriable;
         } else if (effect == "guarded") {
-            type.repeat = Repeat::kDeduped;
+            type.repeat = RetrySafety::kDeduped;
             type.dedup_window = time(prefix + "memory_span_ms");
             // A further send may go to any replica of the shard, so all replicas have to detect the repeat.
             if (const auto* scope = find(prefix + "dedup_scope"); scope != nullptr && *scope != "all") {
-                throw BadStated("settings: " + prefix + "dedup_scope is not served: '" + *scope + "'");
+                throw ConfigError("settings: " + prefix + "dedup_scope is not served: '" + *scope + "'");
             }
         } else if (effect != "single_shot") {
-            throw BadStated("settings: " + prefix + "effect is unknown: '" + effect + "'");
+            throw ConfigError("settings: " + prefix + "effect is unknown: '" + effect + "'");
         }
         type.importance = number(prefix + "worth", 0, 1e9);
         type.late_importance = number(prefix + "late_worth", 0, 1);
@@ -167,7 +168,7 @@
     return types;
 }
 
-ShardRing Stated::shard_ring() const {
+ShardRing Settings::shard_ring() const {
     ShardRing ring;
     ring.places = whole("family_info.places", 1, kMaxCount);
     ring.width = whole("family_info.width", 1, ring.places);
@@ -176,8 +177,8 @@
     return ring;
 }
 
-SendTerms Stated::send_terms() const {
-    SendTerms terms;
+SendConfig Settings::send_terms() const {
+    SendConfig terms;
     terms.most_sends = whole("limits.max_attempts", 1, kMaxCount);
     terms.second_copies = flag("limits.second_copies");
     terms.cancel = flag("limits.cancel");
@@ -185,8 +186,8 @@
     return terms;
 }
 
-FurtherSendTerms Stated::further_send_terms() const {
-    FurtherSendTerms terms;
+FurtherSendConfig Settings::further_send_terms() const {
+    FurtherSendConfig terms;
     if (find("rules.look_back_ms") == nullptr) return terms;
     terms.look_back = time("rules.look_back_ms");
     terms.floor = number_or("rules.extra_floor", 0, 1e9, 0);
@@ -194,8 +195,8 @@
     return terms;
 }
 
-ColdTerms Stated::cold_terms() const {
-    ColdTerms terms;
+ColdStartConfig Settings::cold_terms() const {
+    ColdStartConfig terms;
     terms.from = number("rules.cold_from", 0, 1);
     terms.warm_after = time("rules.warm_after_ms");
     terms.fall_multiple = number("rules.fall_multiple", 0, 1e9);
@@ -203,11 +204,11 @@
     return terms;
 }
 
-ListTerms Stated::list_terms() const {
-    ListTerms terms;
+ServerListConfig Settings::list_terms() const {
+    ServerListConfig terms;
     const auto& mode = text("discovery");
     if (mode != "on_request" && mode != "pushed") {
-        throw BadStated("settings: discovery is unknown: '" + mode + "'");
+        throw ConfigError("settings: discovery is unknown: '" + mode + "'");
     }
     terms.ask = mode == "on_request";
     if (terms.ask) terms.must_ask_in = time("rules.must_ask_in_ms");
@@ -215,8 +216,8 @@
     return terms;
 }
 
-ClientTerms Stated::client_terms() const {
-    ClientTerms terms;
+ClientConfig Settings::client_terms() const {
+    ClientConfig terms;
     terms.retry_after = flag("limits.retry_after");
     terms.longest_retry_after = time("limits.max_retry_after_ms");
     terms.marks_repeats = flag("clients.marks_retry");
@@ -224,8 +225,8 @@
     return terms;
 }
 
-std::vector<TenantShare> Stated::tenants() const {
-    std::vector<TenantShare> tenants;
+std::vector<TenantQuota> Settings::tenants() const {
+    std::vector<TenantQuota> tenants;
     if (find("parties.count") == nullptr) return tenants;
     tenants.resize(static_cast<std::size_t>(whole("parties.count", 0, 100'000)));
     for (std::size_t i = 0; i < tenants.size(); ++i) {
@@ -234,8 +235,8 @@
     return tenants;
 }
 
-HintTerms Stated::hint_terms() const {
-    HintTerms terms;
+HintConfig Settings::hint_terms() const {
+    HintConfig terms;
     terms.probes = flag("limits.probes");
     terms.peers = flag("limits.peers");
     terms.warm_keys = find("family_info.warm_keys") != nullptr && flag("family_info.warm_keys");
@@ -248,27 +249,27 @@
     return terms;
 }
 
-std::vector<std::string> Stated::op_type_names() const {
+std::vector<std::string> Settings::op_type_names() const {
     std::vector<std::string> names(static_cast<std::size_t>(whole("classes.count", 0, 10'000)));
     for (std::size_t i = 0; i < names.size(); ++i) names[i] = text("classes." + std::to_string(i) + ".name");
     return names;
 }
 
-std::vector<std::string> Stated::tenant_names() const {
+std::vector<std::string> Settings::tenant_names() const {
     std::vector<std::string> names(tenants().size());
     for (std::size_t i = 0; i < names.size(); ++i) names[i] = text("parties." + std::to_string(i) + ".name");
     return names;
 }
 
-std::vector<std::string> Stated::zone_names() const { return list("failure_domains"); }
+std::vector<std::string> Settings::zone_names() const { return list("failure_domains"); }
 
-std::vector<std::string> Stated::report_fields() const {
+std::vector<std::string> Settings::report_fields() const {
     return find("load_info.fields") == nullptr ? std::vector<std::string>{} : list("load_info.fields");
 }
 
-int Stated::shards() const { return whole("family_info.shards", 1, kMaxCount); }
-int Stated::most_open() const { return whole("limits.max_open", 1, kMaxCount); }
-int Stated::streams_per_connection() const { return whole("limits.streams_per_conn", 1, kMaxCount); }
-Time Stated::connection_idle() const { return time("limits.conn_idle_ms"); }
+int Settings::shards() const { return whole("family_info.shards", 1, kMaxCount); }
+int Settings::most_open() const { return whole("limits.max_open", 1, kMaxCount); }
+int Settings::streams_per_connection() const { return whole("limits.streams_per_conn", 1, kMaxCount); }
+Time Settings::connection_idle() const { return time("limits.conn_idle_ms"); }
 
 }  // namespace pinedoor::stated
--- a/src/stated/stated.hpp
+++ b/src/stated/stated.hpp
@@ -15,27 +15,27 @@
 namespace pinedoor::stated {
 
 // Thrown for any invalid configuration; the message names the key.
-struct BadStated : std::runtime_error {
+struct ConfigError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// The settings as paths and values. Each accessor throws BadStated if a path that it needs is missing or
+// The settings as paths and values. Each accessor throws ConfigError if a path that it needs is missing or
 // invalid; other paths are ignored.
-class Stated {
+class Settings {
 public:
-    static Stated from_text(std::string_view text);
-    static Stated from_json(const parse::Json& settings);
+    static Settings from_text(std::string_view text);
+    static Settings from_json(const parse::Json& settings);
 
-    NodePlace node_place() const;
+    NodeConfig node_place() const;
     std::vector<OpType> op_types() const;
     ShardRing shard_ring() const;
-    SendTerms send_terms() const;
-    FurtherSendTerms further_send_terms() const;
-    ColdTerms cold_terms() const;
-    ListTerms list_terms() const;
-    ClientTerms client_terms() const;
-    std::vector<TenantShare> tenants() const;
-    HintTerms hint_terms() const;
+    SendConfig send_terms() const;
+    FurtherSendConfig further_send_terms() const;
+    ColdStartConfig cold_terms() const;
+    ServerListConfig list_terms() const;
+    ClientConfig client_terms() const;
+    std::vector<TenantQuota> tenants() const;
+    HintConfig hint_terms() const;
 
     // Used only by the network code.
     std::vector<std::string> op_type_names() const;
--- a/src/stated/toml_table.cpp
+++ b/src/stated/toml_table.cpp
@@ -39,7 +39,7 @@
         return toml::parse(text, path);
     } catch (const toml::parse_error& error) {
         std::string reason(error.description());
-        throw BadStated(path + ':' + std::to_string(error.source().begin.line) + ": no TOML: " + reason);
+        throw ConfigError(path + ':' + std::to_string(error.source().begin.line) + ": no TOML: " + reason);
     }
 }
 
@@ -51,7 +51,7 @@
 void TomlTable::reject(const std::string& key, const std::string& reason) const {
     const auto* node = table_.get(key);
     const auto line = node != nullptr ? node->source().begin.line : table_.source().begin.line;
-    throw BadStated(file_ + ':' + std::to_string(line) + ": " + path_ + key + ' ' + reason);
+    throw ConfigError(file_ + ':' + std::to_string(line) + ": " + path_ + key + ' ' + reason);
 }
 
 std::string TomlTable::text(const std::string& key, const std::string& default_value) {
--- a/src/stated/toml_table.hpp
+++ b/src/stated/toml_table.hpp
@@ -13,7 +13,7 @@
 
 namespace pinedoor::stated {
 
-// Throws BadStated; `path` is the file's name in messages.
+// Throws ConfigError; `path` is the file's name in messages.
 toml::table parse_toml(std::string_view text, const std::string& path);
 
 // A table that must outlive this object, its path in the file and the keys that have been requested.
@@ -22,8 +22,8 @@
     TomlTable(const toml::table& table, std::string path, std::string file)
         : table_(table), path_(std::move(path)), file_(std::move(file)) {}
 
-    // These return the value, or `default_value` if the key is missing. They throw BadStated if the value has
-    // another type or is out of range.
+    // These return the value, or `default_value` if the key is missing. They throw ConfigError if the value
+    // has another type or is out of range.
     std::string text(const std::string& key, const std::string& default_value);
     std::string word(const std::string& key, const std::vector<std::string>& allowed);  // default: the first
     double number(const std::string& key, double default_value, double min_value, double max_value);
@@ -41,9 +41,9 @@
 
     std::vector<std::string> keys() const;  // as spelled in the file
     bool has(const std::string& key) const { return table_.contains(key); }
-    // Throws BadStated if the table has a key that was not requested.
+    // Throws ConfigError if the table has a key that was not requested.
     void finish() const;
-    // Throws BadStated with the file, the line and the key's path before the reason.
+    // Throws ConfigError with the file, the line and the key's path before the reason.
     [[noreturn]] void reject(const std::string& key, const std::string& reason) const;
 
 private:
--- a/src/store/asked_again.cpp
+++ b/src/store/asked_again.cpp
@@ -38,10 +38,10 @@
     return RepeatVerdict::kFailed;
 }
 
-bool frees_key(Fate fate, const PartFates& parts, bool retriable) {
+bool frees_key(Fate fate, const PartOutcomes& parts, bool retriable) {
     if (fate != Fate::kRefused) return false;
     return retriable || std::all_of(parts.begin(), parts.end(),
-                                    [](const auto& part) { return part.second == PartFate::kNeverSent; });
+                                    [](const auto& part) { return part.second == PartOutcome::kNeverSent; });
 }
 
 std::vector<bool> which(const std::vector<std::string>& op_types, const std::vector<bool>& retriable,
@@ -57,7 +57,7 @@
     return recorded;
 }
 
-Fate outcome_after_disconnect(const PartFates& parts) {
+Fate outcome_after_disconnect(const PartOutcomes& parts) {
     return frees_key(Fate::kRefused, parts, false) ? Fate::kRefused : Fate::kFailed;
 }
 
--- a/src/store/backend.hpp
+++ b/src/store/backend.hpp
@@ -15,14 +15,14 @@
 
 class Backend {
 public:
-    struct Enrolled {
+    struct OpenResult {
         bool good = false;
         bool schema_error = false;  // the schema does not fit: needs an operator
         std::uint64_t incarnation = 0;
         std::string why;
     };
     enum class End { kStored, kRejected, kEntriesRejected, kUnknown };
-    struct Written {
+    struct WriteResult {
         End end = End::kRejected;
         std::vector<Claim> claims;  // if kStored: one for each entry
         std::vector<bool> present;  // after reconcile()
@@ -32,9 +32,9 @@
     virtual ~Backend() = default;
     // Connects, checks the schema (a new SQLite file is initialized) and enrolls this process. Closes a
     // connection that is open.
-    virtual void open(Registration registration, std::function<void(Enrolled)> done) = 0;
-    virtual void write(Entries entries, std::function<void(Written)> done) = 0;
-    virtual void reconcile(Entries entries, std::function<void(Written)> done) = 0;
+    virtual void open(Registration registration, std::function<void(OpenResult)> done) = 0;
+    virtual void write(Entries entries, std::function<void(WriteResult)> done) = 0;
+    virtual void reconcile(Entries entries, std::function<void(WriteResult)> done) = 0;
     // Renews this process's lease and deletes records older than `delete_before` (0: none). Does not report
     // failures; the next write detects them.
     virtual void maintain(Time delete_before, std::size_t max_deletes,
--- a/src/store/decide.hpp
+++ b/src/store/decide.hpp
@@ -41,7 +41,7 @@
 namespace pinedoor::store {
 
 // Configuration of the writes to the store and the spill.
-struct WriteTerms {
+struct WriteConfig {
     std::size_t most_batch = 512;  // max. entries per write
     // max. entries in memory that are not durable yet; further intents are rejected
     std::size_t most_waiting = 8192;
@@ -185,7 +185,7 @@
 // The state machine of the store of record; each call is one turn and returns the actions to execute.
 class Recorder {
 public:
-    Recorder(std::uint64_t seed, WriteTerms config)
+    Recorder(std::uint64_t seed, WriteConfig config)
         : config_(config), rng_(static_cast<std::mt19937::result_type>(seed)) {}
 
     // Call before start() if this process knows its incarnation, so that spilled entries can be named.
@@ -262,7 +262,7 @@
     BatchId start_store_work(OutstandingWrite::Kind kind, std::vector<EntryRef> refs);
     bool expect(bool condition_met);
 
-    const WriteTerms config_;
+    const WriteConfig config_;
     std::mt19937 rng_;
     Time now_ = 0;
     Condition condition_ = Condition::kOpening;
--- a/src/store/keeper.cpp
+++ b/src/store/keeper.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 using service::Acceptance;
-using service::Ending;
 using service::Level;
+using service::MultigetResult;
 
 // Distinguishes the tickets of this class from those of the exchange.
 constexpr service::Ticket kOwnTicketBit = service::Ticket{1} << 63U;
@@ -34,9 +34,9 @@
 
 }  // namespace
 
-Keeper::Keeper(net::Scheduler& scheduler, service::RequestHandler& inner, service::Log& log,
-               StoreTerms store_config, Recorded config, std::uint64_t seed, std::unique_ptr<Backend> backend,
-               std::unique_ptr<Files> files)
+RecordKeeper::RecordKeeper(net::Scheduler& scheduler, service::RequestHandler& inner, service::Log& log,
+                           StoreConfig store_config, RecordKeeperConfig config, std::uint64_t seed,
+                           std::unique_ptr<Backend> backend, std::unique_ptr<Files> files)
     : scheduler_(scheduler), inner_(inner), log_(log), store_config_(std::move(store_config)),
       config_(std::move(config)), files_(std::move(files)), recorder_(seed, store_config_.write),
       process_token_(make_process_token()),
@@ -45,7 +45,7 @@
 
 // --- Start and end ---
 
-void Keeper::start() {
+void RecordKeeper::start() {
     std::error_code error;
     std::filesystem::create_directories(store_config_.folder, error);
     if (error)
@@ -67,7 +67,7 @@
 
 // Each start takes the number after the one in the folder, so it rises whatever the clock does. With a new
 // folder the store assigns the number.
-void Keeper::load_incarnation() {
+void RecordKeeper::load_incarnation() {
     const auto file = files_->open(store_config_.folder + "/incarnation");
     const auto text = file ? file->read_all() : std::nullopt;
     if (!text) throw StoreFolderError("store.folder: cannot read '" + store_config_.folder + "/incarnation'");
@@ -85,7 +85,7 @@
         throw StoreFolderError("store.folder: cannot write '" + store_config_.folder + "/incarnation'");
 }
 
-void Keeper::recover_spill() {
+void RecordKeeper::recover_spill() {
     const auto recovered = spill_->recover();
     if (!recovered.usable) throw StoreFolderError("store.folder: the spill: " + recovered.error);
     spill_level_ = {spill_->entries(), spill_->bytes()};
@@ -99,7 +99,7 @@
     }
 }
 
-net::Task Keeper::run() {
+net::Task RecordKeeper::run() {
     dispatch(spill_level_);
     for (const auto& action : recorder_.start(scheduler_.now()))
         std::visit([this](const auto& each) { execute(each); }, action);
@@ -130,14 +130,14 @@
     }
 }
 
-void Keeper::finish() {
+void RecordKeeper::finish() {
     if (finishing_) return;
     finishing_ = true;
     finish_deadline_ = scheduler_.now() + kFinishTimeout;
     waiter_.signal();
 }
 
-void Keeper::maintain() {
+void RecordKeeper::maintain() {
     const auto now = scheduler_.now();
     maintain_at_ = now + std::min(store_config_.keep.every, store_config_.lease / 4);
     if (maintaining_ || deregistering_ || recorder_.condition() != Condition::kUp) return;
@@ -150,7 +150,7 @@
 }
 
 // Handles events one after the other: an event caused by an action is queued until the current turn is over.
-void Keeper::dispatch(Event event) {
+void RecordKeeper::dispatch(Event event) {
     events_.push_back(std::move(event));
     if (dispatching_) return;
     dispatching_ = true;
@@ -166,7 +166,8 @@
 
 // --- Clients ---
 
-service::TakenRequest Keeper::ask(service::MultigetAsked request, std::function<void(Ending)> on_ended) {
+service::SubmitResult RecordKeeper::ask(service::MultigetRequest request,
+                                        std::function<void(MultigetResult)> on_ended) {
     const auto op_type = static_cast<std::size_t>(request.op_type);
     if (!config_.recorded[op_type] && request.key.empty())
         return inner_.ask(std::move(request), std::move(on_ended));
@@ -199,7 +200,7 @@
     return {Acceptance::kTaken, kOwnTicketBit | number};
 }
 
-PartFates Keeper::leave(service::Ticket ticket) {
+PartOutcomes RecordKeeper::leave(service::Ticket ticket) {
     if ((ticket & kOwnTicketBit) == 0) return inner_.leave(ticket);
     const auto at = multigets_.find(ticket & ~kOwnTicketBit);
     if (at == multigets_.end()) return {};
@@ -213,7 +214,7 @@
     return parts;
 }
 
-void Keeper::execute(const Proceed& proceed) {
+void RecordKeeper::execute(const Proceed& proceed) {
     const auto at = multigets_.find(proceed.number);
     if (at == multigets_.end()) return;
     auto& multiget = at->second;
@@ -226,9 +227,9 @@
         return record_outcome(finished, Fate::kRefused, {}, "client left before any send", {}, false);
     }
     const auto number = proceed.number;
-    const auto [acceptance, ticket] = inner_.ask(std::move(multiget.request), [this, number](Ending ending) {
-        on_exchange_ended(number, std::move(ending));
-    });
+    const auto [acceptance, ticket] =
+        inner_.ask(std::move(multiget.request),
+                   [this, number](MultigetResult ending) { on_exchange_ended(number, std::move(ending)); });
     crash_points_.pass("handed_over");
     if (acceptance == Acceptance::kTaken) {
         if (const auto current = multigets_.find(number);
@@ -236,18 +237,18 @@
             current->second.inner_ticket = ticket;
         return;
     }
-    Ending pushed_back;
-    pushed_back.kind = Ending::Kind::kPushedBack;
+    MultigetResult pushed_back;
+    pushed_back.kind = MultigetResult::Kind::kPushedBack;
     on_exchange_ended(number, std::move(pushed_back));
 }
 
-void Keeper::on_exchange_ended(RecordNumber number, Ending ending) {
+void RecordKeeper::on_exchange_ended(RecordNumber number, MultigetResult ending) {
     const auto at = multigets_.find(number);
     if (at == multigets_.end()) return;
     auto& multiget = at->second;
     multiget.inner_ticket = 0;
     crash_points_.pass("outcome_known");
-    if (ending.kind == Ending::Kind::kAnswered) {
+    if (ending.kind == MultigetResult::Kind::kAnswered) {
         auto body = service::answer_body(ending);
         if (body.size() > store_config_.largest_answer) {
             ++counters_.answers_not_kept;
@@ -261,14 +262,16 @@
     // A refusal or a failure is delivered at once, without waiting for its record.
     const auto finished = std::move(multiget);
     multigets_.erase(at);
-    const auto outcome_kind = ending.kind == Ending::Kind::kPushedBack ? Fate::kRefused : Fate::kFailed;
+    const auto outcome_kind =
+        ending.kind == MultigetResult::Kind::kPushedBack ? Fate::kRefused : Fate::kFailed;
     const auto parts = ending.parts;
     if (finished.on_ended) finished.on_ended(std::move(ending));
     record_outcome(finished, outcome_kind, parts, {}, {}, false);
 }
 
-void Keeper::record_outcome(const PendingMultiget& multiget, Fate outcome_kind, const PartFates& parts,
-                            std::string note, std::string answer, bool answered) {
+void RecordKeeper::record_outcome(const PendingMultiget& multiget, Fate outcome_kind,
+                                  const PartOutcomes& parts, std::string note, std::string answer,
+                                  bool answered) {
     const auto& intent = multiget.intent;
     Outcome outcome{intent.id,
                     intent.tenant,
@@ -288,7 +291,7 @@
     dispatch(OutcomeSubmitted{intent.id.number, bytes, without_answer, answered, intent.deadline});
 }
 
-void Keeper::execute(const DropAnswer& drop) {
+void RecordKeeper::execute(const DropAnswer& drop) {
     auto& entry = entries_.at({EntryRef::Kind::kOutcome, drop.number});
     auto without_answer = std::get<Outcome>(*entry);
     without_answer.answer.clear();
@@ -296,7 +299,7 @@
     ++counters_.answers_not_kept;
 }
 
-void Keeper::execute(const ReleaseAnswer& release) {
+void RecordKeeper::execute(const ReleaseAnswer& release) {
     const auto at = multigets_.find(release.number);
     if (at == multigets_.end()) return;
     auto multiget = std::move(at->second);
@@ -307,7 +310,7 @@
     crash_points_.pass("answered");
 }
 
-void Keeper::execute(const RejectMultiget& rejection) {
+void RecordKeeper::execute(const RejectMultiget& rejection) {
     const auto at = multigets_.find(rejection.number);
     if (at == multigets_.end()) return;
     const auto multiget = std::move(at->second);
@@ -320,9 +323,10 @@
         record_outcome(multiget, Fate::kRefused, {}, std::string(name_of(rejection.reason)), {}, false);
 }
 
-Ending Keeper::rejection_ending(const PendingMultiget& multiget, const RejectMultiget& rejection) {
-    Ending ending;
-    ending.kind = Ending::Kind::kPushedBack;
+MultigetResult RecordKeeper::rejection_ending(const PendingMultiget& multiget,
+                                              const RejectMultiget& rejection) {
+    MultigetResult ending;
+    ending.kind = MultigetResult::Kind::kPushedBack;
     ending.wait = std::min(rejection.retry_after, config_.max_retry_after);
     const auto claim = held_claims_.find(rejection.number);
     if (rejection.reason != RejectReason::kKeyHeld || claim == held_claims_.end()) {
@@ -333,31 +337,31 @@
     switch (judge_repeat(holder, multiget.intent.fingerprint)) {
         case RepeatVerdict::kAnswer:
             ++counters_.recorded_answers;
-            ending.kind = Ending::Kind::kRecorded;
+            ending.kind = MultigetResult::Kind::kRecorded;
             ending.told = holder.answer;
             break;
         case RepeatVerdict::kAnswerNotKept:
             ++counters_.recorded_answers;
-            ending.kind = Ending::Kind::kFailed;
+            ending.kind = MultigetResult::Kind::kFailed;
             ending.told = "answered before; the answer was not kept, and it is not run again";
             break;
         case RepeatVerdict::kInProgress:
             ++counters_.conflicts;
-            ending.kind = Ending::Kind::kUnderWay;
+            ending.kind = MultigetResult::Kind::kUnderWay;
             ending.told = "a request of this Idempotency-Key is under way";
             break;
         case RepeatVerdict::kDifferentBody:
             ++counters_.conflicts;
-            ending.kind = Ending::Kind::kOtherBody;
+            ending.kind = MultigetResult::Kind::kOtherBody;
             ending.told = "this Idempotency-Key was used for another request";
             break;
         case RepeatVerdict::kInDoubt:
             ++counters_.in_doubt_answers;
-            ending.kind = Ending::Kind::kFailed;
+            ending.kind = MultigetResult::Kind::kFailed;
             ending.told = "in doubt: the first request may have run, and is not run again";
             break;
         case RepeatVerdict::kFailed:
-            ending.kind = Ending::Kind::kFailed;
+            ending.kind = MultigetResult::Kind::kFailed;
             ending.told = "the first request failed, and is not run again";
             break;
     }
@@ -366,12 +370,12 @@
 
 // --- The store ---
 
-void Keeper::execute(const OpenStore&) {
+void RecordKeeper::execute(const OpenStore&) {
     backend_->open({config_.node, incarnation_, process_token_, !incarnation_used_},
-                   [this](Backend::Enrolled result) { on_store_opened(result); });
+                   [this](Backend::OpenResult result) { on_store_opened(result); });
 }
 
-void Keeper::on_store_opened(const Backend::Enrolled& result) {
+void RecordKeeper::on_store_opened(const Backend::OpenResult& result) {
     if (!result.good) {
         if (result.why != last_error_) {
             log_.event(result.schema_error ? Level::kError : Level::kWarning, "store_open_failed",
@@ -413,32 +417,32 @@
         });
 }
 
-Entries Keeper::entries_of(const EntryRefs& refs) const {
+Entries RecordKeeper::entries_of(const EntryRefs& refs) const {
     Entries entries;
     for (const auto& ref : refs) entries.push_back(entries_.at(ref));
     return entries;
 }
 
-void Keeper::execute(const WriteBatch& write) {
+void RecordKeeper::execute(const WriteBatch& write) {
     ++counters_.writes;
     incarnation_used_ = true;
     counters_.entries_written += write.refs.size();
     crash_points_.pass("before_write");
     backend_->write(entries_of(write.refs),
-                    [this, batch = write.batch, refs = write.refs](Backend::Written result) {
+                    [this, batch = write.batch, refs = write.refs](Backend::WriteResult result) {
                         on_written(batch, refs, result);
                     });
 }
 
-void Keeper::execute(const ReconcileBatch& reconcile) {
+void RecordKeeper::execute(const ReconcileBatch& reconcile) {
     ++counters_.reconciled_writes;
     backend_->reconcile(entries_of(reconcile.refs),
-                        [this, batch = reconcile.batch, refs = reconcile.refs](Backend::Written result) {
+                        [this, batch = reconcile.batch, refs = reconcile.refs](Backend::WriteResult result) {
                             on_written(batch, refs, result);
                         });
 }
 
-void Keeper::on_written(BatchId batch, const EntryRefs& refs, const Backend::Written& result) {
+void RecordKeeper::on_written(BatchId batch, const EntryRefs& refs, const Backend::WriteResult& result) {
     if (result.end != Backend::End::kStored) return report_write_failure(batch, result);
     crash_points_.pass("after_write");
     WriteStored stored{batch, {}, {}};
@@ -453,7 +457,7 @@
     dispatch(std::move(stored));
 }
 
-void Keeper::report_write_failure(BatchId batch, const Backend::Written& result) {
+void RecordKeeper::report_write_failure(BatchId batch, const Backend::WriteResult& result) {
     if (result.error != last_error_) {
         log_.event(Level::kWarning, "store_write_failed", "a write to the store failed: " + result.error,
                    {{"known", result.end == Backend::End::kUnknown ? "no" : "yes"}});
@@ -476,7 +480,7 @@
 
 // The number of queued jobs is bounded: one append, one replay step, one set-aside and one incarnation file.
 template <class Job>
-void Keeper::run_on_spill_thread(Job job, std::function<void()> on_done) {
+void RecordKeeper::run_on_spill_thread(Job job, std::function<void()> on_done) {
     auto level = std::make_shared<SpillLevel>(spill_level_);
     const bool submitted = spill_thread_.submit(
         [job, level, spill = spill_] {
@@ -494,7 +498,7 @@
         scheduler_.defer(on_done);  // the queue is full: `on_done` finds no result, which counts as a failure
 }
 
-void Keeper::execute(const WriteSpill& write) {
+void RecordKeeper::execute(const WriteSpill& write) {
     std::vector<std::string> payloads;
     for (const auto& ref : write.refs) payloads.push_back(encode(*entries_.at(ref)));
     incarnation_used_ = true;
@@ -511,7 +515,7 @@
                         });
 }
 
-void Keeper::execute(const ReplaySpill& replay) {
+void RecordKeeper::execute(const ReplaySpill& replay) {
     auto entries = std::make_shared<Entries>();
     run_on_spill_thread(
         [entries, max_entries = replay.max_entries](Spill& spill) {
@@ -522,13 +526,13 @@
             if (entries->empty())
                 return report_write_failure(batch,
                                             {Backend::End::kRejected, {}, {}, "cannot read the spill"});
-            backend_->write(*entries, [this, batch, count = entries->size()](Backend::Written result) {
+            backend_->write(*entries, [this, batch, count = entries->size()](Backend::WriteResult result) {
                 on_spill_replayed(batch, count, result);
             });
         });
 }
 
-void Keeper::on_spill_replayed(BatchId batch, std::size_t count, const Backend::Written& result) {
+void RecordKeeper::on_spill_replayed(BatchId batch, std::size_t count, const Backend::WriteResult& result) {
     if (result.end != Backend::End::kStored) return report_write_failure(batch, result);
     counters_.replayed_entries += count;
     run_on_spill_thread([count](Spill& spill) { spill.done(count); },
@@ -537,7 +541,7 @@
                         });
 }
 
-void Keeper::execute(const SetAsideSpilled&) {
+void RecordKeeper::execute(const SetAsideSpilled&) {
     ++counters_.set_aside_entries;
     log_.event(Level::kError, "entry_set_aside",
                "the store rejected an entry of the spill; the entry was moved to " + store_config_.folder +
@@ -547,7 +551,7 @@
 
 // --- Other actions ---
 
-void Keeper::execute(const DiscardEntry& discard) {
+void RecordKeeper::execute(const DiscardEntry& discard) {
     if (discard.lost) {
         ++counters_.lost_entries;
         log_.event(Level::kError, "entry_refused", "the store rejected an entry; the entry is not recorded",
@@ -556,18 +560,18 @@
     entries_.erase(discard.ref);
 }
 
-void Keeper::execute(const WakeAt& wake) {
+void RecordKeeper::execute(const WakeAt& wake) {
     wake_at_ = wake.at;
     waiter_.signal();
 }
 
-void Keeper::execute(const ConditionChanged& change) {
+void RecordKeeper::execute(const ConditionChanged& change) {
     log_.event(change.condition == Condition::kUp ? Level::kInfo : Level::kWarning, "store_condition",
                "the store is " + std::string(name_of(change.condition)),
                {{"spill", std::to_string(spill_level_.entries)}});
 }
 
-std::string Keeper::print_gauges() const {
+std::string RecordKeeper::print_gauges() const {
     std::string out;
     const auto add = [&out](std::string_view name, std::uint64_t value) {
         service::append_line(out, name, value);
--- a/src/store/keeper.hpp
+++ b/src/store/keeper.hpp
@@ -37,7 +37,7 @@
 };
 
 // Configuration of the node: its op types and tenants by index, and which of them are recorded.
-struct Recorded {
+struct RecordKeeperConfig {
     std::string node;
     std::vector<std::string> op_types;
     std::vector<std::string> tenants;
@@ -46,11 +46,11 @@
     Time max_retry_after = 0;     // upper limit of a retry delay sent to clients, 0.1 ms; 0: none is sent
 };
 
-class Keeper : public service::RequestHandler {
+class RecordKeeper : public service::RequestHandler {
 public:
-    Keeper(net::Scheduler& scheduler, service::RequestHandler& inner, service::Log& log,
-           StoreTerms store_config, Recorded config, std::uint64_t seed, std::unique_ptr<Backend> backend,
-           std::unique_ptr<Files> files);
+    RecordKeeper(net::Scheduler& scheduler, service::RequestHandler& inner, service::Log& log,
+                 StoreConfig store_config, RecordKeeperConfig config, std::uint64_t seed,
+                 std::unique_ptr<Backend> backend, std::unique_ptr<Files> files);
 
     // Recovers the spill and loads the incarnation; throws StoreFolderError.
     void start();
@@ -59,9 +59,9 @@
     void finish();
     bool done() const { return finished_; }
 
-    service::TakenRequest ask(service::MultigetAsked request,
-                              std::function<void(service::Ending)> on_ended) override;
-    PartFates leave(service::Ticket ticket) override;
+    service::SubmitResult ask(service::MultigetRequest request,
+                              std::function<void(service::MultigetResult)> on_ended) override;
+    PartOutcomes leave(service::Ticket ticket) override;
     service::Acceptance could_take(const std::string& name) const override { return inner_.could_take(name); }
 
     std::string print_gauges() const;
@@ -69,13 +69,13 @@
 private:
     // A recorded multiget, until its ending is delivered to the client.
     struct PendingMultiget {
-        service::MultigetAsked request;
-        std::function<void(service::Ending)> on_ended;  // empty: the client has disconnected
+        service::MultigetRequest request;
+        std::function<void(service::MultigetResult)> on_ended;  // empty: the client has disconnected
         service::Ticket inner_ticket = 0;
         bool proceeded = false;
         Intent intent;
         bool retriable = false;
-        service::Ending ending;
+        service::MultigetResult ending;
     };
     using EntryRefs = std::vector<EntryRef>;
 
@@ -99,23 +99,24 @@
     void execute(const WakeAt& wake);
     void execute(const ConditionChanged& change);
 
-    void on_store_opened(const Backend::Enrolled& result);
-    void on_written(BatchId batch, const EntryRefs& refs, const Backend::Written& result);
-    void on_spill_replayed(BatchId batch, std::size_t count, const Backend::Written& result);
-    void report_write_failure(BatchId batch, const Backend::Written& result);
+    void on_store_opened(const Backend::OpenResult& result);
+    void on_written(BatchId batch, const EntryRefs& refs, const Backend::WriteResult& result);
+    void on_spill_replayed(BatchId batch, std::size_t count, const Backend::WriteResult& result);
+    void report_write_failure(BatchId batch, const Backend::WriteResult& result);
     template <class Job>
     void run_on_spill_thread(Job job, std::function<void()> on_done);
-    void on_exchange_ended(RecordNumber number, service::Ending ending);
-    void record_outcome(const PendingMultiget& multiget, Fate outcome_kind, const PartFates& parts,
+    void on_exchange_ended(RecordNumber number, service::MultigetResult ending);
+    void record_outcome(const PendingMultiget& multiget, Fate outcome_kind, const PartOutcomes& parts,
                         std::string note, std::string answer, bool answered);
-    service::Ending rejection_ending(const PendingMultiget& multiget, const RejectMultiget& rejection);
+    service::MultigetResult rejection_ending(const PendingMultiget& multiget,
+                                             const RejectMultiget& rejection);
     Entries entries_of(const EntryRefs& refs) const;
 
     net::Scheduler& scheduler_;
     service::RequestHandler& inner_;
     service::Log& log_;
-    const StoreTerms store_config_;
-    const Recorded config_;
+    const StoreConfig store_config_;
+    const RecordKeeperConfig config_;
     std::unique_ptr<Files> files_;
     net::Fd lock_file_;
     Recorder recorder_;
--- a/src/store/make_backend.hpp
+++ b/src/store/make_backend.hpp
@@ -9,7 +9,7 @@
 
 namespace pinedoor::store {
 
-std::unique_ptr<Backend> make_backend(net::Scheduler& scheduler, const StoreTerms& terms);
-std::unique_ptr<SqlDb> open_db(const StoreTerms& terms);  // for the command line; throws SqlError
+std::unique_ptr<Backend> make_backend(net::Scheduler& scheduler, const StoreConfig& terms);
+std::unique_ptr<SqlDb> open_db(const StoreConfig& terms);  // for the command line; throws SqlError
 
 }  // namespace pinedoor::store
--- a/src/store/move_journal.cpp
+++ b/src/store/move_journal.cpp
@@ -14,8 +14,8 @@
     JournalMove result;
     result.move.id = static_cast<placement::MoveId>(number_of(row.at(0)));
     result.move.shard = static_cast<placement::ShardId>(number_of(row.at(1)));
-    result.move.from = static_cast<placement::BoxId>(number_of(row.at(2)));
-    result.move.to = static_cast<placement::BoxId>(number_of(row.at(3)));
+    result.move.from = static_cast<placement::ServerNumber>(number_of(row.at(2)));
+    result.move.to = static_cast<placement::ServerNumber>(number_of(row.at(3)));
     result.move.epoch = static_cast<placement::Epoch>(number_of(row.at(4)));
     const auto step = placement::move_step_named(text_of(row.at(5)));
     const auto kind = placement::move_kind_named(text_of(row.at(6)));
@@ -106,7 +106,7 @@
     db_.run("UPDATE shard_mover SET until = until WHERE one = 1 AND who = $1", {owner});
     const auto rows = db_.run("SELECT who FROM shard_mover WHERE one = 1");
     if (rows.empty() || text_of(rows[0].at(0)) != owner)
-        throw LostLease("another mover holds the lease: " + (rows.empty() ? "" : text_of(rows[0].at(0))));
+        throw LeaseLost("another mover holds the lease: " + (rows.empty() ? "" : text_of(rows[0].at(0))));
     db_.run("UPDATE shard_moves SET step = $2, epoch = $3, since = pinedoor_now() WHERE id = $1",
             {to_value(move.id), to_value(name_of(move.step)), to_value(move.epoch)});
     transaction.commit();
--- a/src/store/move_journal.hpp
+++ b/src/store/move_journal.hpp
@@ -15,7 +15,7 @@
 
 namespace pinedoor::store {
 
-struct LostLease : std::runtime_error {
+struct LeaseLost : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
--- a/src/store/pg_backend.cpp
+++ b/src/store/pg_backend.cpp
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-PgBackend::PgBackend(net::Scheduler& scheduler, PostgresTerms config, Time lease)
+PgBackend::PgBackend(net::Scheduler& scheduler, PostgresConfig config, Time lease)
     : scheduler_(scheduler), config_(std::move(config)), lease_(lease),
       connection_(nullptr, ConnectionCloser{&pq_}) {
     require_numeric_host(pq_, config_.conninfo);
@@ -91,7 +91,7 @@
     return std::make_unique<net::Waiter>(scheduler_, pq_.socket(connection_.get()));
 }
 
-void PgBackend::open(Registration registration, std::function<void(Enrolled)> done) {
+void PgBackend::open(Registration registration, std::function<void(OpenResult)> done) {
     ++generation_;
     task_ = net::Task{};
     close_connection();
@@ -263,7 +263,7 @@
 
 // --- Opening ---
 
-void PgBackend::check_schema_and_enroll(Registration registration, std::function<void(Enrolled)> done) {
+void PgBackend::check_schema_and_enroll(Registration registration, std::function<void(OpenResult)> done) {
     const auto fail = [this, done](bool schema_error, const std::string& error) {
         scheduler_.defer([done, schema_error, error] { done({false, schema_error, 0, error}); });
     };
@@ -288,8 +288,8 @@
     });
 }
 
-void PgBackend::enroll(Registration registration, std::function<void(Enrolled)> done) {
-    const auto deliver = [this, done](Enrolled result) {
+void PgBackend::enroll(Registration registration, std::function<void(OpenResult)> done) {
+    const auto deliver = [this, done](OpenResult result) {
         scheduler_.defer([done, result] { done(result); });
     };
     submit(enroll_queries(registration), false,
@@ -317,8 +317,8 @@
 
 // --- Entries ---
 
-Backend::Written PgBackend::to_written(const QueryResult& result) {
-    Written written;
+Backend::WriteResult PgBackend::to_written(const QueryResult& result) {
+    WriteResult written;
     written.error = result.error;
     written.end = result.status == QueryResult::Status::kOk               ? End::kStored
                   : result.status == QueryResult::Status::kLost           ? End::kUnknown
@@ -327,7 +327,7 @@
     return written;
 }
 
-void PgBackend::write(Entries entries, std::function<void(Written)> done) {
+void PgBackend::write(Entries entries, std::function<void(WriteResult)> done) {
     std::vector<Statement> statements;
     // Index of each entry's claim query among the results; 0: none.
     std::vector<std::size_t> claims;
@@ -354,7 +354,7 @@
            });
 }
 
-void PgBackend::reconcile(Entries entries, std::function<void(Written)> done) {
+void PgBackend::reconcile(Entries entries, std::function<void(WriteResult)> done) {
     std::vector<Statement> statements;
     for (const auto& entry : entries) {
         statements.push_back(entry_query(*entry));
--- a/src/store/pg_backend.hpp
+++ b/src/store/pg_backend.hpp
@@ -20,12 +20,12 @@
 public:
     // Throws SqlError if libpq is missing, or if the host is a name, because resolving it would block the
     // loop.
-    PgBackend(net::Scheduler& scheduler, PostgresTerms config, Time lease);
+    PgBackend(net::Scheduler& scheduler, PostgresConfig config, Time lease);
     ~PgBackend() override;
 
-    void open(Registration registration, std::function<void(Enrolled)> done) override;
-    void write(Entries entries, std::function<void(Written)> done) override;
-    void reconcile(Entries entries, std::function<void(Written)> done) override;
+    void open(Registration registration, std::function<void(OpenResult)> done) override;
+    void write(Entries entries, std::function<void(WriteResult)> done) override;
+    void reconcile(Entries entries, std::function<void(WriteResult)> done) override;
     void maintain(Time delete_before, std::size_t max_deletes,
                   std::function<void(std::size_t)> done) override;
     void deregister(Time timeout, std::function<void()> done) override;
@@ -54,15 +54,15 @@
     // Reads the results that have arrived. Returns false while more are expected.
     bool read_results(QueryResult& result);
     void submit(std::vector<Statement> statements, bool transaction, std::function<void(QueryResult)> done);
-    void check_schema_and_enroll(Registration registration, std::function<void(Enrolled)> done);
-    void enroll(Registration registration, std::function<void(Enrolled)> done);
+    void check_schema_and_enroll(Registration registration, std::function<void(OpenResult)> done);
+    void enroll(Registration registration, std::function<void(OpenResult)> done);
     void close_connection();
     std::string connection_error() const;
     std::unique_ptr<net::Waiter> make_waiter();
-    static Written to_written(const QueryResult& result);
+    static WriteResult to_written(const QueryResult& result);
 
     net::Scheduler& scheduler_;
-    const PostgresTerms config_;
+    const PostgresConfig config_;
     const Time lease_;
     LibPq pq_;
     std::function<void()> on_lost_;
@@ -75,7 +75,7 @@
     bool connected_ = false;
     std::uint64_t generation_ = 0;  // of the connection; notifications of an older one are ignored
     std::deque<Request> requests_;
-    std::function<void(Enrolled)> on_opened_;
+    std::function<void(OpenResult)> on_opened_;
     Registration registration_;
     std::unique_ptr<net::Waiter> socket_waiter_;
     net::Task task_;  // last member: destroyed first
--- a/src/store/record.cpp
+++ b/src/store/record.cpp
@@ -150,7 +150,7 @@
     return hex.data();
 }
 
-std::string format_part_outcomes(const PartFates& parts) {
+std::string format_part_outcomes(const PartOutcomes& parts) {
     std::string out;
     for (const auto& [shard, fate] : parts) {
         if (!out.empty()) out.push_back(' ');
--- a/src/store/record.hpp
+++ b/src/store/record.hpp
@@ -35,7 +35,7 @@
 std::optional<Fate> parse_outcome_kind(std::string_view name);
 
 // What is known about a part when its multiget ends; kMayHaveRun unless the opposite is certain.
-enum class PartFate : char { kNeverSent = 'n', kMayHaveRun = 'm', kRan = 'r' };
+enum class PartOutcome : char { kNeverSent = 'n', kMayHaveRun = 'm', kRan = 'r' };
 
 struct Intent {
     RecordId id;
@@ -78,8 +78,8 @@
 
 std::string fingerprint_of(std::string_view op_type, std::string_view body);
 
-using PartFates = std::vector<std::pair<int, PartFate>>;
-std::string format_part_outcomes(const PartFates& parts);
+using PartOutcomes = std::vector<std::pair<int, PartOutcome>>;
+std::string format_part_outcomes(const PartOutcomes& parts);
 
 // The record that holds a key claimed by another multiget.
 struct KeyHolder {
--- a/src/store/sqlite_backend.cpp
+++ b/src/store/sqlite_backend.cpp
@@ -32,8 +32,8 @@
         scheduler_.defer(deliver);
 }
 
-SqliteBackend::Enrolled SqliteBackend::WriterState::open(Registration new_registration) {
-    Enrolled result;
+SqliteBackend::OpenResult SqliteBackend::WriterState::open(Registration new_registration) {
+    OpenResult result;
     db.reset();
     registration = std::move(new_registration);
     try {
@@ -52,8 +52,8 @@
 }
 
 template <class Operation>
-SqliteBackend::Written SqliteBackend::WriterState::run(Operation operation) {
-    Written result;
+SqliteBackend::WriteResult SqliteBackend::WriterState::run(Operation operation) {
+    WriteResult result;
     if (!db) return {End::kRejected, {}, {}, "the store is not open"};
     try {
         operation(result);
@@ -72,26 +72,26 @@
     return result;
 }
 
-void SqliteBackend::open(Registration registration, std::function<void(Enrolled)> done) {
-    submit<Enrolled>(
+void SqliteBackend::open(Registration registration, std::function<void(OpenResult)> done) {
+    submit<OpenResult>(
         [registration = std::move(registration)](WriterState& state) { return state.open(registration); },
         std::move(done), {false, false, 0, "the writer is busy"});
 }
 
-void SqliteBackend::write(Entries entries, std::function<void(Written)> done) {
-    submit<Written>(
+void SqliteBackend::write(Entries entries, std::function<void(WriteResult)> done) {
+    submit<WriteResult>(
         [entries = std::move(entries)](WriterState& state) {
-            return state.run([&](Written& result) {
+            return state.run([&](WriteResult& result) {
                 result.claims = write_entries(*state.db, copy_entries(entries), state.lease);
             });
         },
         std::move(done), {End::kRejected, {}, {}, "the writer is busy"});
 }
 
-void SqliteBackend::reconcile(Entries entries, std::function<void(Written)> done) {
-    submit<Written>(
+void SqliteBackend::reconcile(Entries entries, std::function<void(WriteResult)> done) {
+    submit<WriteResult>(
         [entries = std::move(entries)](WriterState& state) {
-            return state.run([&](Written& result) {
+            return state.run([&](WriteResult& result) {
                 auto found = find_entries(*state.db, copy_entries(entries), state.lease);
                 result.present = std::move(found.present);
                 result.claims = std::move(found.claims);
@@ -105,7 +105,7 @@
     submit<std::size_t>(
         [delete_before, max_deletes](WriterState& state) {
             std::size_t deleted = 0;
-            state.run([&](Written&) {
+            state.run([&](WriteResult&) {
                 const auto statement = heartbeat_statement(state.registration);
                 state.db->run(statement.text, statement.values);
                 if (delete_before > 0) deleted = prune(*state.db, delete_before, max_deletes);
@@ -118,7 +118,7 @@
 void SqliteBackend::deregister(Time, std::function<void()> done) {
     submit<bool>(
         [](WriterState& state) {
-            state.run([&](Written&) {
+            state.run([&](WriteResult&) {
                 const auto statement = deregister_statement(state.registration);
                 state.db->run(statement.text, statement.values);
             });
--- a/src/store/sqlite_backend.hpp
+++ b/src/store/sqlite_backend.hpp
@@ -15,9 +15,9 @@
 public:
     SqliteBackend(net::Scheduler& scheduler, std::string path, Time lease, std::string vfs = {});
 
-    void open(Registration registration, std::function<void(Enrolled)> done) override;
-    void write(Entries entries, std::function<void(Written)> done) override;
-    void reconcile(Entries entries, std::function<void(Written)> done) override;
+    void open(Registration registration, std::function<void(OpenResult)> done) override;
+    void write(Entries entries, std::function<void(WriteResult)> done) override;
+    void reconcile(Entries entries, std::function<void(WriteResult)> done) override;
     void maintain(Time delete_before, std::size_t max_deletes,
                   std::function<void(std::size_t)> done) override;
     void deregister(Time timeout, std::function<void()> done) override;
@@ -31,9 +31,9 @@
         std::unique_ptr<SqliteDb> db;
         Registration registration;
 
-        Enrolled open(Registration new_registration);
+        OpenResult open(Registration new_registration);
         template <class Operation>
-        Written run(Operation operation);
+        WriteResult run(Operation operation);
     };
     template <class Result, class Job>
     void submit(Job job, std::function<void(Result)> done, Result result_if_full);
--- a/src/tool/caller.cpp
+++ b/src/tool/caller.cpp
@@ -50,13 +50,13 @@
                          "\r\nConnection: close\r\nContent-Length: " + std::to_string(body.size()) +
                          "\r\n\r\n" + body;
     if (!send_all(fd, request)) return std::nullopt;
-    parse::HttpReader reader(parse::HttpReader::Kind::kResponse, {16 * 1024, kMaxResponseBytes});
+    parse::HttpParser reader(parse::HttpParser::Kind::kResponse, {16 * 1024, kMaxResponseBytes});
     HttpResponse response;
     std::string received;
     char bytes[16'384];
-    while (reader.state() != parse::HttpReader::State::kDone) {
+    while (reader.state() != parse::HttpParser::State::kDone) {
         const auto count = recv(fd.get(), bytes, sizeof bytes, 0);
-        if (count <= 0 || reader.state() == parse::HttpReader::State::kBad) return std::nullopt;
+        if (count <= 0 || reader.state() == parse::HttpParser::State::kBad) return std::nullopt;
         received.append(bytes, static_cast<std::size_t>(count));
         received.erase(0, reader.feed(received));
         response.body += reader.take_body();
--- a/src/tool/command_line.cpp
+++ b/src/tool/command_line.cpp
@@ -20,14 +20,14 @@
 int check(const std::string& path) {
     try {
         if (path.ends_with(".toml"))
-            stated::Installation::read_file(path);
+            stated::NodeSettings::read_file(path);
         else
-            stated::Launch::read([&](const char* name) {
+            stated::LaunchConfig::read([&](const char* name) {
                 return std::string_view(name) == "ROUTER_CONFIG" ? path.c_str() : std::getenv(name);
             });
         std::printf("%s: good\n", path.c_str());
         return kSuccess;
-    } catch (const stated::BadStated& error) {
+    } catch (const stated::ConfigError& error) {
         std::printf("%s\n", error.what());
         return kProblemFound;
     }
--- a/src/tool/peer_commands.cpp
+++ b/src/tool/peer_commands.cpp
@@ -26,7 +26,7 @@
     int send_command(const std::string& command) const {
         auto control = control_;
         if (control.empty() && !settings_.empty())
-            control = stated::Installation::read_file(settings_).peers.control;
+            control = stated::NodeSettings::read_file(settings_).peers.control;
         if (control.empty()) {
             std::fprintf(
                 stderr,
--- a/src/tool/serve.cpp
+++ b/src/tool/serve.cpp
@@ -27,7 +27,7 @@
     return net::Fd(signalfd(-1, &signals, SFD_NONBLOCK | SFD_CLOEXEC));
 }
 
-net::Task handle_signals(const net::Fd& fd, net::Waiter& signals, service::FrontDoor& door) {
+net::Task handle_signals(const net::Fd& fd, net::Waiter& signals, service::FrontNodeService& door) {
     for (;;) {
         co_await signals.wait(net::kRead);
         signalfd_siginfo info{};
@@ -41,8 +41,8 @@
     }
 }
 
-service::LogTerms log_options(const stated::LogWords& config) {
-    service::LogTerms options;
+service::LogOptions log_options(const stated::LogSettings& config) {
+    service::LogOptions options;
     options.format = config.format == "json" ? service::LogFormat::kJson : service::LogFormat::kPairs;
     options.least = config.level == "debug"     ? service::Level::kDebug
                     : config.level == "warning" ? service::Level::kWarning
@@ -56,13 +56,13 @@
 int serve(const ServeOptions& options) {
     const auto signals = open_signal_fd();
     auto installation = options.settings_path.empty()
-                            ? stated::Installation{}
-                            : stated::Installation::read_file(options.settings_path);
+                            ? stated::NodeSettings{}
+                            : stated::NodeSettings::read_file(options.settings_path);
     if (!options.log_format.empty()) installation.log.format = options.log_format;
     if (!options.log_level.empty()) installation.log.level = options.log_level;
-    const auto launch = stated::Launch::read([](const char* name) { return std::getenv(name); });
+    const auto launch = stated::LaunchConfig::read([](const char* name) { return std::getenv(name); });
     net::Scheduler scheduler;
-    service::FrontDoor door(scheduler, launch, installation, stderr, log_options(installation.log));
+    service::FrontNodeService door(scheduler, launch, installation, stderr, log_options(installation.log));
     net::Waiter waiter(scheduler, signals.get());
     door.start();
     auto signal_task = handle_signals(signals, waiter, door);
--- a/src/tool/shard_carrier.cpp
+++ b/src/tool/shard_carrier.cpp
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-FleetView fetch_fleet(net::Endpoint discovery, const std::string& path, BoxNames& names, int timeout_ms) {
+FleetView fetch_fleet(net::Endpoint discovery, const std::string& path, ServerNames& names, int timeout_ms) {
     const auto map = ask_http(discovery, "GET", path, "", timeout_ms);
     if (!map || map->status != 200)
         throw CommandError("no map of shards at " + net::to_text(discovery) + path +
@@ -57,12 +57,12 @@
 std::vector<store::JournalMove> moves_between(ShardId shard, Epoch epoch, const std::vector<Replica>& before,
                                               const std::vector<Replica>& after) {
     std::vector<store::JournalMove> moves;
-    const auto add = [&](MoveKind kind, BoxId from, BoxId to) {
+    const auto add = [&](MoveKind kind, ServerNumber from, ServerNumber to) {
         store::JournalMove move;
         move.move = {0, shard, from, to, epoch, MoveStep::kPrepare, kind, {}};
         moves.push_back(std::move(move));
     };
-    std::vector<BoxId> removed, added;
+    std::vector<ServerNumber> removed, added;
     for (const auto& each : before) {
         if (!is_on(after, each.box)) removed.push_back(each.box);
     }
@@ -88,23 +88,23 @@
     return moves;
 }
 
-ShardCarrier::ShardCarrier(store::SqlDb& db, CarrierTerms config,
+MoveExecutor::MoveExecutor(store::SqlDb& db, MoveExecutorConfig config,
                            std::function<void(const std::string&)> report)
     : journal_(db), config_(std::move(config)), report_(std::move(report)),
       scheduler_(config_.desk), fleet_{ShardMap::even(1, {1}, 1), {}, {}} {}
 
-Time ShardCarrier::now() const {
+Time MoveExecutor::now() const {
     return std::chrono::duration_cast<std::chrono::microseconds>(
                std::chrono::steady_clock::now().time_since_epoch())
                .count() /
            100;
 }
 
-void ShardCarrier::refresh_fleet() {
+void MoveExecutor::refresh_fleet() {
     fleet_ = fetch_fleet(config_.discovery, config_.path, names_, config_.request_timeout_ms);
 }
 
-bool ShardCarrier::run() {
+bool MoveExecutor::run() {
     journal_.init();
     if (!journal_.take_lease(config_.who, config_.lease))
         throw CommandError("moves are carried by " + journal_.holder() +
@@ -147,7 +147,7 @@
     return all_done_ && scheduler_.waiting() == 0;
 }
 
-void ShardCarrier::start_move(MoveId id) {
+void MoveExecutor::start_move(MoveId id) {
     auto& active = active_moves_.at(id);
     auto& move = active.journaled.move;
     if (move.step == MoveStep::kPrepare) {
@@ -164,13 +164,13 @@
         active.aborted = true;
     }
     // The abort comes before any request to a box, because a move may finish within one call.
-    if (active.aborted) handle_event(active, AbortAsked{});
+    if (active.aborted) handle_event(active, AbortRequested{});
     if (active.mover->move().step != MoveStep::kUndo && !active.mover->ended())
         run_actions(active, active.mover->start(now()));
 }
 
 // Runs the actions in order; an action that completes at once may append further ones.
-void ShardCarrier::run_actions(ActiveMove& active, const Actions& actions) {
+void MoveExecutor::run_actions(ActiveMove& active, const Actions& actions) {
     std::deque<Action> to_do(actions.begin(), actions.end());
     while (!to_do.empty() && active.mover) {
         const auto action = std::move(to_do.front());
@@ -179,11 +179,11 @@
     }
 }
 
-void ShardCarrier::handle_event(ActiveMove& active, const Event& event) {
+void MoveExecutor::handle_event(ActiveMove& active, const Event& event) {
     if (active.mover) run_actions(active, active.mover->take(now(), event));
 }
 
-void ShardCarrier::apply_operator_requests() {
+void MoveExecutor::apply_operator_requests() {
     if (now() < next_request_check_) return;
     next_request_check_ = now() + kRequestCheckInterval;
     scheduler_.by_hand(journal_.paused());
@@ -193,7 +193,7 @@
         if (found == active_moves_.end() || found->second.aborted) continue;
         found->second.aborted = true;
         if (found->second.mover) {
-            handle_event(found->second, AbortAsked{});
+            handle_event(found->second, AbortRequested{});
             continue;
         }
         // A box may have got a request already, so the move is undone there even if the limits on concurrent
@@ -212,7 +212,7 @@
 
 // Computes the share of multigets that were rejected or failed since the last check, over all nodes that
 // respond.
-void ShardCarrier::check_pressure() {
+void MoveExecutor::check_pressure() {
     if (config_.nodes.empty() || now() < next_pressure_check_) return;
     next_pressure_check_ = now() + config_.pressure_interval_ms * 10;
     std::uint64_t taken = 0, refused = 0;
@@ -236,12 +236,12 @@
     const double pressure =
         new_taken == 0 ? 0 : static_cast<double>(new_refused) / static_cast<double>(new_taken);
     const auto change = scheduler_.look(pressure);
-    if (change == MoveDesk::Did::kPaused) report_("paused: the fleet is under pressure");
-    if (change == MoveDesk::Did::kResumed) report_("resumed");
+    if (change == MoveQueue::Did::kPaused) report_("paused: the fleet is under pressure");
+    if (change == MoveQueue::Did::kResumed) report_("resumed");
 }
 
 // Returns true if the box accepts; `value` is then the number it returned.
-bool ShardCarrier::request_box(const ActiveMove& active, const std::string& box, const char* verb,
+bool MoveExecutor::request_box(const ActiveMove& active, const std::string& box, const char* verb,
                                std::uint64_t& value, std::uint64_t upto, Epoch epoch) {
     const auto& move = active.mover->move();
     const auto* known = fleet_.map.find(move.shard);
@@ -252,7 +252,7 @@
     return request_box(active, box, verb, shard, value, upto);
 }
 
-bool ShardCarrier::request_box(const ActiveMove& active, const std::string& box, const char* verb,
+bool MoveExecutor::request_box(const ActiveMove& active, const std::string& box, const char* verb,
                                const Shard& shard, std::uint64_t& value, std::uint64_t upto) {
     const auto found = fleet_.boxes.find(box);
     if (found == fleet_.boxes.end()) return false;
@@ -268,21 +268,21 @@
     return true;
 }
 
-std::vector<const Shard*> ShardCarrier::parents(const ActiveMove& active) const {
+std::vector<const Shard*> MoveExecutor::parents(const ActiveMove& active) const {
     const auto& move = active.journaled.move;
     std::vector<const Shard*> found{fleet_.map.find(move.shard)};
     if (move.kind == MoveKind::kMerge) found.push_back(fleet_.map.find(move.cut.other));
     return found;
 }
 
-std::vector<const Shard*> ShardCarrier::children(const ActiveMove& active) const {
+std::vector<const Shard*> MoveExecutor::children(const ActiveMove& active) const {
     const auto& move = active.journaled.move;
     std::vector<const Shard*> found{fleet_.map.find(move.cut.lower)};
     if (move.kind == MoveKind::kSplit) found.push_back(fleet_.map.find(move.cut.upper));
     return found;
 }
 
-bool ShardCarrier::request_owner_of_parents(const ActiveMove& active, const char* verb,
+bool MoveExecutor::request_owner_of_parents(const ActiveMove& active, const char* verb,
                                             std::uint64_t& value) {
     for (const auto* parent : parents(active)) {
         if (parent == nullptr || !request_box(active, active.journaled.from, verb, *parent, value))
@@ -292,7 +292,7 @@
 }
 
 // The parents are no longer in the map; every box that held them holds the children.
-bool ShardCarrier::drop_parents(const ActiveMove& active) {
+bool MoveExecutor::drop_parents(const ActiveMove& active) {
     const auto& move = active.journaled.move;
     const auto after = children(active);
     if (after.front() == nullptr) return false;
@@ -311,7 +311,7 @@
     return all;
 }
 
-void ShardCarrier::execute(ActiveMove& active, const Keep& keep) {
+void MoveExecutor::execute(ActiveMove& active, const Keep& keep) {
     const auto step = std::string(name_of(keep.move.step));
     crash_points_.pass("keep-" + step);
     journal_.keep(keep.move, config_.who);
@@ -320,19 +320,19 @@
     handle_event(active, Kept{keep.move.step});
 }
 
-void ShardCarrier::execute(ActiveMove& active, const AskCopy&) {
+void MoveExecutor::execute(ActiveMove& active, const RequestCopy&) {
     std::uint64_t value = 0;
     if (active.journaled.to.empty() || request_box(active, active.journaled.to, "copy", value))
         handle_event(active, Copied{});
 }
 
-void ShardCarrier::execute(ActiveMove& active, const AskMissing&) {
+void MoveExecutor::execute(ActiveMove& active, const RequestLag&) {
     std::uint64_t value = 0;
     if (active.journaled.to.empty() || request_box(active, active.journaled.to, "missing", value))
-        handle_event(active, Missing{value});
+        handle_event(active, CopyLag{value});
 }
 
-void ShardCarrier::execute(ActiveMove& active, const AskFence&) {
+void MoveExecutor::execute(ActiveMove& active, const RequestFence&) {
     std::uint64_t value = 0;
     const auto kind = active.journaled.move.kind;
     const bool owned = kind == MoveKind::kOwner || kind == MoveKind::kPass;
@@ -341,16 +341,16 @@
     if (fenced) handle_event(active, Fenced{value});
 }
 
-void ShardCarrier::execute(ActiveMove& active, const AskReach& reach) {
+void MoveExecutor::execute(ActiveMove& active, const RequestCatchUp& reach) {
     std::uint64_t value = reach.upto;
     const auto kind = active.journaled.move.kind;
     const bool owned = kind == MoveKind::kOwner || kind == MoveKind::kPass;
     if (!owned || request_box(active, active.journaled.to, "reach", value, reach.upto))
-        handle_event(active, Reached{value});
+        handle_event(active, CaughtUp{value});
 }
 
 // Returns the map changes that are still to be published; empty if the map has them all.
-std::vector<Step> ShardCarrier::unpublished_steps(const ActiveMove& active) const {
+std::vector<Step> MoveExecutor::unpublished_steps(const ActiveMove& active) const {
     const auto& move = active.journaled.move;
     const auto* shard = fleet_.map.find(move.shard);
     std::vector<Step> steps;
@@ -370,7 +370,7 @@
     return steps;
 }
 
-void ShardCarrier::execute(ActiveMove& active, const Publish&) {
+void MoveExecutor::execute(ActiveMove& active, const Publish&) {
     refresh_fleet();
     const auto steps = unpublished_steps(active);
     if (!steps.empty()) {
@@ -388,7 +388,7 @@
 }
 
 // Sends the map's epoch to all boxes that hold the shard according to the map.
-void ShardCarrier::execute(ActiveMove& active, const AskOwn&) {
+void MoveExecutor::execute(ActiveMove& active, const RequestOwn&) {
     if (!unpublished_steps(active).empty()) return;
     const bool cut = is_cut(active.journaled.move.kind);
     std::vector<const Shard*> owned{fleet_.map.find(active.journaled.move.shard)};
@@ -407,14 +407,14 @@
     if (all) handle_event(active, Owns{});
 }
 
-void ShardCarrier::execute(ActiveMove& active, const AskDrained&) {
+void MoveExecutor::execute(ActiveMove& active, const RequestDrained&) {
     std::uint64_t value = 0;
     if (active.journaled.move.kind == MoveKind::kCopy ||
         request_box(active, active.journaled.from, "drained", value))
         handle_event(active, Drained{});
 }
 
-void ShardCarrier::execute(ActiveMove& active, const AskDrop& drop) {
+void MoveExecutor::execute(ActiveMove& active, const RequestDrop& drop) {
     std::uint64_t value = 0;
     const auto kind = active.journaled.move.kind;
     const bool from = drop.box == active.journaled.move.from;
@@ -433,7 +433,7 @@
         handle_event(active, Dropped{drop.box});
 }
 
-void ShardCarrier::execute(ActiveMove& active, const AskUnfence&) {
+void MoveExecutor::execute(ActiveMove& active, const RequestUnfence&) {
     std::uint64_t value = 0;
     const auto kind = active.journaled.move.kind;
     const bool owned = kind == MoveKind::kOwner || kind == MoveKind::kPass;
@@ -443,20 +443,20 @@
     if (unfenced) handle_event(active, Unfenced{});
 }
 
-void ShardCarrier::execute(ActiveMove& active, const Wake& wake) { active.wake_times.insert(wake.at); }
+void MoveExecutor::execute(ActiveMove& active, const Wake& wake) { active.wake_times.insert(wake.at); }
 
-void ShardCarrier::execute(ActiveMove& active, const Ended& ended) {
+void MoveExecutor::execute(ActiveMove& active, const Ended& ended) {
     const auto id = active.journaled.move.id;
     report_("move " + std::to_string(id) + (ended.done ? ": done" : ": undone"));
     all_done_ = all_done_ && ended.done;
-    scheduler_.ended(id, ended.done       ? MoveDesk::End::kDone
-                         : active.aborted ? MoveDesk::End::kAborted
-                                          : MoveDesk::End::kUndone);
+    scheduler_.ended(id, ended.done       ? MoveQueue::End::kDone
+                         : active.aborted ? MoveQueue::End::kAborted
+                                          : MoveQueue::End::kUndone);
     active.wake_times.clear();
     finished_.push_back(id);
 }
 
-void ShardCarrier::execute(ActiveMove& active, const CannotAbort&) {
+void MoveExecutor::execute(ActiveMove& active, const CannotAbort&) {
     journal_.note(active.journaled.move.id, "cannot be aborted any more: it has switched; move it back");
     report_("move " + std::to_string(active.journaled.move.id) +
             ": cannot be aborted any more, it has switched");
--- a/src/tool/shard_carrier.hpp
+++ b/src/tool/shard_carrier.hpp
@@ -1,4 +1,4 @@
-// Executes shard moves: performs the actions that each Mover and the MoveDesk decide, one request at a time.
+// Executes shard moves: performs the actions that each Mover and the MoveQueue decide, one request at a time.
 // It reads the map and the server list at discovery, sends requests to boxes, publishes map changes, and
 // saves every step in the journal before it sends the requests of that step. If it is killed at any point,
 // the next run continues from the journal.
@@ -20,7 +20,7 @@
 
 namespace pinedoor::tool {
 
-struct CarrierTerms {
+struct MoveExecutorConfig {
     net::Endpoint discovery;
     std::string path = "/discovery/shards";
     // Nodes whose counters are used to detect overload of the fleet; empty: no detection.
@@ -29,8 +29,8 @@
     std::int64_t lease = 100'000;
     int request_timeout_ms = 500;      // timeout of one request
     int pressure_interval_ms = 1'000;  // between two overload checks
-    placement::MoveTerms move;
-    placement::DeskTerms desk;
+    placement::MoverConfig move;
+    placement::MoveQueueConfig desk;
 };
 
 // The map at discovery, and the addresses of the boxes from the server list. Throws CommandError if either is
@@ -40,7 +40,7 @@
     std::map<std::string, net::Endpoint> boxes;
     std::map<std::string, std::string> zones;  // by box name
 };
-FleetView fetch_fleet(net::Endpoint discovery, const std::string& path, placement::BoxNames& names,
+FleetView fetch_fleet(net::Endpoint discovery, const std::string& path, placement::ServerNames& names,
                       int timeout_ms);
 
 // Returns the moves that change the replicas from `before` to `after`, one for each changed replica.
@@ -48,9 +48,9 @@
                                               const std::vector<placement::Replica>& before,
                                               const std::vector<placement::Replica>& after);
 
-class ShardCarrier {
+class MoveExecutor {
 public:
-    ShardCarrier(store::SqlDb& db, CarrierTerms config, std::function<void(const std::string&)> report);
+    MoveExecutor(store::SqlDb& db, MoveExecutorConfig config, std::function<void(const std::string&)> report);
 
     // Runs until every move of the journal has ended or no further one may start. Returns true if all
     // completed. Throws CommandError if another process holds the lease or discovery is unreachable.
@@ -85,24 +85,24 @@
     std::vector<placement::Step> unpublished_steps(const ActiveMove& active) const;
 
     void execute(ActiveMove& active, const placement::moving::Keep& keep);
-    void execute(ActiveMove& active, const placement::moving::AskCopy&);
-    void execute(ActiveMove& active, const placement::moving::AskMissing&);
-    void execute(ActiveMove& active, const placement::moving::AskFence&);
-    void execute(ActiveMove& active, const placement::moving::AskReach& reach);
+    void execute(ActiveMove& active, const placement::moving::RequestCopy&);
+    void execute(ActiveMove& active, const placement::moving::RequestLag&);
+    void execute(ActiveMove& active, const placement::moving::RequestFence&);
+    void execute(ActiveMove& active, const placement::moving::RequestCatchUp& reach);
     void execute(ActiveMove& active, const placement::moving::Publish&);
-    void execute(ActiveMove& active, const placement::moving::AskOwn&);
-    void execute(ActiveMove& active, const placement::moving::AskDrained&);
-    void execute(ActiveMove& active, const placement::moving::AskDrop& drop);
-    void execute(ActiveMove& active, const placement::moving::AskUnfence&);
+    void execute(ActiveMove& active, const placement::moving::RequestOwn&);
+    void execute(ActiveMove& active, const placement::moving::RequestDrained&);
+    void execute(ActiveMove& active, const placement::moving::RequestDrop& drop);
+    void execute(ActiveMove& active, const placement::moving::RequestUnfence&);
     void execute(ActiveMove& active, const placement::moving::Wake& wake);
     void execute(ActiveMove& active, const placement::moving::Ended& ended);
     void execute(ActiveMove& active, const placement::moving::CannotAbort&);
 
     store::MoveJournal journal_;
-    const CarrierTerms config_;
+    const MoveExecutorConfig config_;
     const std::function<void(const std::string&)> report_;
-    placement::MoveDesk scheduler_;
-    placement::BoxNames names_;
+    placement::MoveQueue scheduler_;
+    placement::ServerNames names_;
     FleetView fleet_;
     std::map<std::string, BoxConnection> connections_;
     std::map<placement::MoveId, ActiveMove> active_moves_;
--- a/src/tool/shard_commands.cpp
+++ b/src/tool/shard_commands.cpp
@@ -117,8 +117,8 @@
     }
 
     std::unique_ptr<store::SqlDb> open_journal() {
-        store::StoreTerms store_config;
-        if (!settings_.empty()) store_config = stated::Installation::read_file(settings_).store;
+        store::StoreConfig store_config;
+        if (!settings_.empty()) store_config = stated::NodeSettings::read_file(settings_).store;
         if (!sqlite_.empty()) {
             store_config.kind = store::Kind::kSqlite;
             store_config.sqlite_file = sqlite_;
@@ -134,7 +134,7 @@
     }
 
     int show() {
-        BoxNames names;
+        ServerNames names;
         const auto fleet = fetch_fleet(endpoint(discovery_, "--discovery"), path_, names, 2'000);
         if (json_) {
             std::printf("%s\n", print_map(fleet.map, names).c_str());
@@ -161,7 +161,7 @@
             std::printf("%s: good, %zu boxes, %zu shards\n", file_.c_str(), file.fleet.boxes.size(),
                         file.fleet.shards.size());
             return kSuccess;
-        } catch (const stated::BadStated& error) {
+        } catch (const stated::ConfigError& error) {
             std::printf("%s\n", error.what());
             return kProblemFound;
         }
@@ -180,7 +180,7 @@
 #endif
     }
 
-    std::string describe(const PlanStep& step, const BoxNames& names) const {
+    std::string describe(const PlanStep& step, const ServerNames& names) const {
         const auto shard = "shard " + std::to_string(step.shard);
         switch (step.kind) {
             case PlanStep::Kind::kCopy:
@@ -238,7 +238,7 @@
 
     // The moves of the plan, based on the current map. The fleet file must agree with the map.
     std::vector<store::JournalMove> moves_of(const stated::FleetFile& file, const FleetView& fleet,
-                                             BoxNames& names) {
+                                             ServerNames& names) {
         const auto result = make_plan(file);
         if (!result.unmet.empty())
             throw CommandError("the plan leaves something unmet: " + result.unmet.front());
@@ -277,8 +277,8 @@
     }
 
     int apply() {
-        if (const auto fault = MoveDesk::fault_of(desk_config_); !fault.empty()) throw CommandError(fault);
-        CarrierTerms config;
+        if (const auto fault = MoveQueue::fault_of(desk_config_); !fault.empty()) throw CommandError(fault);
+        MoveExecutorConfig config;
         config.discovery = endpoint(discovery_, "--discovery");
         config.path = path_;
         config.desk = desk_config_;
@@ -289,7 +289,7 @@
         config.who = std::string(host) + '/' + std::to_string(getpid());
         const auto db = dry_run_ ? nullptr : open_journal();
         if (!file_.empty()) {
-            BoxNames names;
+            ServerNames names;
             const auto fleet = fetch_fleet(config.discovery, path_, names, 2'000);
             auto moves = moves_of(stated::read_fleet_file(file_), fleet, names);
             if (db) {
@@ -306,7 +306,7 @@
             std::fflush(stdout);
         }
         if (!db) return kSuccess;
-        ShardCarrier carrier(*db, config, [](const std::string& line) {
+        MoveExecutor carrier(*db, config, [](const std::string& line) {
             std::printf("%s\n", line.c_str());
             std::fflush(stdout);
         });
@@ -315,7 +315,7 @@
 
     // Whether the map allows the change is checked against the current map.
     int schedule_cut(bool split) {
-        BoxNames names;
+        ServerNames names;
         const auto fleet = fetch_fleet(endpoint(discovery_, "--discovery"), path_, names, 2'000);
         const auto db = open_journal();
         store::MoveJournal journal(*db);
@@ -442,7 +442,7 @@
     std::int64_t lease_ms_ = 10'000;
     std::uint64_t move_id_ = 0, shard_ = 0, other_shard_ = 0;
     std::string split_key_;
-    DeskTerms desk_config_;
+    MoveQueueConfig desk_config_;
 };
 
 }  // namespace
--- a/src/tool/store_commands.cpp
+++ b/src/tool/store_commands.cpp
@@ -147,10 +147,10 @@
     }
 
 private:
-    const store::StoreTerms& store_config() {
+    const store::StoreConfig& store_config() {
         if (store_config_) return *store_config_;
         store_config_.emplace();
-        if (!settings_.empty()) *store_config_ = stated::Installation::read_file(settings_).store;
+        if (!settings_.empty()) *store_config_ = stated::NodeSettings::read_file(settings_).store;
         if (!sqlite_.empty()) {
             store_config_->kind = store::Kind::kSqlite;
             store_config_->sqlite_file = sqlite_;
@@ -509,7 +509,7 @@
     double seconds_ = 0;
     bool json_ = false;
     bool add_ = false;
-    std::optional<store::StoreTerms> store_config_;
+    std::optional<store::StoreConfig> store_config_;
 };
 
 }  // namespace
--- a/src/wire/frame.cpp
+++ b/src/wire/frame.cpp
@@ -109,7 +109,7 @@
         put_ms(out, a.try_for);
         return 22;
     }
-    int operator()(const CallOff& a) const {
+    int operator()(const CancelSend& a) const {
         put(out, a.part, 4);
         put(out, static_cast<std::uint64_t>(a.send), 2);
         return 24;
@@ -128,7 +128,7 @@
         put(out, a.multiget, 4);
         return 26;
     }
-    int operator()(const SetBell& a) const {
+    int operator()(const SetTimer& a) const {
         put_ms(out, a.after);
         put(out, a.token, 4);
         return 17;
@@ -139,11 +139,11 @@
         out += text;
         return 18;
     }
-    int operator()(const WatchList&) const {
+    int operator()(const WatchServerList&) const {
         put(out, 1, 1);
         return 21;
     }
-    int operator()(const FetchList&) const { return 25; }
+    int operator()(const FetchServerList&) const { return 25; }
     int operator()(const Probe& a) const {
         put_server(out, a.server);
         return 19;
@@ -240,8 +240,8 @@
                 const auto ref = r.read_uint(4, "ref");
                 const auto kind = r.read_uint(1, "how");
                 if (kind > 3) r.fail("unknown kind of list " + std::to_string(kind));
-                DiscoveryUpdate update{static_cast<ListKind>(kind), {}};
-                if (update.kind != ListKind::kFailed) {
+                DiscoveryUpdate update{static_cast<ListUpdateKind>(kind), {}};
+                if (update.kind != ListUpdateKind::kFailed) {
                     if (ref >= lists_.size() || !is_known_.at(ref)) r.fail("refers to an unknown list");
                     update.entries = lists_.at(ref);
                 }
@@ -255,10 +255,10 @@
                 break;
             }
             case 20: record.content = read_outcome(r); break;
-            case 21: record.content = ClientLeft{static_cast<Id>(r.read_uint(4, "handle"))}; break;
+            case 21: record.content = ClientDisconnected{static_cast<Id>(r.read_uint(4, "handle"))}; break;
             case 22: record.content = Bell{static_cast<std::uint32_t>(r.read_uint(4, "nonce"))}; break;
             case 23: {
-                Probed probe;
+                ProbeEnded probe;
                 probe.server = r.read_server();
                 probe.ok = r.read_uint(2, "verdict") == 0;
                 probe.took = r.read_time("delay_seen_ms");
@@ -267,7 +267,7 @@
                 break;
             }
             case 24: {
-                PeerWord message;
+                PeerMessage message;
                 message.from = static_cast<int>(r.read_uint(2, "neighbour"));
                 const auto text = r.read_bytes(r.read_uint(2, "data"), "data");
                 message.text.assign(text.begin(), text.end());
--- a/src/wire/frame.hpp
+++ b/src/wire/frame.hpp
@@ -62,13 +62,13 @@
 };
 // An update of the server list.
 struct DiscoveryUpdate {
-    ListKind kind = ListKind::kFailed;
+    ListUpdateKind kind = ListUpdateKind::kFailed;
     std::vector<ListEntry> entries;  // of the numbered list, as defined at this record
 };
 // The head of a reply was received. Carries no information for the decisions.
 struct HeadReceived {};
-using RecordContent = std::variant<Hello, Destroy, Arrival, DiscoveryUpdate, HeadReceived, SendEnded, Probed,
-                                   ClientLeft, Bell, PeerWord>;
+using RecordContent = std::variant<Hello, Destroy, Arrival, DiscoveryUpdate, HeadReceived, SendEnded,
+                                   ProbeEnded, ClientDisconnected, Bell, PeerMessage>;
 struct Record {
     int instance = 0;  // number of the front node
     RecordContent content;
--- a/tests/closed_loop.hpp
+++ b/tests/closed_loop.hpp
@@ -45,14 +45,14 @@
     public:
         explicit Simulation(const ClosedLoop& config)
             : config_(config), rng_(config.seed), servers_(static_cast<std::size_t>(config.servers)),
-              node_(config.seed, NodePlace{0, config.front_nodes, 0, config.turn}, {type(config)},
+              node_(config.seed, NodeConfig{0, config.front_nodes, 0, config.turn}, {type(config)},
                     ShardRing{config.servers, std::min(2, config.servers), 8, 0},
-                    SendTerms{3, true, true, 1'000}, FurtherSendTerms{10, 0.2, 100'000},
-                    ColdTerms{0.25, config.warm_up_time, 3, 10'000}, ListTerms{},
-                    ClientTerms{true, 10'000, false, 200}, {}, HintTerms{}) {}
+                    SendConfig{3, true, true, 1'000}, FurtherSendConfig{10, 0.2, 100'000},
+                    ColdStartConfig{0.25, config.warm_up_time, 3, 10'000}, ServerListConfig{},
+                    ClientConfig{true, 10'000, false, 200}, {}, HintConfig{}) {}
 
         Counts run(Time length) {
-            ListNews list{ListKind::kFull, {}};
+            ListUpdate list{ListUpdateKind::kFull, {}};
             for (int i = 0; i < config_.servers; ++i) {
                 ListEntry entry{{static_cast<std::uint32_t>(i + 1), 1}, 0, i, ServerState::kReady, 1, 0};
                 entry.started = config_.warm_up_time > 0 ? kStart : 0;
@@ -74,7 +74,7 @@
         static constexpr Time kStart = 1'000'000;
         static constexpr Time kNetworkDelay = 2;
         static OpType type(const ClosedLoop& config) {
-            return {1'000, 4'000, Repeat::kRetriable, 0, 1, 0, config.least_share, 1, 0.9, 0};
+            return {1'000, 4'000, RetrySafety::kRetriable, 0, 1, 0, config.least_share, 1, 0.9, 0};
         }
         struct Server {
             int busy = 0;
@@ -164,11 +164,11 @@
         void carry_out(const Answer& a) { end(a.multiget, a.whole ? counts_.whole : counts_.in_part, 1); }
         void carry_out(const PushBack& a) { end(a.multiget, counts_.pushed_back, config_.retry_delay); }
         void carry_out(const Fail& a) { end(a.multiget, counts_.failed, config_.retry_delay); }
-        void carry_out(const SetBell& timer) { request_turn(now_ + timer.after); }
-        void carry_out(const CallOff&) {}
+        void carry_out(const SetTimer& timer) { request_turn(now_ + timer.after); }
+        void carry_out(const CancelSend&) {}
         void carry_out(const LogLine&) {}
-        void carry_out(const WatchList&) {}
-        void carry_out(const FetchList&) {}
+        void carry_out(const WatchServerList&) {}
+        void carry_out(const FetchServerList&) {}
         void carry_out(const Probe&) {}
 
         const ClosedLoop& config_;
