--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -39,7 +39,7 @@
     FullBacklogServer slow;
     Listener other;
     Listener discovery;
-    Program program{{{"s-1", slow.at()}}, discovery.at()};
+    FrontNodeProcess program{{{"s-1", slow.at()}}, discovery.at()};
     Peer client;
     Peer watch;
 
@@ -119,7 +119,7 @@
 struct PausableProgram {
     Listener server;
     Listener discovery;
-    Program program{{{"s-1", server.at()}}, discovery.at()};
+    FrontNodeProcess program{{{"s-1", server.at()}}, discovery.at()};
     std::string folder = scratch() + "/pinedoor-pause-XXXXXX";
     Peer client;
     Peer connection;
@@ -183,7 +183,7 @@
 TEST_CASE("a server that closes its side during a request has lost the request, but stays in use") {
     Listener server;
     Listener discovery;
-    Program program({{"s-1", server.at()}}, discovery.at());
+    FrontNodeProcess program({{"s-1", server.at()}}, discovery.at());
     auto client = program.start().client();
     client.say(post("once", "t1", asks({1})));
     auto connection = server.accept();
@@ -201,7 +201,7 @@
 TEST_CASE("a client that closes its side after its request counts as gone and the request is cancelled") {
     Listener server;
     Listener discovery;
-    Program program({{"s-1", server.at()}}, discovery.at());
+    FrontNodeProcess program({{"s-1", server.at()}}, discovery.at());
     auto client = program.start().client();
     client.say(post("once", "t", asks({1})));
     auto connection = server.accept();
@@ -221,7 +221,7 @@
 
     Listener server;
     Listener discovery;
-    Program program{{{"s-1", server.at()}}, discovery.at()};
+    FrontNodeProcess program{{{"s-1", server.at()}}, discovery.at()};
     Peer client;
     std::vector<Peer> connections;
 
@@ -317,7 +317,7 @@
         listed.push_back({"s-" + std::to_string(i), servers[i].at()});
         listed.back().cell = static_cast<int>(i);
     }
-    Program program(listed, discovery.at());
+    FrontNodeProcess program(listed, discovery.at());
     program.with("\"sockets\":1024", "\"sockets\":32").with("\"places\":1", "\"places\":12");
     auto client = program.start().client();
     std::vector<Peer> connections;
@@ -367,7 +367,7 @@
 TEST_CASE("the time of a pipelined request runs from its arrival") {
     Listener server;
     Listener discovery;
-    Program program({{"s-1", server.at()}}, discovery.at());
+    FrontNodeProcess program({{"s-1", server.at()}}, discovery.at());
     auto client = program.start().client();
     client.say(post("again", "t1", asks({1})) + post("again", "t2", asks({2}), 1'500));
     auto connection = server.accept();
@@ -384,7 +384,7 @@
 TEST_CASE("a client whose connection is evicted in the middle of its request gets an answer") {
     Listener server;
     Listener discovery;
-    Program program({{"s-1", server.at()}}, discovery.at());
+    FrontNodeProcess program({{"s-1", server.at()}}, discovery.at());
     program.with("\"sockets\":1024", "\"sockets\":32");  // eight of them for clients
     auto slow = program.start().client();
     slow.say("POST /again HTTP/1.1\r\nX-Txn");
@@ -404,7 +404,7 @@
 TEST_CASE("servers that hang through a whole shutdown keep no request from its answer before the kill") {
     Listener server;
     Listener discovery;
-    Program program({{"s-1", server.at()}}, discovery.at());
+    FrontNodeProcess program({{"s-1", server.at()}}, discovery.at());
     for (int i = 0; i < 2; ++i)
         program.with("\"aim_ms\":2000.0,\"deadline_ms\":4000.0", "\"aim_ms\":400.0,\"deadline_ms\":700.0");
     auto client = program.start().client();
@@ -426,7 +426,7 @@
 TEST_CASE("a request with hardly any time left is pushed back and nothing is sent") {
     Listener server;
     Listener discovery;
-    Program program({{"s-1", server.at()}}, discovery.at());
+    FrontNodeProcess program({{"s-1", server.at()}}, discovery.at());
     auto client = program.start().client();
     client.say(post("once", "t", asks({1}), 1));
     CHECK(is_pushback(client.answer(), 0.625, 1.25));
@@ -436,7 +436,7 @@
 // Lists may be indented: an object does not end with its line.
 TEST_CASE("a list that spans many lines and arrives in pieces is accepted") {
     Listener first, second, discovery;
-    Program program({{"s-1", first.at()}}, discovery.at());
+    FrontNodeProcess program({{"s-1", first.at()}}, discovery.at());
     auto client = program.start().client();
     auto watch = discovery.accept();
     watch.read_to("\r\n\r\n");
@@ -455,7 +455,7 @@
 // Where lists are pushed, the agent must be watched: otherwise no drain is ever received.
 TEST_CASE("where lists are pushed the agent is watched from the start, and again whenever a watch ends") {
     Listener first, second, agent;
-    Program program({{"s-1", first.at()}}, agent.at());
+    FrontNodeProcess program({{"s-1", first.at()}}, agent.at());
     program.with("\"discovery\":\"on_request\"", "\"discovery\":\"pushed\"")
         .with("\"must_ask_in_ms\":1600.0,", "");
     auto client = program.start().client();
--- a/tests/discovery_trouble_test.cpp
+++ b/tests/discovery_trouble_test.cpp
@@ -19,7 +19,7 @@
     Listener known_server;
     Listener later_server;
     pinedoor::lab::HeldPort discovery_port;
-    Program program{{{"s-1", known_server.at()}}, discovery_port.at()};
+    FrontNodeProcess program{{{"s-1", known_server.at()}}, discovery_port.at()};
     Peer client;
     Peer connection;
     int requests_sent = 0;
--- a/tests/expired_list_test.cpp
+++ b/tests/expired_list_test.cpp
@@ -80,7 +80,8 @@
 public:
     Fleet(const char* must_ask_in_ms, std::uint32_t seed) : discovery_(full_list(), kNodes, seed) {
         for (int i = 0; i < kNodes; ++i) {
-            auto& node = *nodes_.emplace_back(std::make_unique<Program>(initial_servers(), discovery_.at(i)));
+            auto& node =
+                *nodes_.emplace_back(std::make_unique<FrontNodeProcess>(initial_servers(), discovery_.at(i)));
             char number[17];
             std::snprintf(number, sizeof number, "%016x", seed * 1'000 + static_cast<unsigned>(i));
             node.with("8c1f30d27a5be964", number)
@@ -150,7 +151,7 @@
 
     RecordingServer kept_, removed_;
     FaultyDiscovery discovery_;
-    std::vector<std::unique_ptr<Program>> nodes_;
+    std::vector<std::unique_ptr<FrontNodeProcess>> nodes_;
     std::vector<Peer> clients_;
     int served_ = 0;
     int unserved_ = 0;
--- a/tests/fleet/about_test.cpp
+++ b/tests/fleet/about_test.cpp
@@ -24,10 +24,10 @@
 
 // Nodes that exchange needs with random delays of up to `max_delay`, in steps of kStep.
 struct SimulatedFleet {
-    SimulatedFleet(ApproximateLimitTerms terms, unsigned seed, peers::Time max_message_delay)
+    SimulatedFleet(ApproximateLimitConfig terms, unsigned seed, peers::Time max_message_delay)
         : rng(seed), max_delay(max_message_delay), received(kNodes, std::vector<double>(kNodes)),
           partition(kNodes, 0) {
-        for (int i = 0; i < kNodes; ++i) nodes.push_back(std::make_unique<AboutShare>(terms));
+        for (int i = 0; i < kNodes; ++i) nodes.push_back(std::make_unique<ApproximateShare>(terms));
     }
     // Advances by kStep with the given needs. Each publication reaches each other node after a delay of its
     // own.
@@ -77,7 +77,7 @@
     };
     std::mt19937 rng;
     peers::Time max_delay, now = 0;
-    std::vector<std::unique_ptr<AboutShare>> nodes;
+    std::vector<std::unique_ptr<ApproximateShare>> nodes;
     std::vector<std::vector<double>> received;
     std::vector<int> partition;  // by node: its side; messages between sides are lost
     bool partition_detected = false;
@@ -85,8 +85,8 @@
     double in_use = 0, used = 0;
 };
 
-ApproximateLimitTerms terms(peers::Time propagation_delay = 2 * kSecond) {
-    ApproximateLimitTerms settings;
+ApproximateLimitConfig terms(peers::Time propagation_delay = 2 * kSecond) {
+    ApproximateLimitConfig settings;
     settings.limit = kLimit;
     settings.node_count = kNodes;
     settings.propagation_delay = propagation_delay;
@@ -100,7 +100,7 @@
     int changes = 0;
 };
 // Runs the fleet while needs of random nodes change at random.
-RunResult run(ApproximateLimitTerms limit_terms, unsigned seed, peers::Time max_delay) {
+RunResult run(ApproximateLimitConfig limit_terms, unsigned seed, peers::Time max_delay) {
     SimulatedFleet fleet(limit_terms, seed, max_delay);
     RunResult result;
     std::vector<double> needs(kNodes, 0);
@@ -177,7 +177,7 @@
 TEST_CASE(
     "a node that just started or is isolated has its floor; needs are published again in time and "
     "withdrawn") {
-    AboutShare share(terms());
+    ApproximateShare share(terms());
     share.need(500);
     CHECK(share.say(kSecond) == 500);
     CHECK(share.may_use(kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));
--- a/tests/fleet/gate_test.cpp
+++ b/tests/fleet/gate_test.cpp
@@ -18,7 +18,7 @@
 constexpr Time kSecond = 10'000;
 
 TEST_CASE("a gate passes its share and one burst; idle time saves nothing beyond; retry delays are spread") {
-    fleet::LimitTerms terms;
+    fleet::LimitConfig terms;
     terms.per_second = 100;
     terms.burst = 20;
     fleet::Gate gate(terms, 7);
@@ -44,7 +44,7 @@
 }
 
 TEST_CASE("tokens saved at a small share do not grow with the share") {
-    fleet::LimitTerms terms;
+    fleet::LimitConfig terms;
     terms.per_second = 100;
     terms.burst = 20;
     fleet::Gate gate(terms, 7);
@@ -67,7 +67,7 @@
 // 900. Guards against requests that its own limit rejects using up the shared limit: the other tenant got
 // none of its 83 per second.
 TEST_CASE("a request that one limit rejects takes nothing from its other limits") {
-    fleet::LimitTerms shared_terms, greedy_terms;
+    fleet::LimitConfig shared_terms, greedy_terms;
     shared_terms.per_second = 100;
     shared_terms.burst = 20;
     greedy_terms.per_second = 10;
@@ -92,14 +92,14 @@
     CHECK(shared.need(now) < 200);  // rejected by the other limit: not part of the need
     CHECK(greedy_only.need(now) > 1'000);
     CHECK(full_limits({&shared, &greedy_only}) == std::vector<fleet::Gate*>{&greedy_only});
-    fleet::ConnectionPace limiter(shared_terms);
+    fleet::ConnectionRateLimiter limiter(shared_terms);
     for (int i = 0; i < 10; ++i) CHECK(limiter.has_room(now, 1, 1));
     CHECK(limiter.may_open(now, 1, 1));
     CHECK(!limiter.has_room(now, 1, 1));
 }
 
 TEST_CASE("the need follows arrivals and ends soon after them") {
-    fleet::LimitTerms terms;
+    fleet::LimitConfig terms;
     terms.per_second = 100;
     fleet::Gate gate(terms, 7);
     Time now = kSecond;
@@ -114,10 +114,10 @@
 
 TEST_CASE(
     "connections are limited for each server; a new one has one token; a flapping server gains nothing") {
-    fleet::LimitTerms terms;
+    fleet::LimitConfig terms;
     terms.per_second = 8;
     terms.burst = 4;
-    fleet::ConnectionPace limiter(terms);
+    fleet::ConnectionRateLimiter limiter(terms);
     Time now = kSecond;
     CHECK(limiter.may_open(now, 1, 2));
     CHECK(!limiter.may_open(now, 1, 2));
@@ -138,7 +138,7 @@
 }
 
 TEST_CASE("the need for parts out is the recent peak with half as much again and decays soon") {
-    fleet::PartsOut parts_out;
+    fleet::PartsOutDemand parts_out;
     CHECK(parts_out.need() == 1);
     parts_out.see(kSecond, 20);
     CHECK(parts_out.need() == 31);
@@ -151,10 +151,10 @@
 TEST_CASE(
     "the module's share: one part at each server is always allowed; an expired share allows nothing more; "
     "default is unlimited") {
-    const FleetShare unlimited;
+    const FleetQuota unlimited;
     CHECK(unlimited.room(kSecond, 1'000'000) > 0);
     CHECK(unlimited.allows(kSecond, 1e18));
-    FleetShare share;
+    FleetQuota share;
     share.parts_out = 3;
     share.further = 10;
     share.until = 2 * kSecond;
@@ -172,12 +172,12 @@
 TEST_CASE("limits of each kind are read; errors name the key") {
     const auto read = [](const std::string& limit, bool peers = true) -> std::string {
         try {
-            const auto installation = stated::Installation::from_text(
+            const auto installation = stated::NodeSettings::from_text(
                 std::string(peers ? "[peers]\non = true\nlisten = \"127.0.0.1:7946\"\n" : "") +
                     "[fleet]\non = true\nvoters = [\"a\"]\n[[fleet.limits]]\nname = \"x\"\n" + limit,
                 "f.toml");
             return fleet::name_of(installation.fleet.limits.at(0).of);
-        } catch (const stated::BadStated& error) {
+        } catch (const stated::ConfigError& error) {
             return error.what();
         }
     };
--- a/tests/fleet/hard_cases_test.cpp
+++ b/tests/fleet/hard_cases_test.cpp
@@ -102,7 +102,7 @@
                                                        {"fleet.cold", "true"},
                                                        {"fleet.discovery.calls_per_second", "5"}});
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             FIGURE(result.reader.served_by(0.5) > 0);
             FIGURE(result.reader.served_by(0.5) < 4 * kSecond);  // any known list is enough to serve
             FIGURE(result.reader.served_by(1) > 0);
@@ -118,9 +118,9 @@
             return run(fault("kill", 3, 6, "share = 0.7"),
                        {{"fleet.discovery.calls_per_second", "5"}, {"fleet.known", "0.3"}}, 9 * kSecond);
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             FIGURE(result.served() > 0.97);  // after all are back
-            FIGURE(result.totals.count(CallDesk::End::kRefused) <= 4);
+            FIGURE(result.totals.count(CallQueue::End::kRefused) <= 4);
         });
 }
 
@@ -130,7 +130,7 @@
             return run(fault("kill", 3, 5) + fault("discovery-down", 3, 5) + trouble("crash", 3, 5),
                        {{"fleet.discovery.calls_per_second", "5"}, {"fleet.known", "0.5"}}, 10 * kSecond);
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             FIGURE(result.served() > 0.97);
             FIGURE(result.totals.calls.size() <= 20);
         });
@@ -146,7 +146,7 @@
         [&] {
             return run(faults, {{"zones", "2"}, {"fleet.discovery.calls_per_second", "20"}}, 10 * kSecond);
         },
-        [&](const auto& result, test::Figures& figures) { FIGURE(result.served() > 0.97); });
+        [&](const auto& result, test::Expectations& figures) { FIGURE(result.served() > 0.97); });
 }
 
 // lab-4 and lab-0 poll discovery (by the order of their names' hashes); lab-4 gets the old copy. Guards
@@ -164,7 +164,7 @@
                         {"fleet.discovery.calls_per_second", "5"}},
                        8 * kSecond, 10 * kSecond);
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             FIGURE(result.served() > 0.97);
             // Its followers leave it too or get the later list through it, whichever comes first;
             // list_source_test checks that.
@@ -185,7 +185,7 @@
                            fault("kill", 5, 6, "nodes = [8]") + trouble("crash", 6, 8, "share = 0.25"),
                        {{"seconds", "14"}}, 11 * kSecond);
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             FIGURE(result.served() > 0.97);
             // Includes the node that started while all its seeds were dead.
             for (int i = 0; i < 10; ++i) FIGURE(result.known_members.at(i) == 10);
@@ -201,7 +201,7 @@
                            fault("full", 4, 9, "nodes = [6, 7]\nquota_bytes = 4096"),
                        {{"fleet.store", "true"}, {"seconds", "11"}}, 6 * kSecond);
         },
-        [&](const auto& result, test::Figures& figures) { FIGURE(result.served() > 0.97); });
+        [&](const auto& result, test::Expectations& figures) { FIGURE(result.served() > 0.97); });
 }
 
 TEST_CASE(
@@ -210,7 +210,7 @@
         [&] {
             return run(fault("discovery-half", 9, 11), {{"fleet.seeds_after_s", "2"}, {"seconds", "13"}});
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             for (int i = 0; i < 10; ++i) FIGURE(result.known_members.at(i) == 10);
             FIGURE(result.served() > 0.9);
         });
@@ -230,7 +230,7 @@
                         {"fleet.cold", "true"},
                         {"fleet.start_within_ms", "100"}});
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             const double used_capacity = result.reader.nearest(Breach::Rule::kNoColdServerOver);
             MESSAGE("sent to a cold server at most " << used_capacity << " of its sustained throughput");
             CHECK(used_capacity < 1);
@@ -255,7 +255,7 @@
                            fault("kill", 6, 9, "nodes = [3, 6, 9]"),
                        changes);
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             const auto& rejoined = result.reader.picks_of_rejoined();
             const auto& others = result.reader.picks_of_others();
             MESSAGE("to hung servers: " << rejoined.ailing << " of " << rejoined.sends
--- a/tests/fleet/hunt_test.cpp
+++ b/tests/fleet/hunt_test.cpp
@@ -124,7 +124,7 @@
                 play.totals.late_share = what == 's' ? 1 : 0;
                 return play;
             },
-            [](const auto& play, test::Figures& figures) { FIGURE(play.good); }, 5);
+            [](const auto& play, test::Expectations& figures) { FIGURE(play.good); }, 5);
         return text + ' ' + std::to_string(at);
     };
     if (test::kSanitized) return;  // figures are not checked with sanitizers
--- a/tests/fleet/judged.hpp
+++ b/tests/fleet/judged.hpp
@@ -1,9 +1,9 @@
 // Checks for tests that run a fleet of processes. Guarantees (nothing runs twice, answers are honest, a limit
 // is never exceeded, no process exits badly) hold however slow the machine is, and are checked in each run.
-// Figures (service, shares of sends, durations, rules that bound times) describe the fleet only if its
+// Expectations (service, shares of sends, durations, rules that bound times) describe the fleet only if its
 // processes got enough CPU time: on a machine with busy cores, a fleet of sixteen sanitized processes served
-// 0.05 of what it serves with cores of its own. Figures are checked only in runs in which processes hardly
-// waited for a core, and never under the sanitizers, which multiply the work.
+// 0.05 of what it serves with cores of its own. Expectations are checked only in runs in which processes
+// hardly waited for a core, and never under the sanitizers, which multiply the work.
 #pragma once
 
 #include <doctest/doctest.h>
@@ -31,7 +31,7 @@
 }
 
 // Collects figures that a run missed.
-class Figures {
+class Expectations {
 public:
     void expect(bool holds, const char* expression) {
         if (!holds) missed_ += std::string(missed_.empty() ? "" : "; ") + expression;
@@ -59,7 +59,7 @@
             if (runs >= 3 && failures.empty()) return failures;
             continue;
         }
-        Figures figures;
+        Expectations figures;
         check(result, figures);
         if (figures.missed().empty()) {
             if (failures.empty() || ++passed_runs == 2) return {};
--- a/tests/fleet/lease_explore_test.cpp
+++ b/tests/fleet/lease_explore_test.cpp
@@ -51,13 +51,13 @@
 // One state of the fleet, and how it was reached.
 struct State {
     struct Node {
-        std::unique_ptr<Leases> leases;
+        std::unique_ptr<LeaseParticipant> leases;
         std::uint64_t incarnation = 1;
         bool suspended = false;
         std::deque<InFlight> pending;
         Node() = default;
         Node(const Node& other)
-            : leases(std::make_unique<Leases>(*other.leases)), incarnation(other.incarnation),
+            : leases(std::make_unique<LeaseParticipant>(*other.leases)), incarnation(other.incarnation),
               suspended(other.suspended), pending(other.pending) {}
         Node(Node&&) = default;
     };
@@ -66,8 +66,8 @@
     std::deque<InFlight> delayed[kNodes][kNodes];
     Time now = 0;
     int crashes = 0, faults = 0, steps = 0;
-    Leases::LatestRequests ended_requests;  // by ended incarnation: its last request
-    std::string path;                       // the changes made, for diagnosis
+    LeaseParticipant::LatestRequests ended_requests;  // by ended incarnation: its last request
+    std::string path;                                 // the changes made, for diagnosis
 };
 
 class Explorer {
@@ -125,7 +125,8 @@
 
     void start(State& state, int which, Time started) const {
         auto& node = state.nodes[static_cast<std::size_t>(which)];
-        node.leases = std::make_unique<Leases>("limit", name(which), node.incarnation, terms_, started);
+        node.leases =
+            std::make_unique<LeaseParticipant>("limit", name(which), node.incarnation, terms_, started);
         std::vector<std::string> names;
         for (int i = 0; i < kNodes; ++i) names.push_back(name(i));
         node.leases->set_members(names);
@@ -221,7 +222,7 @@
         }
     }
     // A reply inherits the age of its request.
-    void transmit(State& state, int from, std::vector<SendLease> messages, int age) const {
+    void transmit(State& state, int from, std::vector<OutgoingLeaseMessage> messages, int age) const {
         for (auto& each : messages) {
             const int to = each.to[1] - '0';
             InFlight in_flight{to, age, std::move(each.message)};
@@ -295,7 +296,7 @@
     }
 
     const Instance instance_;
-    LeaseTerms terms_;
+    LeaseConfig terms_;
     std::set<std::pair<std::uint64_t, std::uint64_t>> seen_;
 };
 
--- a/tests/fleet/leases_test.cpp
+++ b/tests/fleet/leases_test.cpp
@@ -1,6 +1,6 @@
-// Leases for limits that are never exceeded, in simulated time: random message loss, partitions, suspensions,
-// crashes and clock drift; every pair of faults on a small instance; and injected defects that the checks
-// must find. lease_explore_test.cpp explores all interleavings of a small instance.
+// LeaseParticipant for limits that are never exceeded, in simulated time: random message loss, partitions,
+// suspensions, crashes and clock drift; every pair of faults on a small instance; and injected defects that
+// the checks must find. lease_explore_test.cpp explores all interleavings of a small instance.
 #include "fleet/leases.hpp"
 
 #include <doctest/doctest.h>
@@ -23,13 +23,13 @@
 class LeaseSimulation {
 public:
     struct Node {
-        std::unique_ptr<Leases> leases;
+        std::unique_ptr<LeaseParticipant> leases;
         double clock_rate = 1;  // relative to simulated time
         bool up = false, suspended = false;
         std::vector<LeaseMessage> pending;
         Time last_used_at = -1;  // on its own clock, when it last looked up what it may use
     };
-    LeaseSimulation(int count, std::uint64_t seed, LeaseTerms terms)
+    LeaseSimulation(int count, std::uint64_t seed, LeaseConfig terms)
         : terms_(std::move(terms)), random_(seed) {
         for (int i = 0; i < count; ++i) nodes_.emplace_back();
         for (int i = 0; i < count; ++i) {
@@ -48,7 +48,8 @@
         state.up = true;
         state.suspended = false;
         state.pending.clear();
-        state.leases = std::make_unique<Leases>("limit", name(which), random_(), terms_, clock(which));
+        state.leases =
+            std::make_unique<LeaseParticipant>("limit", name(which), random_(), terms_, clock(which));
         update_members();
     }
     void kill(int which, bool noticed = true) {
@@ -117,7 +118,7 @@
     void deliver(int which, const LeaseMessage& message) {
         transmit(which, node(which).leases->take(clock(which), message));
     }
-    void transmit(int from, std::vector<SendLease> messages) {
+    void transmit(int from, std::vector<OutgoingLeaseMessage> messages) {
         for (auto& each : messages) {
             ++sent;
             const int to = std::stoi(each.to.substr(1));
@@ -128,15 +129,15 @@
                     std::pair(to, each.message));
         }
     }
-    const LeaseTerms terms_;
+    const LeaseConfig terms_;
     std::mt19937_64 random_;
     std::vector<Node> nodes_;
     std::multimap<Time, std::pair<int, LeaseMessage>> queue_;
     Time now_ = kSecond;
 };
 
-LeaseTerms terms(int nodes) {
-    LeaseTerms settings;
+LeaseConfig terms(int nodes) {
+    LeaseConfig settings;
     settings.limit = 1'000;
     settings.node_count = nodes;
     settings.voters = {"n0", "n1", "n2"};
@@ -280,7 +281,7 @@
 TEST_CASE("a duplicated request gets the same reply") {
     auto settings = terms(2);
     settings.voters = {"n0"};
-    Leases owner("limit", "n0", 1, settings, 0);
+    LeaseParticipant owner("limit", "n0", 1, settings, 0);
     owner.set_members({"n0", "n1"});
     Time now = 10 * kSecond;
     owner.tick(now);
@@ -337,9 +338,9 @@
             sim.kill(i);
             // Started long ago as far as it knows, so it may vote at once.
             sim.node(i).up = true;
-            sim.node(i).leases = std::make_unique<Leases>("limit", LeaseSimulation::name(i),
-                                                          99 + static_cast<std::uint64_t>(i), settings,
-                                                          sim.clock(i) - 100 * kSecond);
+            sim.node(i).leases = std::make_unique<LeaseParticipant>("limit", LeaseSimulation::name(i),
+                                                                    99 + static_cast<std::uint64_t>(i),
+                                                                    settings, sim.clock(i) - 100 * kSecond);
         }
         sim.update_members();
         for (int i = 0; i < 8; ++i) sim.node(i).leases->need(400);
@@ -359,7 +360,7 @@
 // Runs two faults on three nodes that act as voters, holders, owner and successor. Returns the largest amount
 // in use at one time, or 1e9 if there were two owners at a time.
 double max_in_use_under(const Fault& first, const Fault& second, double max_drift) {
-    LeaseTerms settings;
+    LeaseConfig settings;
     settings.limit = 300;
     settings.node_count = 3;
     settings.voters = {"n0", "n1", "n2"};
--- a/tests/fleet/limits_test.cpp
+++ b/tests/fleet/limits_test.cpp
@@ -68,7 +68,7 @@
 
 TEST_CASE("demand of two and a half times the limit: the limit is used fully and never exceeded") {
     test::judge([&] { return run(""); },
-                [&](const auto& result, test::Figures& figures) {
+                [&](const auto& result, test::Expectations& figures) {
                     FIGURE(result.limit.passed(5 * kSecond, 13 * kSecond) >= 8 * 85);
                     CHECK(result.totals.totals.broken() == 0);
                 });
@@ -81,7 +81,7 @@
             return run(fault("links", 5, 10, "between = \"peers\"\ncut = true\nnodes = [2, 3, 4, 5]"),
                        {{"seconds", "15"}});
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             double cut_off = 0;
             for (const int node : {2, 3, 4, 5})
                 cut_off += static_cast<double>(result.limit.passed_by(node, 7 * kSecond, 10 * kSecond));
@@ -101,7 +101,7 @@
                     fault("stop", 6, 8, "nodes = [6, 7]") + fault("kill", 9, 10, "nodes = [8]"),
                 {{"seconds", "16"}});
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             FIGURE(result.limit.passed(14 * kSecond, 16 * kSecond) >= 2 * 70);
         });
 }
@@ -117,7 +117,7 @@
                            fault("kill", 6, 6.1, "nodes = [1, 4, 7]"),
                        {{"seconds", "14"}});
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             FIGURE(result.limit.passed(9 * kSecond, 13 * kSecond) >= 4 * 60);
         });
 }
@@ -129,7 +129,7 @@
         [&] {
             return run(fault("kill", 4, 13, "nodes = [0, 1, 2]"), {{"fleet.limit.about", "true"}});
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             FIGURE(result.limit.passed(3 * kSecond, 4 * kSecond) +
                        result.limit.passed(11 * kSecond, 13 * kSecond) >=
                    3 * 50);
@@ -143,7 +143,7 @@
             return run(fault("links", 5, 12, "between = \"peers\"\ncut = true\nnodes = [2, 3, 4, 5]"),
                        {{"fleet.limit.about", "true"}, {"seconds", "16"}}, kLimit);
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             double cut_off = 0;
             for (const int node : {2, 3, 4, 5})
                 cut_off += static_cast<double>(result.limit.passed_by(node, 8 * kSecond, 12 * kSecond));
@@ -162,7 +162,7 @@
                            fault("kill", 6, 6.1, "nodes = [1, 4, 7]") + fault("stop", 7, 10, "nodes = [2]"),
                        {{"fleet.limit.about", "true"}}, kLimit);
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             FIGURE(result.limit.passed(9 * kSecond, 13 * kSecond) >= 4 * 60);
         });
 }
@@ -179,7 +179,7 @@
                         {"fleet.limit.burst", "2"}},
                        kNodes);
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             // Each start of a front node allows one more.
             FIGURE(result.limit.worst_excess() > 0);  // the limit took effect
             FIGURE(result.totals.totals.service() > 0.85);
@@ -197,7 +197,7 @@
                         {"fleet.peers", "false"}},
                        kNodes);
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             FIGURE(result.limit.worst_excess() > 0);
             FIGURE(result.totals.totals.service() > 0.85);
         });
@@ -214,7 +214,7 @@
                  {"fleet.limit.about", "true"},
                  {"clients.0.retries", "2"}});
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             FIGURE(result.limit.worst_excess() > -12 + 4);  // the limit took effect
         });
 }
@@ -228,7 +228,7 @@
                         {"fleet.limit.burst", "5"},
                         {"clients.0.retries", "2"}});
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             FIGURE(result.limit.passed(5 * kSecond, 10 * kSecond) >= 5);  // and is used
             FIGURE(result.totals.totals.service() > 0.9);
         });
@@ -264,7 +264,7 @@
         [&] {
             return run(faults, {{"zones", "9"}, {"clients.0.per_second", "40"}, {"seconds", "15"}});
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             for (int hop = 0; hop < 5; ++hop) {
                 CAPTURE(hop);
                 const Time hop_start = (4 + 2 * hop) * kSecond;
@@ -282,7 +282,7 @@
         [&] {
             return run(faults, {{"seconds", "20"}});
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             FIGURE(result.limit.passed(5 * kSecond, 6 * kSecond) >= 60);
             FIGURE(result.limit.passed(17 * kSecond, 19 * kSecond) >= 2 * 70);
         });
--- a/tests/fleet/list_calls_test.cpp
+++ b/tests/fleet/list_calls_test.cpp
@@ -35,7 +35,7 @@
 // Starts `nodes` front nodes at the same time. Discovery is down until `down`; then it serves five calls a
 // second one after another, up to ten calls wait, and the others are refused. Answered watches stay open.
 // `has_saved_list`: the front nodes start with a saved list of the given age.
-Calls start_at_once(int nodes, bool has_saved_list, Time down = 0, Time age = ListNews::kOld) {
+Calls start_at_once(int nodes, bool has_saved_list, Time down = 0, Time age = ListUpdate::kOld) {
     constexpr Time kServiceTime = 2'000;
     constexpr std::size_t kMaxWaiting = 10;
     Calls calls;
@@ -45,10 +45,11 @@
     const ListEntry entry{{1, 1}, 0, 0, ServerState::kReady, 1, 0};
     for (int i = 0; i < nodes; ++i) {
         all.push_back(std::make_unique<FrontNode>(
-            static_cast<std::uint64_t>(i) * 7919 + 1, NodePlace{i, nodes, 0, 50},
-            std::vector<OpType>{{1'000, 4'000, Repeat::kRetriable, 0, 1, 0, 1, 1, 0.9, 0}},
-            ShardRing{1, 1, 1, 0}, SendTerms{3, true, true, 2'500}, FurtherSendTerms{}, ColdTerms{},
-            ListTerms{true, 10 * kSecond, 2'500}, ClientTerms{}, std::vector<TenantShare>{}, HintTerms{}));
+            static_cast<std::uint64_t>(i) * 7919 + 1, NodeConfig{i, nodes, 0, 50},
+            std::vector<OpType>{{1'000, 4'000, RetrySafety::kRetriable, 0, 1, 0, 1, 1, 0.9, 0}},
+            ShardRing{1, 1, 1, 0}, SendConfig{3, true, true, 2'500}, FurtherSendConfig{}, ColdStartConfig{},
+            ServerListConfig{true, 10 * kSecond, 2'500}, ClientConfig{}, std::vector<TenantQuota>{},
+            HintConfig{}));
         due.emplace(1, i, 0);
     }
     std::deque<Time> accepted, recent_calls;
@@ -58,15 +59,15 @@
         const auto [now, node, event] = due.top();
         due.pop();
         std::vector<Event> events;
-        if (now == 1 && has_saved_list) events.emplace_back(ListNews{ListKind::kSaved, {entry}, age});
-        if (event == 1) events.emplace_back(ListNews{ListKind::kFailed, {}});
+        if (now == 1 && has_saved_list) events.emplace_back(ListUpdate{ListUpdateKind::kSaved, {entry}, age});
+        if (event == 1) events.emplace_back(ListUpdate{ListUpdateKind::kFailed, {}});
         if (event == 2) {
-            events.emplace_back(ListNews{ListKind::kFull, {entry}});
+            events.emplace_back(ListUpdate{ListUpdateKind::kFull, {entry}});
             calls.served.push_back(now);
         }
         for (const auto& action : all[static_cast<std::size_t>(node)]->turn(now, events)) {
-            if (const auto* timer = std::get_if<SetBell>(&action)) due.emplace(now + timer->after, node, 0);
-            if (!std::holds_alternative<WatchList>(action)) continue;
+            if (const auto* timer = std::get_if<SetTimer>(&action)) due.emplace(now + timer->after, node, 0);
+            if (!std::holds_alternative<WatchServerList>(action)) continue;
             ++calls.made;
             calls.first.try_emplace(node, now);
             if (now >= down) recent_calls.push_back(now);
@@ -102,7 +103,7 @@
         // A front node with a list must not let it get older than the protocol allows, however many others
         // wait. Within the lease it makes a dozen calls or slightly more, each after a fifth of the time that
         // is left; afterwards its calls are at least an eighth of the lease apart.
-        constexpr Time kLease = ListTerms{}.told_after;
+        constexpr Time kLease = ServerListConfig{}.told_after;
         // Each wait takes a fifth of the time left, down to a hundredth of the lease.
         constexpr int kCallsInLease = 16;
         auto with_list = start_at_once(nodes, true);
@@ -117,7 +118,7 @@
 // With the list known to be young the first calls are spread over more time, which spares discovery.
 TEST_CASE("the older a saved list is, the sooner 120 front nodes call discovery") {
     Time before = 10 * kSecond;
-    for (const Time age : {Time{0}, Time{kSecond}, Time{ListNews::kOld}}) {
+    for (const Time age : {Time{0}, Time{kSecond}, Time{ListUpdate::kOld}}) {
         const auto first = start_at_once(120, true, 0, age).mean_first();
         CHECK(first < before - kSecond / 10);
         before = first;
@@ -131,7 +132,7 @@
     CHECK(calls.served.size() == 120);
     // All at once would be 120 calls. A node with an expired list leaves an eighth of the lease between
     // calls.
-    CHECK(calls.most_in_100_ms <= 120 * kSecond / 10 / (ListTerms{}.told_after / 8));
+    CHECK(calls.most_in_100_ms <= 120 * kSecond / 10 / (ServerListConfig{}.told_after / 8));
     CHECK(calls.served_by(0.99) < 55 * kSecond);
 }
 
@@ -144,7 +145,7 @@
 // All watches of `nodes` front nodes end at the same time. Discovery takes `service_time` for a call, serves
 // calls one after another, and refuses a call that would take more than a second. Returns how long after the
 // end of the watches each front node was served.
-std::vector<Time> served_after_watches_end(int nodes, Time service_time, ListTerms config,
+std::vector<Time> served_after_watches_end(int nodes, Time service_time, ServerListConfig config,
                                            std::uint64_t seed) {
     constexpr Time kMaxTime = kSecond;
     constexpr Time kEndAt = 5 * kSecond;
@@ -155,10 +156,10 @@
     std::priority_queue<Due, std::vector<Due>, std::greater<>> due;
     for (int i = 0; i < nodes; ++i) {
         all.push_back(std::make_unique<FrontNode>(
-            seed * 1'000 + static_cast<std::uint64_t>(i), NodePlace{i, nodes, 0, 50},
-            std::vector<OpType>{{1'000, 4'000, Repeat::kRetriable, 0, 1, 0, 1, 1, 0.9, 0}},
-            ShardRing{1, 1, 1, 0}, SendTerms{3, true, true, 2'500}, FurtherSendTerms{}, ColdTerms{}, config,
-            ClientTerms{}, std::vector<TenantShare>{}, HintTerms{}));
+            seed * 1'000 + static_cast<std::uint64_t>(i), NodeConfig{i, nodes, 0, 50},
+            std::vector<OpType>{{1'000, 4'000, RetrySafety::kRetriable, 0, 1, 0, 1, 1, 0.9, 0}},
+            ShardRing{1, 1, 1, 0}, SendConfig{3, true, true, 2'500}, FurtherSendConfig{}, ColdStartConfig{},
+            config, ClientConfig{}, std::vector<TenantQuota>{}, HintConfig{}));
         due.emplace(1, i, Kind::kServed);
         due.emplace(kEndAt, i, Kind::kEnded);
     }
@@ -170,13 +171,13 @@
         due.pop();
         std::vector<Event> events;
         if (event == Kind::kRefused || event == Kind::kEnded)
-            events.emplace_back(ListNews{ListKind::kFailed, {}});
-        if (event == Kind::kServed) events.emplace_back(ListNews{ListKind::kFull, {entry}});
+            events.emplace_back(ListUpdate{ListUpdateKind::kFailed, {}});
+        if (event == Kind::kServed) events.emplace_back(ListUpdate{ListUpdateKind::kFull, {entry}});
         if (event == Kind::kServed && now > kEndAt) served.push_back(now - kEndAt);
         for (const auto& action : all[static_cast<std::size_t>(node)]->turn(now, events)) {
-            if (const auto* timer = std::get_if<SetBell>(&action))
+            if (const auto* timer = std::get_if<SetTimer>(&action))
                 due.emplace(now + timer->after, node, Kind::kTimer);
-            if (!std::holds_alternative<WatchList>(action) || now < kEndAt) continue;
+            if (!std::holds_alternative<WatchServerList>(action) || now < kEndAt) continue;
             const Time begins = std::max(free_at, now);
             const bool refused = begins - now + service_time > kMaxTime;
             if (!refused) free_at = begins + service_time;
@@ -193,7 +194,7 @@
     for (const int nodes : {1, 2, 4}) {
         for (std::uint64_t seed = 1; seed <= 50; ++seed) {
             const auto served =
-                served_after_watches_end(nodes, 3'440, ListTerms{true, 10 * kSecond, 2'500}, seed);
+                served_after_watches_end(nodes, 3'440, ServerListConfig{true, 10 * kSecond, 2'500}, seed);
             CAPTURE(nodes);
             CAPTURE(seed);
             REQUIRE(served.size() == static_cast<std::size_t>(nodes));
@@ -208,7 +209,7 @@
     constexpr Time kStopSendingWithin = 2'500;
     for (std::uint64_t seed = 1; seed <= 50; ++seed) {
         const auto served = served_after_watches_end(
-            1, 10, ListTerms{true, kStopSendingWithin, kStopSendingWithin, true}, seed);
+            1, 10, ServerListConfig{true, kStopSendingWithin, kStopSendingWithin, true}, seed);
         CAPTURE(seed);
         REQUIRE(served.size() == 1);
         CHECK(served.back() < kStopSendingWithin / 2);
--- a/tests/fleet/list_lease_test.cpp
+++ b/tests/fleet/list_lease_test.cpp
@@ -13,11 +13,11 @@
 using namespace pinedoor;
 using test::Script;
 
-constexpr ListTerms kConfig{true, 100'000, 2'500};
+constexpr ServerListConfig kConfig{true, 100'000, 2'500};
 constexpr int kWhole = 1;  // op type of Script
 
-ListNews failed(Time since_last_contact, bool incomplete_answer) {
-    ListNews update{ListKind::kFailed, {}};
+ListUpdate failed(Time since_last_contact, bool incomplete_answer) {
+    ListUpdate update{ListUpdateKind::kFailed, {}};
     update.unheard = since_last_contact;
     update.answered_in_part = incomplete_answer;
     return update;
@@ -57,7 +57,7 @@
     Script s;
     s.list_config = kConfig;
     s.list("A0 B1").pass(5'000);
-    ListNews moved{ListKind::kMoved, {}};
+    ListUpdate moved{ListUpdateKind::kMoved, {}};
     moved.unheard = 20'000;
     s.play({moved}).pass(3'000).play({failed(50'000, true)}).pass(1'100).quietly().arrive(1, kWhole, {1});
     CHECK(s.trace().find("push back 1") != std::string::npos);
@@ -70,23 +70,24 @@
         const auto must_ask_in = *rc::gen::element<Time>(10'000, 16'000, 100'000, 600'000);
         const int front_nodes = *rc::gen::element(1, 20, 300, 900);
         const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4));
-        FrontNode node(*rc::gen::arbitrary<std::uint64_t>(), NodePlace{0, front_nodes, 0, 50},
-                       {{1'000, 4'000, Repeat::kRetriable, 0, 1, 0, 1, 1, 0.9, 0}}, ShardRing{1, 1, 1, 0},
-                       SendTerms{3, true, true, 2'500}, FurtherSendTerms{}, ColdTerms{},
-                       ListTerms{true, must_ask_in, 2'500}, ClientTerms{}, {}, HintTerms{});
+        FrontNode node(*rc::gen::arbitrary<std::uint64_t>(), NodeConfig{0, front_nodes, 0, 50},
+                       {{1'000, 4'000, RetrySafety::kRetriable, 0, 1, 0, 1, 1, 0.9, 0}},
+                       ShardRing{1, 1, 1, 0}, SendConfig{3, true, true, 2'500}, FurtherSendConfig{},
+                       ColdStartConfig{}, ServerListConfig{true, must_ask_in, 2'500}, ClientConfig{}, {},
+                       HintConfig{});
         Time now = 10'000;
         Time last_call = now;
         Time last_failure = now;
         const auto turn = [&](const std::vector<Event>& events) {
             for (const auto& action : node.turn(now, events)) {
-                const auto* call = std::get_if<WatchList>(&action);
+                const auto* call = std::get_if<WatchServerList>(&action);
                 if (call == nullptr) continue;
-                RC_ASSERT(call->longest_silence < ListTerms{}.told_after / 2);
+                RC_ASSERT(call->longest_silence < ServerListConfig{}.told_after / 2);
                 last_call = now;
             }
         };
         const ListEntry entry{{1, 1}, 0, 0, ServerState::kReady, 1, 0};
-        turn({ListNews{ListKind::kFull, {entry}}});
+        turn({ListUpdate{ListUpdateKind::kFull, {entry}}});
         Time since_contact = 0;
         for (const int step : steps) {
             for (int i = 0; i < 20; ++i) {
@@ -94,7 +95,7 @@
                 turn({});
                 // Another call is made beside an unanswered one; a refused one is repeated after a pause.
                 const Time since = now - std::max(last_call, last_failure);
-                if (since_contact > 0) RC_ASSERT(since <= ListTerms{}.told_after * 3 / 8 + 1'500);
+                if (since_contact > 0) RC_ASSERT(since <= ServerListConfig{}.told_after * 3 / 8 + 1'500);
             }
             if (step == 0) continue;
             since_contact = step == 1 ? 25'000 : since_contact + 10'000;
--- a/tests/fleet/relay_test.cpp
+++ b/tests/fleet/relay_test.cpp
@@ -148,7 +148,7 @@
     "time") {
     net::Scheduler scheduler;
     TimerQueue timers(scheduler);
-    CallDesk queue(timers, {100, 2, 250});
+    CallQueue queue(timers, {100, 2, 250});
     std::string log;
     const auto ask = [&](int node) {
         return queue.ask(node,
@@ -157,7 +157,7 @@
     for (int i = 0; i < 3; ++i) ask(i);
     const auto fourth = ask(3);
     CHECK(log == "3-");
-    CHECK(queue.calls()[fourth].end == CallDesk::End::kRefused);
+    CHECK(queue.calls()[fourth].end == CallQueue::End::kRefused);
     queue.leave(1);
     const auto begin = timers.now();
     scheduler.run([&] {
@@ -165,14 +165,14 @@
         return timers.now() > begin + 1'000;
     });
     CHECK(log == "3-0+2+");
-    CHECK(queue.count(CallDesk::End::kGone) == 1);
+    CHECK(queue.count(CallQueue::End::kGone) == 1);
     CHECK(queue.most_at_once() == 3);
     CHECK(queue.max_calls_within(10'000) == 4);
     queue.refuse_all(true);
     ask(4);
     CHECK(log == "3-0+2+4-");
     // The second call exceeds the queue timeout.
-    CallDesk slow(timers, {2, 5, 500});
+    CallQueue slow(timers, {2, 5, 500});
     slow.ask(0, [&log](bool served) { log += served ? "!" : "?"; });
     slow.ask(1, [&log](bool served) { log += served ? "!" : "?"; });
     const auto now = timers.now();
--- a/tests/fleet/start_test.cpp
+++ b/tests/fleet/start_test.cpp
@@ -65,12 +65,12 @@
 
 TEST_CASE("thirty front nodes start at once before a discovery that serves five calls a second") {
     test::judge([&] { return run(FleetWorld::from_text(kCold, "cold.toml")); },
-                [&](const auto& result, test::Figures& figures) {
+                [&](const auto& result, test::Expectations& figures) {
                     CHECK(result.totals.totals.broken() == 0);
                     const auto& calls = result.totals;
-                    FIGURE(calls.count(CallDesk::End::kServed) == 30);
+                    FIGURE(calls.count(CallQueue::End::kServed) == 30);
                     FIGURE(calls.calls.size() <= 90);  // three for each node
-                    FIGURE(calls.count(CallDesk::End::kRefused) <= 30);
+                    FIGURE(calls.count(CallQueue::End::kRefused) <= 30);
                     FIGURE(result.reader.served_by(1) > 0);
                     FIGURE(result.reader.served_by(0.5) < 70'000);
                     CHECK(result.reader.nearest(Breach::Rule::kNoColdServerOver) < 1);
@@ -90,9 +90,9 @@
                  {"fleet.discovery.calls_per_second", "20"},
                  {"seconds", "16"}}));
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             CHECK(result.totals.totals.broken() == 0);
-            FIGURE(result.totals.count(CallDesk::End::kServed) >= 30);
+            FIGURE(result.totals.count(CallQueue::End::kServed) >= 30);
             FIGURE(result.totals.most_calls_in_a_second <= 30);
             // Nodes that know a server list serve before discovery is back, although a third of its entries
             // have departed.
@@ -115,7 +115,7 @@
                  {"fleet.discovery.calls_per_second", "20"},
                  {"seconds", "12"}}));
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             CHECK(result.totals.totals.broken() == 0);
             FIGURE(result.totals.totals.node_kills == 21);
             FIGURE(result.totals.calls.size() <= 30 + 3 * 21);
@@ -147,7 +147,7 @@
                  {"fleet.discovery.calls_per_second", "50"},
                  {"seconds", "10"}}));
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             CHECK(result.totals.totals.broken() == 0);
             FIGURE(result.totals.calls.size() > 30);  // nodes that were cut off retry
             FIGURE(result.totals.calls.size() < 150);
--- a/tests/fleet/verdicts_test.cpp
+++ b/tests/fleet/verdicts_test.cpp
@@ -114,7 +114,7 @@
 TEST_CASE(
     "a quarter of the servers hang: the fleet leaves them within a second or two and returns together") {
     test::judge([&] { return run(trouble("hang", 4, 8, "share = 0.25")); },
-                [&](const auto& result, test::Figures& figures) {
+                [&](const auto& result, test::Expectations& figures) {
                     MESSAGE("to hung servers in the first half second "
                             << result.reader.picks(40'000, 45'000).share() << ", from 2 s on "
                             << result.hung_share(6, 8) << "; served " << result.served());
@@ -140,7 +140,7 @@
         [&] {
             return run(trouble("hang", 4, 11, "share = 0.25"), {{"fleet.liars", "2"}});
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             MESSAGE("to hung servers from 2 s on " << result.hung_share(6, 11) << "; served "
                                                    << result.served());
             FIGURE(result.hung_share(6, 11) < 0.11);  // 0.044 to 0.067; 0.147 to 0.155 without verdicts
@@ -163,7 +163,7 @@
         [&] {
             return run(trouble("cut-off", 4, 9, "zone = 1"), {{"zones", "2"}});
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             MESSAGE("served " << result.served());
             FIGURE(result.served() > 0.95);
             // All servers remain in use, each by the front nodes of its own zone.
@@ -183,7 +183,7 @@
         [&] {
             return run(fault("deaf", 4, 9, "servers = [0, 1, 2, 3]\nzone = 1"), {{"zones", "2"}});
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             double share[2] = {};
             for (int zone = 0; zone < 2; ++zone) {
                 std::uint64_t to_deaf = 0, all = 0;
@@ -212,7 +212,7 @@
                 "[[clients]]\nname = \"other\"\nper_second = 60\nparts = [3, 4]\nlatency_budget_ms = 400\n"
                 "route_timeout_ms = 1500\nretries = 2\n");
         },
-        [&](const auto& result, test::Figures& figures) {
+        [&](const auto& result, test::Expectations& figures) {
             std::uint64_t to_failing = 0, all = 0;
             for (const auto& [node, servers] : result.sends_by_node) {
                 for (const auto& [server, count] : servers)
@@ -242,7 +242,7 @@
             [&] {
                 return run(faults, {{"fleet.verdicts", verdicts ? "true" : "false"}});
             },
-            [&](const auto& result, test::Figures& figures) {
+            [&](const auto& result, test::Expectations& figures) {
                 MESSAGE("verdicts " << verdicts << ": servers died " << result.deaths
                                     << " times; sends of a deadly multiget " << result.sends_of_deadly());
                 FIGURE(verdicts ? result.sends_of_deadly() < 1.5
@@ -261,7 +261,7 @@
         fault("kill", 4, 5, "nodes = [1, 4, 7, 10, 13]") + fault("stop", 5, 8, "nodes = [3]");
     for (int i = 0; i < 4; ++i) faults += trouble("hang", 3.5 + 2 * i, 5.5 + 2 * i, "share = 0.2");
     test::judge([&] { return run(faults); },
-                [&](const auto& result, test::Figures& figures) {
+                [&](const auto& result, test::Expectations& figures) {
                     MESSAGE("to hung servers " << result.hung_share(4, 11) << "; served " << result.served());
                     FIGURE(result.served() > 0.8);
                 });
--- a/tests/fleet/words_test.cpp
+++ b/tests/fleet/words_test.cpp
@@ -19,7 +19,7 @@
 constexpr peers::Time kSecond = 10'000;
 constexpr int kWholly = 1;
 using Zones = std::map<std::string, int>;
-using OpinionKind = ServerSaid::Opinion;
+using OpinionKind = MemberReport::Opinion;
 
 Fact fact(const std::string& origin, const std::string& value, peers::Time age = 0) {
     return {origin, kServersTopic, 1, 1, 1, value, 15 * kSecond, age};
@@ -33,13 +33,13 @@
 
 Said parse(peers::Time now, const std::vector<Fact>& facts, const Zones& zones,
            const std::string& self = "n0") {
-    return WordReader({}).read(now, facts, zones, self);
+    return ReportReader({}).read(now, facts, zones, self);
 }
 
 TEST_CASE(
     "a record is parsed again when its text changes; evidence ages with it; departed members are forgotten") {
-    WordReader reader({});
-    std::map<std::string, ServerSaid> reports;
+    ReportReader reader({});
+    std::map<std::string, MemberReport> reports;
     reports["s-1"] = {OpinionKind::kBad, 500, -1, 0};
     const auto first = write_words(reports);
     reports["s-2"] = {OpinionKind::kGood, 0, -1, 0};
@@ -58,7 +58,7 @@
 
 TEST_CASE(
     "reports are read as written, as many as fit with faulty servers first; malformed text is ignored") {
-    std::map<std::string, ServerSaid> reports;
+    std::map<std::string, MemberReport> reports;
     for (int i = 0; i < 200; ++i)
         reports["cold-" + std::to_string(i)] = {OpinionKind::kNone, 0, 10'000, static_cast<double>(i)};
     reports["hung"] = {OpinionKind::kBad, 12'340, -1, 0};
@@ -89,11 +89,11 @@
 }
 
 TEST_CASE("a change is published at once, renewed in time and withdrawn once") {
-    ServerTeller publisher({});
-    const auto tell = [&](peers::Time now, const std::vector<ServerSeen>& seen) {
+    ReportPublisher publisher({});
+    const auto tell = [&](peers::Time now, const std::vector<ServerObservation>& seen) {
         return publisher.tell(now, seen, parse(now, {}, members(1)));
     };
-    const auto faulty = [](Time failed) { return ServerSeen{"s1", true, failed, 5'000, -1, 0}; };
+    const auto faulty = [](Time failed) { return ServerObservation{"s1", true, failed, 5'000, -1, 0}; };
     CHECK(!tell(kSecond, {}));
     CHECK(tell(2 * kSecond, {faulty(15'000)}) == "s1 b 500 - 0 ");
     CHECK(!tell(2 * kSecond + 500, {}));          // within the minimum interval
@@ -114,28 +114,30 @@
     "holds") {
     const auto zones = members(20);
     std::vector<Fact> others;
-    const ServerSeen faulty{"s1", true, 9'000, 0, -1, 0};
+    const ServerObservation faulty{"s1", true, 9'000, 0, -1, 0};
     for (int i = 1; i <= 3; ++i) others.push_back(fact("n" + std::to_string(i), "s1 b 100 - 0 "));
-    ServerTeller reporter({}), newcomer({});
+    ReportPublisher reporter({}), newcomer({});
     CHECK(reporter.tell(kSecond, {faulty}, parse(kSecond, others, zones)));
     others.push_back(fact("n4", "s1 b 100 - 0 "));
     CHECK(!newcomer.tell(kSecond, {faulty}, parse(kSecond, others, zones)));  // three are needed, four report
     CHECK(reporter.tell(6 * kSecond, {faulty}, parse(6 * kSecond, others, zones)) == "s1 b 5100 - 0 ");
     // A member with a later answer contradicts enough faulty reports.
-    ServerTeller healthy_reporter({});
-    const ServerSeen recent_answer{"s1", false, 0, 59'500, -1, 0}, old_answer{"s1", false, 0, 40'000, -1, 0};
+    ReportPublisher healthy_reporter({});
+    const ServerObservation recent_answer{"s1", false, 0, 59'500, -1, 0},
+        old_answer{"s1", false, 0, 40'000, -1, 0};
     CHECK(!healthy_reporter.tell(6 * kSecond, {old_answer}, parse(6 * kSecond, others, zones)));
     CHECK(healthy_reporter.tell(6 * kSecond, {recent_answer}, parse(6 * kSecond, others, zones)) ==
           "s1 g 50 - 0 ");
-    CHECK(!ServerTeller({}).tell(6 * kSecond, {recent_answer},
-                                 parse(6 * kSecond, {others[0]}, zones)));  // a single report has no effect
+    CHECK(
+        !ReportPublisher({}).tell(6 * kSecond, {recent_answer},
+                                  parse(6 * kSecond, {others[0]}, zones)));  // a single report has no effect
 }
 
 TEST_CASE(
     "setting aside takes three reporters; departed members and old evidence do not count; only few nodes "
     "probe") {
     const auto zones = members(20);
-    ServerHearer tracker({}, "n0");
+    ConsensusTracker tracker({}, "n0");
     const auto update = [&](Time now, const std::vector<std::string>& who,
                             const char* report = "s1 b 100 - 0 ") {
         std::vector<Fact> facts;
@@ -174,7 +176,7 @@
     for (int i = 1; i < 21; ++i) {
         if (i % 3 != 0) facts.push_back(fact("n" + std::to_string(i), "s1 b 100 - 0 "));
     }
-    ServerHearer tracker({}, "n0");
+    ConsensusTracker tracker({}, "n0");
     CHECK(tracker.hear(kSecond, parse(kSecond, facts, far_apart)).empty());
     for (const char* name : {"n3", "n6", "n9"}) facts.push_back(fact(name, "s1 b 100 - 0 "));
     CHECK(tracker.hear(kSecond, parse(kSecond, facts, far_apart)).at("s1").aside);
@@ -184,7 +186,7 @@
 // The guarantee of fleet/verdict.hpp, for arbitrary reports of fewer members than are needed.
 TEST_CASE("fewer misreporting members than are needed neither cause nor prevent a verdict") {
     CHECK(rc::check("arbitrary reports", [] {
-        const VerdictTerms terms;
+        const VerdictConfig terms;
         const auto reporters = static_cast<std::size_t>(*rc::gen::inRange(4, 200));
         const auto needed = reports_needed(terms, reporters);
         const auto misreporting = static_cast<std::size_t>(*rc::gen::inRange(0, static_cast<int>(needed)));
@@ -215,7 +217,7 @@
 
 TEST_CASE("cold takes two reports that agree on the longer duration; the rates of all reporters add up") {
     const auto zones = members(4);
-    ServerHearer tracker({}, "n0");
+    ConsensusTracker tracker({}, "n0");
     CHECK(tracker.hear(kSecond, parse(kSecond, {fact("n1", "s1 - - 100 50 ")}, zones)).empty());
     const std::vector<Fact> both{fact("n1", "s1 - - 100 50 "), fact("n2", "s1 - - 3000 20 ", kSecond)};
     const auto news = tracker.hear(kSecond, parse(kSecond, both, zones));
@@ -224,8 +226,8 @@
     CHECK(!tracker.hear(kSecond, parse(kSecond, {}, zones)).at("s1").says_something());
 }
 
-ServerWord set_aside(char server, bool held = false, Time seen = 0) {
-    ServerWord message;
+ServerReport set_aside(char server, bool held = false, Time seen = 0) {
+    ServerReport message;
     message.server = {static_cast<std::uint32_t>(server), 1};
     message.aside = true;
     message.held = held;
@@ -302,7 +304,7 @@
 // This node's share of fleet-wide limits; one part at each server is allowed whatever the share.
 TEST_CASE("a server with all parts that the share allows is not picked; an expired share allows one part") {
     Script s;
-    s.list("A0 B1").play({FleetShare{2, 100, 10'000}}).quietly();
+    s.list("A0 B1").play({FleetQuota{2, 100, 10'000}}).quietly();
     for (Id id = 1; id <= 5; ++id) s.arrive(id, kWholly, {1}, 0);
     const auto count = [&s] {
         const auto text = s.trace();
@@ -320,10 +322,10 @@
 
 TEST_CASE("nothing is sent again beyond this node's share of the fleet's further sends") {
     Script s;
-    s.list("A0 B1").play({FleetShare{100, 0, 100'000}}).arrive(1, kWholly, {1}, 0).quietly();
+    s.list("A0 B1").play({FleetQuota{100, 0, 100'000}}).arrive(1, kWholly, {1}, 0).quietly();
     s.end({100}, Outcome::kError).pass(10);
     CHECK(s.trace().find("send") == std::string::npos);
-    s.quietly().play({FleetShare{100, 1, 100'000}}).pass(10);
+    s.quietly().play({FleetQuota{100, 1, 100'000}}).pass(10);
     CHECK(s.trace().find("send 100 to") != std::string::npos);
     s.quietly().end({100}, Outcome::kError).pass(10);  // the share of one is used up
     CHECK(s.trace().find("send") == std::string::npos);
--- a/tests/lab_experiment_test.cpp
+++ b/tests/lab_experiment_test.cpp
@@ -74,9 +74,9 @@
     CHECK(sequential.service == parallel.service);
     CHECK(sequential.service[0][0] != sequential.service[0][1]);
     CHECK(sequential.service[0][0] != sequential.service[0][2]);
-    CHECK_THROWS_AS(Variant::read("pinedoors"), stated::BadStated);
-    CHECK_THROWS_AS(Variant::read("pinedoor,sends.most"), stated::BadStated);
-    CHECK_THROWS_AS(Variant::read("build:/no/such"), stated::BadStated);
+    CHECK_THROWS_AS(Variant::read("pinedoors"), stated::ConfigError);
+    CHECK_THROWS_AS(Variant::read("pinedoor,sends.most"), stated::ConfigError);
+    CHECK_THROWS_AS(Variant::read("build:/no/such"), stated::ConfigError);
     CHECK(Variant::read("pinedoor,delay_ms=[1, 2],nodes=2").changes ==
           World::Changes{{"delay_ms", "[1, 2]"}, {"nodes", "2"}});
 }
--- a/tests/lab_live_test.cpp
+++ b/tests/lab_live_test.cpp
@@ -169,7 +169,7 @@
         try {
             run_world(kWorldText, program);
             return "played";
-        } catch (const stated::BadStated& error) {
+        } catch (const stated::ConfigError& error) {
             return error.what();
         }
     };
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -487,7 +487,7 @@
         try {
             World::from_text(text, "w.toml");
             return "none";
-        } catch (const stated::BadStated& error) {
+        } catch (const stated::ConfigError& error) {
             return error.what();
         }
     };
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -48,7 +48,7 @@
     for (Id id = 1; id <= 24; ++id) {
         s.arrive(id, kNonRetriable, {1}, static_cast<int>(id))
             .end({id * 100}, Outcome::kTimedOut)
-            .play({ClientLeft{id}});
+            .play({ClientDisconnected{id}});
     }
     s.arrive(30, kPartial, {0.5, 0.3, 0.15, 0.05}).end({3000, 3001, 3002, 3003}).pass(1'000).quietly();
     s.arrive(31, kPartial, {0.5, 0.3, 0.15, 0.05}).pass(5).end({3100, 3101, 3102});
@@ -267,7 +267,7 @@
         s.list("A0 B1d C2 D3d")
             .arrive(id, kNonRetriable, {1}, 0)
             .end({id * 100}, Outcome::kTimedOut)
-            .play({ClientLeft{id}});
+            .play({ClientDisconnected{id}});
     }
     s.list("A0 B1 C2 D3")
         .arrive(30, kPartial, {0.5, 0.3, 0.15, 0.05})
@@ -285,7 +285,7 @@
 TEST_CASE("no part is sent to a server that is draining, was removed, or is missing from a full list") {
     Script s;
     s.list("A0 B1d C2 D3").arrive(1, kWhole, {1}, 0).list("B1 C2 D3").arrive(2, kWhole, {1}, 0);
-    s.list("B1g", ListKind::kChanges).arrive(3, kWhole, {1}, 0).pass(5);
+    s.list("B1g", ListUpdateKind::kChanges).arrive(3, kWhole, {1}, 0).pass(5);
     CHECK(s.trace() == R"(
 0 send 100 to A
 0 send 200 to B
@@ -296,7 +296,12 @@
 TEST_CASE("a list that has to be pulled is watched, again while no answer comes, and when the watch breaks") {
     Script s;
     s.list_config = {true, 100'000, 2'500};
-    s.play({}).pass(4'000).list("A0 B1").pass(9'000).play({ListNews{ListKind::kFailed, {}}}).pass(2'000);
+    s.play({})
+        .pass(4'000)
+        .list("A0 B1")
+        .pass(9'000)
+        .play({ListUpdate{ListUpdateKind::kFailed, {}}})
+        .pass(2'000);
     CHECK(s.trace() == R"(
 25 watch the list
 3605 watch the list
@@ -342,7 +347,7 @@
 TEST_CASE("a trial whose part was cancelled is not used up") {
     Script s;
     s.list("A0").arrive(1, kWhole, {1}, 3).pass(1'000).end({100}, Outcome::kCancelled).pass(2'000).quietly();
-    s.arrive(2, kWhole, {1}, 3).play({ClientLeft{2}}).end({200}, Outcome::kCancelled).pass(5);
+    s.arrive(2, kWhole, {1}, 3).play({ClientDisconnected{2}}).end({200}, Outcome::kCancelled).pass(5);
     s.arrive(3, kWhole, {1}, 3);
     CHECK(s.trace() == R"(
 3000 send 200 to A
@@ -697,9 +702,14 @@
 
 TEST_CASE("a disconnected client ends its multiget; late outcomes and unknown ids are ignored") {
     Script s;
-    s.list("A0 B1 C2 D3").arrive(1, kWhole, {0.5, 0.5}).pass(5).quietly().play({ClientLeft{1}}).pass(50);
+    s.list("A0 B1 C2 D3")
+        .arrive(1, kWhole, {0.5, 0.5})
+        .pass(5)
+        .quietly()
+        .play({ClientDisconnected{1}})
+        .pass(50);
     s.end({100}, Outcome::kCancelled)
-        .play({ClientLeft{9}, SendEnded{77, 3, {65, 1}, 10, Outcome::kError, {}}});
+        .play({ClientDisconnected{9}, SendEnded{77, 3, {65, 1}, 10, Outcome::kError, {}}});
     CHECK(s.trace() == R"(
 5 cancel 100 send 0
 5 cancel 101 send 0
--- a/tests/move_test.cpp
+++ b/tests/move_test.cpp
@@ -15,7 +15,7 @@
 
 // Configures three op types: `again` (retriable, half of the weight is enough), `once` (non-retriable), and
 // `marked` (deduped within 0.7 s).
-void configure(Program& program, bool budget, bool second_copies, int max_sends) {
+void configure(FrontNodeProcess& program, bool budget, bool second_copies, int max_sends) {
     program
         .with("\"classes\":[",
               R"("classes":[{"aim_ms":2000.0,"deadline_ms":4000.0,"effect":"guarded","late_worth":0.1,
@@ -44,7 +44,7 @@
     std::array<std::array<std::vector<SentRequest>, 3>, 4> requests;
     std::vector<std::thread> threads;
 
-    void start(std::array<Program*, 4> nodes, double until) {
+    void start(std::array<FrontNodeProcess*, 4> nodes, double until) {
         for (std::size_t n = 0; n < 4; ++n) {
             for (std::size_t c = 0; c < 3; ++c) {
                 threads.emplace_back([&list = requests[n][c], node = nodes[n], n, c, until] {
@@ -95,17 +95,17 @@
 
 TEST_CASE("old and new configurations with the same servers: the protocol rules hold, and neither starves") {
     constexpr int kWorkMs = 80;  // two cores: a warm server processes 25 parts per second
-    Witness servers(5, kWorkMs);
+    RecordingServers servers(5, kWorkMs);
     std::vector<Listed> list;
     for (std::size_t i = 0; i < 4; ++i) list.push_back({"s-" + std::to_string(i), servers.at(i)});
     Discovery discovery(list);
-    Program a(list, discovery.at()), b(list, discovery.at());
-    Program c(list, discovery.at()), d(list, discovery.at());
+    FrontNodeProcess a(list, discovery.at()), b(list, discovery.at());
+    FrontNodeProcess c(list, discovery.at()), d(list, discovery.at());
     configure(a, true, true, 3);  // old: budget, second copies
     configure(b, true, true, 3);
     configure(c, false, false, 4);  // new: more sends, and neither budget nor second copies, or both
     configure(d, true, true, 4);
-    const std::array<Program*, 4> nodes{&a, &b, &c, &d};
+    const std::array<FrontNodeProcess*, 4> nodes{&a, &b, &c, &d};
     for (auto* node : nodes) node->start();
     for (auto* node : nodes) REQUIRE(node->client().connected());
     const double began = seconds_now();
@@ -148,7 +148,7 @@
         CHECK(nodes[n]->counter("invariants_broken") == 0);
     }
 
-    std::map<std::string, std::vector<const SeenPart*>> by_id;
+    std::map<std::string, std::vector<const ReceivedPart*>> by_id;
     for (const auto& each : seen) by_id[each.id].push_back(&each);
     for (const auto& [id, sends] : by_id) {
         CHECK(sends.size() <= (id[0] == 'a' || id[0] == 'b' ? 3U : 4U));
@@ -160,7 +160,7 @@
     }
 
     // The draining server got nothing after the time to stop sending, though it was used before.
-    const auto drained = [&](const SeenPart& each) { return each.server == 3; };
+    const auto drained = [&](const ReceivedPart& each) { return each.server == 3; };
     CHECK(std::count_if(seen.begin(), seen.end(), drained) > 10);
     for (const auto& each : seen) CHECK_FALSE((drained(each) && each.at > changed + 0.25 + 0.35));
 
@@ -170,7 +170,7 @@
     for (const auto& each : seen) {
         if (each.server != 4) continue;
         ++cold;
-        const auto window = std::count_if(seen.begin(), seen.end(), [&](const SeenPart& other) {
+        const auto window = std::count_if(seen.begin(), seen.end(), [&](const ReceivedPart& other) {
             return other.server == 4 && other.at > each.at - 1 && other.at <= each.at;
         });
         const double warmth = 0.1 + 0.9 * (each.at - changed) / 16;
--- a/tests/parse/json_objects_test.cpp
+++ b/tests/parse/json_objects_test.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-using pinedoor::parse::JsonObjects;
+using pinedoor::parse::JsonObjectSplitter;
 
-std::vector<std::string> all_of(JsonObjects& objects) {
+std::vector<std::string> all_of(JsonObjectSplitter& objects) {
     std::vector<std::string> found;
     while (auto object = objects.next()) found.push_back(std::move(*object));
     return found;
@@ -24,7 +24,7 @@
                                            "{\"revision\":3,\r\n\"members\":[]}"};
     std::string text = "\n \r\n";
     for (const auto& object : written) text += object + "\n\n";
-    JsonObjects objects(100);
+    JsonObjectSplitter objects(100);
     objects.feed(text);
     CHECK(all_of(objects) == written);
     CHECK(!objects.bad());
@@ -32,12 +32,12 @@
 
 TEST_CASE("any division of the text into pieces gives the same objects") {
     const std::string text = "{\"a\":\"\\\\\"}\n\n{ \"b\": [ { }, \"]\" ] }{\"c\":1}\n";
-    JsonObjects whole(100);
+    JsonObjectSplitter whole(100);
     whole.feed(text);
     const auto expected = all_of(whole);
     REQUIRE(expected.size() == 3);
     CHECK(rc::check([&] {
-        JsonObjects objects(100);
+        JsonObjectSplitter objects(100);
         std::vector<std::string> found;
         for (std::size_t position = 0; position < text.size();) {
             const auto size = *rc::gen::inRange<std::size_t>(1, 9);
@@ -50,15 +50,15 @@
 }
 
 TEST_CASE("text that is no object, and an object above the size limit, are errors") {
-    JsonObjects trailing_text(100);
+    JsonObjectSplitter trailing_text(100);
     trailing_text.feed("{}\nfine");
     CHECK(all_of(trailing_text).size() == 1);
     CHECK(trailing_text.bad());
-    JsonObjects array(100);
+    JsonObjectSplitter array(100);
     array.feed("[{}]");
     CHECK(all_of(array).empty());
     CHECK(array.bad());
-    JsonObjects unterminated(20);
+    JsonObjectSplitter unterminated(20);
     unterminated.feed("{\"a\":\"" + std::string(30, 'x'));
     CHECK(all_of(unterminated).empty());
     CHECK(unterminated.bad());
--- a/tests/parse_test.cpp
+++ b/tests/parse_test.cpp
@@ -10,10 +10,10 @@
 namespace {
 
 using namespace pinedoor::parse;
-using Reader = HttpReader;
+using Reader = HttpParser;
 
 // Feeds a message whole, then in pieces of each size up to 7; checks that all give the same result.
-std::string read_request(const std::string& text, HttpBounds bounds = {}) {
+std::string read_request(const std::string& text, HttpLimits bounds = {}) {
     std::string first;
     for (std::size_t piece = 0; piece < 8; ++piece) {
         Reader reader(Reader::Kind::kRequest, bounds);
@@ -133,7 +133,7 @@
         const auto outcome = print(in_bytes.finish());
         CHECK(print(parse_json(text, bounds)) == outcome);
         return outcome;
-    } catch (const BadJson& error) {
+    } catch (const JsonError& error) {
         CHECK_THROWS_WITH(parse_json(text, bounds), error.what());
         return error.what();
     }
@@ -212,10 +212,10 @@
     const auto result = parse_result("9b1f.3 done 1840277719 inflight=7,util=0.61\nv\u00e4lue");
     REQUIRE(result);
     CHECK(result->id == "9b1f.3");
-    CHECK(result->end == ResultEnd::kDone);
+    CHECK(result->end == ResultStatus::kDone);
     CHECK(result->report == "inflight=7,util=0.61");
     CHECK(result->value == "v\u00e4lue");
-    CHECK(parse_result("a.1 full 0 -\n")->end == ResultEnd::kFull);
+    CHECK(parse_result("a.1 full 0 -\n")->end == ResultStatus::kFull);
     CHECK(parse_result("a.1 failed 0 -\n")->report.empty());
     CHECK(parse_result("a.1 done 0\n")->report.empty());
     CHECK(parse_result("a.1 done 0 much, and more\nx")->value == "x");
--- a/tests/peers/gossip_test.cpp
+++ b/tests/peers/gossip_test.cpp
@@ -46,7 +46,7 @@
     void run(Time length) {
         const Wire wire("here", "");
         for (const Time until = now_ + length; now_ < until; now_ += 50) {
-            std::vector<std::pair<int, SendTalk>> out;
+            std::vector<std::pair<int, SendGossip>> out;
             for (auto& [index, gossip] : nodes_) {
                 if (gossip->due() > now_) continue;
                 for (auto& each : gossip->tick(now_)) out.emplace_back(index, std::move(each));
@@ -82,7 +82,7 @@
     const GossipSettings settings_;
     std::mt19937_64 rng_;
     std::map<int, std::unique_ptr<Gossip>> nodes_;
-    std::vector<std::pair<int, SendTalk>> in_flight_;
+    std::vector<std::pair<int, SendGossip>> in_flight_;
     Time now_ = kSecond;
 };
 
--- a/tests/peers/list_source_test.cpp
+++ b/tests/peers/list_source_test.cpp
@@ -162,7 +162,7 @@
         source.set_members(now, members(50));
         REQUIRE(next_call(source, now, 10 * kSecond));
         source.heard(now);
-        const std::vector<ListSource::Holding> same{{{false, ahead_of_all, {1, 8}}, 12}},
+        const std::vector<ListSource::ListHolder> same{{{false, ahead_of_all, {1, 8}}, 12}},
             ahead{{{false, ahead_of_all, {1, 8}}, 13}};
         CHECK(!source.compare(now, 12, same));
         CHECK(!source.compare(now, 12, ahead));
@@ -186,7 +186,8 @@
 TEST_CASE(
     "a member that does not respond is given up after 1.5 s, and another one is called next, also roots") {
     const auto first = member_at_rank(60, 0), second = member_at_rank(60, 1);
-    const std::vector<ListSource::Holding> both{{{false, first, {1, 8}}, 12}, {{false, second, {1, 10}}, 12}};
+    const std::vector<ListSource::ListHolder> both{{{false, first, {1, 8}}, 12},
+                                                   {{false, second, {1, 10}}, 12}};
     std::set<std::string> next;
     for (int i = 0; i < 60; ++i) {
         ListSource source("n" + std::to_string(i), static_cast<std::uint64_t>(i), {});
@@ -232,7 +233,7 @@
         return source;
     };
     for (int i = 0; i < kMembers; ++i) places["n" + std::to_string(i)] = settled_source(i)->place();
-    std::vector<ListSource::Holding> all;  // all members advertise the list
+    std::vector<ListSource::ListHolder> all;  // all members advertise the list
     for (const auto& [name, place] : places) all.push_back({{false, name, {1, 1}}, 7});
     for (int i = 0; i < kMembers; ++i) {
         const auto name = "n" + std::to_string(i);
--- a/tests/peers/processes_test.cpp
+++ b/tests/peers/processes_test.cpp
@@ -94,7 +94,7 @@
                 "[[faults]]\nkind = \"stop\"\nfrom_s = 4\nuntil_s = 9\nnodes = [7]\n",
                 {{"seconds", "15"}});
         },
-        [&](const auto& run, test::Figures& figures) {
+        [&](const auto& run, test::Expectations& figures) {
             for (int i = 0; i < 12; ++i) {
                 FIGURE(run.views.view_at(i, 4 * kSecond).size() == 12);
                 FIGURE(run.views.view_at(i, 15 * kSecond).size() == 12);  // all are members again
@@ -114,7 +114,7 @@
                 "3\nuntil_s = 11\n"
                 "lose = 0.15\ntwice = 0.3\nswap = 0.3\nflip = 0.05\n");
         },
-        [&](const auto& run, test::Figures& figures) {
+        [&](const auto& run, test::Expectations& figures) {
             for (int i = 0; i < 12; ++i) {
                 for (int second = 4; second < 12; second += 2)
                     FIGURE(run.views.view_at(i, second * kSecond).size() == 12);
@@ -132,7 +132,7 @@
                 "cut = true\n",
                 {{"seconds", "18"}});
         },
-        [&](const auto& run, test::Figures& figures) {
+        [&](const auto& run, test::Expectations& figures) {
             for (int i = 0; i < 12; ++i) {
                 FIGURE(run.views.view_at(i, 3 * kSecond).size() == 12);
                 FIGURE(run.views.view_at(i, 9 * kSecond).size() == 6);
@@ -172,9 +172,9 @@
                                   {"fleet.discovery.calls_per_second", "5"},
                                   {"seconds", "14"}});
         },
-        [&](const auto& run, test::Figures& figures) {
+        [&](const auto& run, test::Expectations& figures) {
             FIGURE(run.totals.calls.size() <= 12);
-            FIGURE(run.totals.count(CallDesk::End::kRefused) == 0);
+            FIGURE(run.totals.count(CallQueue::End::kRefused) == 0);
             FIGURE(run.reader.served_by(1) > 0);
             FIGURE(run.reader.served_by(0.99) < 12 * kSecond);
         });
@@ -196,9 +196,9 @@
                     "[[troubles]]\nkind = \"crash\"\nfrom_s = 19\nuntil_s = 20\nshare = 0.25\n",
                 {{"seconds", "24"}, {"fleet.known", "0"}, {"fleet.discovery.calls_per_second", "5"}});
         },
-        [&](const auto& run, test::Figures& figures) {
+        [&](const auto& run, test::Expectations& figures) {
             FIGURE(run.totals.calls.size() <= 16);
-            FIGURE(run.totals.count(CallDesk::End::kRefused) == 0);
+            FIGURE(run.totals.count(CallQueue::End::kRefused) == 0);
         });
 }
 
@@ -219,7 +219,7 @@
                 CHECK(run.totals.totals.bad_exits == 0);
                 return run;
             },
-            [&](const auto& run, test::Figures& figures) {
+            [&](const auto& run, test::Expectations& figures) {
                 int drain_breaches = 0;
                 for (const auto& each : run.breaches)
                     drain_breaches += each.rule == Breach::Rule::kDrainsKept ? 1 : 0;
--- a/tests/peers/simulated.hpp
+++ b/tests/peers/simulated.hpp
@@ -31,7 +31,8 @@
         int conflicts = 0;
     };
 
-    SimulatedPeers(int count, std::uint64_t seed, MembershipTerms settings = {}, std::vector<int> seeds = {0})
+    SimulatedPeers(int count, std::uint64_t seed, MembershipConfig settings = {},
+                   std::vector<int> seeds = {0})
         : settings_(settings), rng_(seed), nodes_(static_cast<std::size_t>(count)) {
         for (const int each : seeds) seeds_.push_back(address(each));
     }
@@ -209,7 +210,7 @@
                      });
                  });
     }
-    void execute(int index, Changed& change) {
+    void execute(int index, MembershipChange& change) {
         node(index).reported_members[change.record.name] = change.is_member;
         const int subject = node_at(change.record.at);
         if (!change.is_member && change.record.state == MemberState::kDead && node(subject).up &&
@@ -218,7 +219,7 @@
     }
     void execute(int index, NameConflict&) { ++node(index).conflicts; }
 
-    const MembershipTerms settings_;
+    const MembershipConfig settings_;
     std::mt19937 rng_;
     std::vector<Node> nodes_;
     std::vector<At> seeds_;
--- a/tests/placement/explore_test.cpp
+++ b/tests/placement/explore_test.cpp
@@ -1,6 +1,6 @@
 // Explores all interleavings of a move of one shard: a mover, the two index servers, two front nodes that
 // each send a non-repeatable part, messages that are delayed, lost, repeated and reordered, crashes and an
-// abort. It runs the production Mover and BoxGuard, not a model of them.
+// abort. It runs the production Mover and ShardGuard, not a model of them.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 using namespace pinedoor::placement;
 namespace m = pinedoor::placement::moving;
 
-constexpr BoxId kFrom = 1, kTo = 2;
+constexpr ServerNumber kFrom = 1, kTo = 2;
 constexpr Epoch kBefore = 5;
 
 enum class Kind : std::uint8_t {
@@ -68,7 +68,7 @@
     Mover mover{{7, 1, kFrom, kTo, kBefore, MoveStep::kPrepare}, {0, 1, INT64_MAX}};
     Move kept{7, 1, kFrom, kTo, kBefore, MoveStep::kPrepare};
     bool mover_up = true;
-    BoxGuard from{true, kBefore}, to;
+    ShardGuard from{true, kBefore}, to;
     bool from_up = true, to_up = true;
     std::uint8_t data_from = 0, data_to = 0;  // bit mask of the nodes whose parts are in the data
     bool published = false;
@@ -184,20 +184,20 @@
         for (const auto& action : actions) {
             if (const auto* keep = std::get_if<m::Keep>(&action))
                 s.messages.insert({Kind::kKeep, std::uint8_t(keep->move.step), 0});
-            if (std::holds_alternative<m::AskCopy>(action)) s.messages.insert({Kind::kCopy});
-            if (std::holds_alternative<m::AskMissing>(action)) s.messages.insert({Kind::kMissing});
-            if (std::holds_alternative<m::AskFence>(action)) {
+            if (std::holds_alternative<m::RequestCopy>(action)) s.messages.insert({Kind::kCopy});
+            if (std::holds_alternative<m::RequestLag>(action)) s.messages.insert({Kind::kMissing});
+            if (std::holds_alternative<m::RequestFence>(action)) {
                 s.messages.insert({Kind::kFence});
                 if (defects_.own_early) s.messages.insert({Kind::kOwn});
             }
-            if (const auto* reach = std::get_if<m::AskReach>(&action))
+            if (const auto* reach = std::get_if<m::RequestCatchUp>(&action))
                 s.messages.insert({Kind::kReach, std::uint8_t(reach->upto)});
             if (std::holds_alternative<m::Publish>(action)) s.messages.insert({Kind::kPublish});
-            if (std::holds_alternative<m::AskOwn>(action)) s.messages.insert({Kind::kOwn});
-            if (std::holds_alternative<m::AskDrained>(action)) s.messages.insert({Kind::kDrained});
-            if (const auto* drop = std::get_if<m::AskDrop>(&action))
+            if (std::holds_alternative<m::RequestOwn>(action)) s.messages.insert({Kind::kOwn});
+            if (std::holds_alternative<m::RequestDrained>(action)) s.messages.insert({Kind::kDrained});
+            if (const auto* drop = std::get_if<m::RequestDrop>(&action))
                 s.messages.insert({drop->box == kFrom ? Kind::kDropFrom : Kind::kDropTo});
-            if (std::holds_alternative<m::AskUnfence>(action)) s.messages.insert({Kind::kUnfence});
+            if (std::holds_alternative<m::RequestUnfence>(action)) s.messages.insert({Kind::kUnfence});
         }
     }
     void report(State& s, const m::Event& event) const {
@@ -251,7 +251,7 @@
                 reply(Kind::kMissingIs, std::popcount(std::uint8_t(s.data_from & ~s.data_to)));
                 s.data_to |= s.data_from;
                 break;
-            case Kind::kMissingIs: report(s, m::Missing{what.a}); break;
+            case Kind::kMissingIs: report(s, m::CopyLag{what.a}); break;
             case Kind::kFence:
                 if (!defects_.no_fence && !s.from.fence(move, kBefore)) break;
                 reply(Kind::kFenced, std::popcount(s.data_from));
@@ -262,7 +262,7 @@
                 s.data_to |= s.data_from;
                 reply(Kind::kReached, what.a);
                 break;
-            case Kind::kReached: report(s, m::Reached{what.a}); break;
+            case Kind::kReached: report(s, m::CaughtUp{what.a}); break;
             case Kind::kPublish:
                 s.published = true;
                 reply(Kind::kPublished);
@@ -288,7 +288,7 @@
             case Kind::kDroppedTo: report(s, m::Dropped{kTo}); break;
             case Kind::kUnfence:
                 s.from.unfence(7);
-                if (defects_.no_move_ids) s.from.unfence(8), s.from = BoxGuard(true, kBefore);
+                if (defects_.no_move_ids) s.from.unfence(8), s.from = ShardGuard(true, kBefore);
                 reply(Kind::kUnfenced);
                 break;
             case Kind::kUnfenced: report(s, m::Unfenced{}); break;
@@ -362,7 +362,7 @@
         if (here.aborts > 0 && here.mover_up) {
             auto aborted = here;
             --aborted.aborts;
-            report(aborted, m::AbortAsked{});
+            report(aborted, m::AbortRequested{});
             add(std::move(aborted), at);
         }
         for (int who = 0; who < 3 && here.crashes > 0; ++who) {
--- a/tests/placement/follow_test.cpp
+++ b/tests/placement/follow_test.cpp
@@ -22,7 +22,7 @@
 
 // A sequence of map versions and the steps between them.
 struct History {
-    BoxNames names;
+    ServerNames names;
     std::vector<ShardMap> maps;
     std::vector<Step> steps;
 
@@ -44,8 +44,8 @@
             maps.push_back(require_map(maps.back().after(step)));
         }
     }
-    MapNews whole(Version version) const { return WholeMap{version, maps[version - 1].shards()}; }
-    MapNews changes(Version after, Version upto) const {
+    MapUpdate whole(Version version) const { return WholeMap{version, maps[version - 1].shards()}; }
+    MapUpdate changes(Version after, Version upto) const {
         return MapChanges{upto,
                           after,
                           {steps.begin() + static_cast<std::ptrdiff_t>(after - 1),
@@ -55,7 +55,7 @@
 
 TEST_CASE("maps and changes survive a round trip; invalid text is rejected with a message") {
     History history(40);
-    BoxNames names;
+    ServerNames names;
     for (const char* name : {"s-1", "s-2", "s-3"}) names.number(name);
     const auto& last = history.maps.back();
     const auto news = read_map_news(print_map(last, history.names), names);
@@ -84,8 +84,8 @@
     CHECK(print_key(kLast) == "ffffffffffffffff");
     CHECK(read_key("0") == Key{0});
     CHECK(!read_key("0x1"));
-    BoxNames few(1);
-    CHECK(few.number("a") == BoxId{1});
+    ServerNames few(1);
+    CHECK(few.number("a") == ServerNumber{1});
     CHECK(!few.number("b"));
 }
 
--- a/tests/placement/front_test.cpp
+++ b/tests/placement/front_test.cpp
@@ -26,12 +26,12 @@
         boxes.use_map(map);
         discovery.list(boxes.listed());
         discovery.map(print_map(map, names));
-        program = std::make_unique<Program>(boxes.listed(), discovery.at());
+        program = std::make_unique<FrontNodeProcess>(boxes.listed(), discovery.at());
         program->with_settings(kOn);
     }
-    static std::vector<BoxId> ids(std::size_t count) {
-        std::vector<BoxId> all;
-        for (std::size_t b = 1; b <= count; ++b) all.push_back(static_cast<BoxId>(b));
+    static std::vector<ServerNumber> ids(std::size_t count) {
+        std::vector<ServerNumber> all;
+        for (std::size_t b = 1; b <= count; ++b) all.push_back(static_cast<ServerNumber>(b));
         return all;
     }
     void start() {
@@ -63,11 +63,11 @@
 
     TestServers boxes;
     MapDiscovery discovery;
-    BoxNames names;
+    ServerNames names;
     ShardMap map;
     std::vector<Step> unsent_steps;
     ShardId next_id = 1'000;
-    std::unique_ptr<Program> program;
+    std::unique_ptr<FrontNodeProcess> program;
     Peer client;
 };
 
@@ -246,7 +246,7 @@
         const auto all = fleet.map.shards();
         const auto at = chance() % all.size();
         const auto& one = all[at];
-        BoxId to = one.owner();
+        ServerNumber to = one.owner();
         for (const auto& each : one.replicas) to = each.role == Role::kReader ? each.box : to;
         Step step = PassOwnership{one.id, to};
         if (change % 3 == 0 && all.size() < 20)
--- a/tests/placement/gather_test.cpp
+++ b/tests/placement/gather_test.cpp
@@ -37,8 +37,8 @@
     CHECK(!merge_rule_named("guess"));
 }
 
-GatherTerms terms() {
-    GatherTerms made;
+GathererConfig terms() {
+    GathererConfig made;
     made.op_types = {{MergeRule::kSum, true, 0.5, 1, 1'000}, {MergeRule::kSum, false, 1, 1, 1'000}};
     made.splits = 4;
     return made;
@@ -54,36 +54,37 @@
 }
 
 struct Trace {
-    std::vector<g::AskLeg> legs;
+    std::vector<g::SendRound> legs;
     std::vector<g::End> ends;
-    std::vector<g::LeaveLeg> left;
+    std::vector<g::AbandonRound> left;
     int wants_map = 0;
     Time wake = -1;
 
     Trace& operator()(const Gatherer::Actions& actions) {
         for (const auto& action : actions) {
-            if (const auto* leg = std::get_if<g::AskLeg>(&action)) legs.push_back(*leg);
+            if (const auto* leg = std::get_if<g::SendRound>(&action)) legs.push_back(*leg);
             if (const auto* end = std::get_if<g::End>(&action)) ends.push_back(*end);
-            if (const auto* leave = std::get_if<g::LeaveLeg>(&action)) left.push_back(*leave);
+            if (const auto* leave = std::get_if<g::AbandonRound>(&action)) left.push_back(*leave);
             if (const auto* wake_at = std::get_if<g::Wake>(&action)) wake = wake_at->at;
-            wants_map += std::holds_alternative<g::WantMap>(action) ? 1 : 0;
+            wants_map += std::holds_alternative<g::RequestMap>(action) ? 1 : 0;
         }
         return *this;
     }
 };
 
-LegEnd answered(const g::AskLeg& leg, const std::map<Route, std::string>& values) {
-    LegEnd end;
-    end.kind = LegEnd::Kind::kAnswered;
+RoundResult answered(const g::SendRound& leg, const std::map<Route, std::string>& values) {
+    RoundResult end;
+    end.kind = RoundResult::Kind::kAnswered;
     for (const auto& piece : leg.pieces) {
         const auto value = values.find(piece.route);
-        end.fates.emplace_back(piece.route, value == values.end() ? PieceFate::kNeverSent : PieceFate::kRan);
+        end.fates.emplace_back(piece.route,
+                               value == values.end() ? FragmentFate::kNeverSent : FragmentFate::kRan);
         if (value != values.end()) end.values.emplace_back(piece.route, value->second);
     }
     return end;
 }
 
-const GatherAsked kTwoSplits{0, 2'000, {{0, 0.25, 0, 0}, {1, 0.75, 0, 0}}};
+const GatherRequest kTwoSplits{0, 2'000, {{0, 0.25, 0, 0}, {1, 0.75, 0, 0}}};
 
 TEST_CASE("a split that lies in two shards is requested from both, with divided weight and summed value") {
     Gatherer gatherer(terms());
@@ -115,21 +116,21 @@
         REQUIRE(trace.ends.size() == 1);
         // Fragments of weight 0.25 + 0.375 are answered, but complete splits only of 0.25: below the least
         // share.
-        CHECK(trace.ends[0].kind == LegEnd::Kind::kFailed);
+        CHECK(trace.ends[0].kind == RoundResult::Kind::kFailed);
         CHECK(trace.ends[0].values.empty());
-        CHECK(trace.ends[0].fates[1].second == PieceFate::kMayHaveRun);
+        CHECK(trace.ends[0].fates[1].second == FragmentFate::kMayHaveRun);
     }
     SUBCASE("the least share is reached without the missing split") {
         values.erase(pieces[0].route);
         trace(gatherer.leg_ended(5, 7, 0, answered(trace.legs[0], values)));
-        CHECK(trace.ends[0].kind == LegEnd::Kind::kAnswered);
+        CHECK(trace.ends[0].kind == RoundResult::Kind::kAnswered);
         CHECK(!trace.ends[0].whole);
         CHECK(trace.ends[0].values == std::vector<std::pair<int, std::string>>{{1, "320"}});
     }
     SUBCASE("values that do not merge fail the multiget without a repeat") {
         values[pieces[1].route] = "x";
         trace(gatherer.leg_ended(5, 7, 0, answered(trace.legs[0], values)));
-        CHECK(trace.ends[0].kind == LegEnd::Kind::kFailed);
+        CHECK(trace.ends[0].kind == RoundResult::Kind::kFailed);
         CHECK(gatherer.counted().unmerged == 1);
     }
     CHECK(gatherer.open() == 0);
@@ -185,10 +186,10 @@
             CHECK(trace.ends[0].values.back().second == "11");
         }
         SUBCASE("the second round fails: the multiget ends at once") {
-            LegEnd failed;
+            RoundResult failed;
             trace(gatherer.leg_ended(40, 7, 1, failed));
             REQUIRE(trace.ends.size() == 1);
-            CHECK(trace.ends[0].kind == LegEnd::Kind::kFailed);
+            CHECK(trace.ends[0].kind == RoundResult::Kind::kFailed);
         }
     }
     SUBCASE("given up at the deadline if no map arrives") {
@@ -197,8 +198,8 @@
         CHECK(trace.wake == 1'800);  // 0.25 is below the least share, so it waits until the deadline
         trace(gatherer.tick(1'800));
         REQUIRE(trace.ends.size() == 1);
-        CHECK(trace.ends[0].kind == LegEnd::Kind::kFailed);
-        CHECK(trace.ends[0].fates[1].second == PieceFate::kNeverSent);
+        CHECK(trace.ends[0].kind == RoundResult::Kind::kFailed);
+        CHECK(trace.ends[0].fates[1].second == FragmentFate::kNeverSent);
     }
     CHECK(gatherer.open() == 0);
     CHECK(gatherer.routes() == 0);
@@ -210,12 +211,12 @@
     Trace trace;
     trace(gatherer.map_is(0, share(map)))(gatherer.ask(0, 7, {1, 2'000, {{1, 1, 0, 0}}}));
     const auto leg = trace.legs[0];
-    CHECK(leg.pieces[0].boxes == std::vector<BoxId>{2});
+    CHECK(leg.pieces[0].boxes == std::vector<ServerNumber>{2});
     const auto passed = after(map, PassOwnership{2, 1});
-    CHECK(gatherer.boxes_now(1, leg.pieces[0]) == std::vector<BoxId>{2});
+    CHECK(gatherer.boxes_now(1, leg.pieces[0]) == std::vector<ServerNumber>{2});
     trace(gatherer.map_is(1, share(passed)));
     CHECK(gatherer.boxes_now(1, leg.pieces[0]) ==
-          std::vector<BoxId>{1});  // not sent yet: goes to the new owner
+          std::vector<ServerNumber>{1});  // not sent yet: goes to the new owner
     REQUIRE(gatherer.sending(leg.pieces[0].route) != nullptr);
     CHECK(gatherer.sending(leg.pieces[0].route)->epoch == 2);
     SUBCASE("refused by a server with an older epoch: repeated after a delay") {
@@ -228,30 +229,30 @@
         CHECK(trace.ends.empty());
         trace(gatherer.tick(210));
         REQUIRE(trace.legs.size() == 2);
-        CHECK(trace.legs[1].pieces[0].boxes == std::vector<BoxId>{1});
+        CHECK(trace.legs[1].pieces[0].boxes == std::vector<ServerNumber>{1});
         trace(gatherer.leg_ended(220, 7, 1, answered(trace.legs[1], {{trace.legs[1].pieces[0].route, "8"}})));
         CHECK(trace.ends.at(0).whole);
     }
     SUBCASE("not answered: no second round, and the fate says that it may have run") {
-        LegEnd failed;
-        failed.fates = {{leg.pieces[0].route, PieceFate::kMayHaveRun}};
+        RoundResult failed;
+        failed.fates = {{leg.pieces[0].route, FragmentFate::kMayHaveRun}};
         trace(gatherer.leg_ended(12, 7, 0, failed));
         CHECK(trace.legs.size() == 1);
-        CHECK(trace.ends.at(0).kind == LegEnd::Kind::kFailed);
-        CHECK(trace.ends.at(0).fates[0].second == PieceFate::kMayHaveRun);
+        CHECK(trace.ends.at(0).kind == RoundResult::Kind::kFailed);
+        CHECK(trace.ends.at(0).fates[0].second == FragmentFate::kMayHaveRun);
     }
     SUBCASE("pushed back") {
-        LegEnd pushed;
-        pushed.kind = LegEnd::Kind::kPushedBack;
+        RoundResult pushed;
+        pushed.kind = RoundResult::Kind::kPushedBack;
         pushed.wait = 50;
         trace(gatherer.leg_ended(12, 7, 0, pushed));
-        CHECK(trace.ends.at(0).kind == LegEnd::Kind::kPushedBack);
+        CHECK(trace.ends.at(0).kind == RoundResult::Kind::kPushedBack);
         CHECK(trace.ends.at(0).wait == 50);
     }
     SUBCASE("the client disconnects") {
         CHECK(gatherer.open_legs(7) == std::vector<int>{0});
-        const auto fates = gatherer.left(7, {{leg.pieces[0].route, PieceFate::kRan}});
-        CHECK(fates == std::vector<std::pair<int, PieceFate>>{{1, PieceFate::kRan}});
+        const auto fates = gatherer.left(7, {{leg.pieces[0].route, FragmentFate::kRan}});
+        CHECK(fates == std::vector<std::pair<int, FragmentFate>>{{1, FragmentFate::kRan}});
         CHECK(gatherer.refused(20, leg.pieces[0].route, 9).empty());
     }
     CHECK(gatherer.open() == 0);
@@ -269,7 +270,7 @@
     Trace trace;
     trace(gatherer.ask(0, 1, {0, 2'000, {{0, 1, 0, 0}}}));
     for (std::size_t leg = 0; leg < 2; ++leg) {
-        map = after(map, PassOwnership{1, leg == 0 ? BoxId{2} : BoxId{1}});
+        map = after(map, PassOwnership{1, leg == 0 ? ServerNumber{2} : ServerNumber{1}});
         gatherer.map_is(0, share(map));
         trace(gatherer.refused(0, trace.legs[leg].pieces[0].route, leg + 2))(gatherer.tick(0));
         REQUIRE(trace.legs.size() == leg + 2);
@@ -347,7 +348,7 @@
     CHECK(owner.cold() == 1);
     Trace trace;
     trace(owner.ask(100, 1, {1, 2'000, {{0, 1, 0, 0}}}));
-    CHECK(owner.boxes_now(100, trace.legs[0].pieces[0]) == std::vector<BoxId>{3});
+    CHECK(owner.boxes_now(100, trace.legs[0].pieces[0]) == std::vector<ServerNumber>{3});
     owner.map_is(200,
                  std::make_shared<const ShardMap>(after(after(with, AddReader{2, 4}), RemoveReader{1, 3})));
     CHECK(owner.cold() == 1);  // server 3 was removed and server 4 added
@@ -359,8 +360,8 @@
     Gatherer gatherer(terms());
     Trace trace;
     trace(gatherer.ask(0, 1, kTwoSplits));
-    CHECK(trace.ends.at(0).kind == LegEnd::Kind::kPushedBack);
-    CHECK(trace.ends.at(0).fates[0].second == PieceFate::kNeverSent);
+    CHECK(trace.ends.at(0).kind == RoundResult::Kind::kPushedBack);
+    CHECK(trace.ends.at(0).fates[0].second == FragmentFate::kNeverSent);
 }
 
 // Index servers use the newest map and the node an older one; each answer is compared with the complete data
@@ -383,25 +384,25 @@
         ShardId next = 100;
         Time now = 0;
         Number number = 0;
-        std::map<Number, std::map<int, g::AskLeg>> open;
+        std::map<Number, std::map<int, g::SendRound>> open;
         std::map<std::pair<Number, int>, std::map<Route, std::string>> in;
         std::map<std::pair<Number, int>, std::set<Route>> pending_routes;
         std::size_t ended = 0, whole = 0;
         const auto handle = [&](const Gatherer::Actions& actions) {
             for (const auto& action : actions) {
-                if (const auto* leg = std::get_if<g::AskLeg>(&action)) {
+                if (const auto* leg = std::get_if<g::SendRound>(&action)) {
                     open[leg->number][leg->leg] = *leg;
                     for (const auto& piece : leg->pieces)
                         pending_routes[{leg->number, leg->leg}].insert(piece.route);
                 }
-                if (const auto* leave = std::get_if<g::LeaveLeg>(&action)) {
+                if (const auto* leave = std::get_if<g::AbandonRound>(&action)) {
                     open[leave->number].erase(leave->leg);
                     pending_routes.erase({leave->number, leave->leg});
                 }
                 if (const auto* end = std::get_if<g::End>(&action)) {
                     ++ended;
                     open.erase(end->number);
-                    RC_ASSERT(end->kind != LegEnd::Kind::kAnswered || !end->values.empty());
+                    RC_ASSERT(end->kind != RoundResult::Kind::kAnswered || !end->values.empty());
                     whole += end->whole ? 1 : 0;
                     for (const auto& [split, value] : end->values) {
                         const auto [first, last] = Gatherer::keys_of(split, 4);
@@ -417,7 +418,7 @@
                     const auto all = newest_map.shards();
                     const auto at = chance() % all.size();
                     const auto& one = all[at];
-                    Step change = PassOwnership{one.id, one.owner() == 1 ? BoxId{2} : BoxId{1}};
+                    Step change = PassOwnership{one.id, one.owner() == 1 ? ServerNumber{2} : ServerNumber{1}};
                     if (chance() % 3 == 0 && one.last - one.first > 100)
                         change =
                             Split{one.id, one.first + 1 + chance() % (one.last - one.first), next, next + 1};
@@ -434,7 +435,7 @@
                     break;
                 case 2: handle(gatherer.tick(now)); break;
                 case 3: {
-                    GatherAsked asked{static_cast<int>(chance() % 2), now + 2'000, {}};
+                    GatherRequest asked{static_cast<int>(chance() % 2), now + 2'000, {}};
                     for (int split = 0; split < 4; ++split) asked.splits.push_back({split, 0.25, 0, 0});
                     handle(gatherer.ask(now, ++number, asked));
                     break;
@@ -476,7 +477,7 @@
         }
         handle(gatherer.tick(now));
         for (auto& [n, legs] : std::map(open)) {
-            for (auto& [leg, asked] : legs) handle(gatherer.leg_ended(now, n, leg, LegEnd{}));
+            for (auto& [leg, asked] : legs) handle(gatherer.leg_ended(now, n, leg, RoundResult{}));
         }
         RC_ASSERT(ended == number);
         RC_ASSERT(gatherer.routes() == 0U);
--- a/tests/placement/heat_test.cpp
+++ b/tests/placement/heat_test.cpp
@@ -47,19 +47,19 @@
     }));
 }
 
-// A map and a HeatBook under a simulated load.
+// A map and a LoadTracker under a simulated load.
 struct LoadSimulation {
     explicit LoadSimulation(double scale = 1) : terms(scaled(scale)) {}
-    static HeatTerms scaled(double scale) {
-        HeatTerms made;
+    static LoadTrackerConfig scaled(double scale) {
+        LoadTrackerConfig made;
         made.split_above *= scale;
         made.merge_below *= scale;
         return made;
     }
 
     ShardMap map = ShardMap::even(4, {1, 2}, 2);
-    HeatTerms terms;
-    HeatBook book{terms, 1};
+    LoadTrackerConfig terms;
+    LoadTracker book{terms, 1};
     Time now = 0;
     std::mt19937_64 chance{5};
 
@@ -181,9 +181,9 @@
 }
 
 TEST_CASE("thresholds that are too close to each other are refused") {
-    HeatTerms terms;
+    LoadTrackerConfig terms;
     terms.merge_below = 0.7 * terms.split_above;
-    CHECK_THROWS(HeatBook(terms, 1));
+    CHECK_THROWS(LoadTracker(terms, 1));
 }
 
 }  // namespace
--- a/tests/placement/map_test.cpp
+++ b/tests/placement/map_test.cpp
@@ -1,5 +1,5 @@
 // Tests of the shard map (steps compared with a simple model, sharing between versions, invalid maps) and of
-// the Mover and BoxGuard state machines.
+// the Mover and ShardGuard state machines.
 #include <doctest/doctest.h>
 #include <rapidcheck.h>
 
@@ -123,7 +123,7 @@
                     break;
                 }
                 default: {
-                    const BoxId box = *rc::gen::inRange<BoxId>(5, 9);
+                    const ServerNumber box = *rc::gen::inRange<ServerNumber>(5, 9);
                     const bool there = std::any_of(one.replicas.begin(), one.replicas.end(),
                                                    [box](const Replica& r) { return r.box == box; });
                     RC_ASSERT(std::holds_alternative<ShardMap::Refused>(map.after(RemoveReader{one.id, 99})));
@@ -165,7 +165,7 @@
 // Feeds events to a Mover and records its actions as text.
 class Script {
 public:
-    explicit Script(Move move = {7, 1, 1, 2, 5, MoveStep::kPrepare}, MoveTerms terms = {100, 2'000, 20'000})
+    explicit Script(Move move = {7, 1, 1, 2, 5, MoveStep::kPrepare}, MoverConfig terms = {100, 2'000, 20'000})
         : mover_(move, terms) {
         print(mover_.start(0));
     }
@@ -182,15 +182,17 @@
             std::string operator()(const m::Keep& a) const {
                 return "keep " + std::string(name_of(a.move.step));
             }
-            std::string operator()(const m::AskCopy&) const { return "copy"; }
-            std::string operator()(const m::AskMissing&) const { return "missing?"; }
-            std::string operator()(const m::AskFence&) const { return "fence"; }
-            std::string operator()(const m::AskReach& a) const { return "reach " + std::to_string(a.upto); }
+            std::string operator()(const m::RequestCopy&) const { return "copy"; }
+            std::string operator()(const m::RequestLag&) const { return "missing?"; }
+            std::string operator()(const m::RequestFence&) const { return "fence"; }
+            std::string operator()(const m::RequestCatchUp& a) const {
+                return "reach " + std::to_string(a.upto);
+            }
             std::string operator()(const m::Publish&) const { return "publish"; }
-            std::string operator()(const m::AskOwn&) const { return "own"; }
-            std::string operator()(const m::AskDrained&) const { return "drained?"; }
-            std::string operator()(const m::AskDrop& a) const { return "drop " + std::to_string(a.box); }
-            std::string operator()(const m::AskUnfence&) const { return "unfence"; }
+            std::string operator()(const m::RequestOwn&) const { return "own"; }
+            std::string operator()(const m::RequestDrained&) const { return "drained?"; }
+            std::string operator()(const m::RequestDrop& a) const { return "drop " + std::to_string(a.box); }
+            std::string operator()(const m::RequestUnfence&) const { return "unfence"; }
             std::string operator()(const m::Wake&) const { return ""; }
             std::string operator()(const m::Ended& a) const { return a.done ? "done" : "undone"; }
             std::string operator()(const m::CannotAbort&) const { return "cannot abort"; }
@@ -209,16 +211,16 @@
     CHECK(script.trace() == "keep prepare");
     CHECK(script.keep().trace() == "copy");
     CHECK(script.on(m::Copied{}).trace() == "keep catch-up");
-    CHECK(script.on(m::Missing{0}).trace() == "");  // the step is not saved yet
+    CHECK(script.on(m::CopyLag{0}).trace() == "");  // the step is not saved yet
     CHECK(script.keep().trace() == "missing?");
-    CHECK(script.on(m::Missing{101}).trace() == "");
-    CHECK(script.on(m::Missing{100}).trace() == "keep fence");
+    CHECK(script.on(m::CopyLag{101}).trace() == "");
+    CHECK(script.on(m::CopyLag{100}).trace() == "keep fence");
     CHECK(script.keep().trace() == "fence");
-    CHECK(script.on(m::Reached{900}).trace() == "");  // not requested yet
+    CHECK(script.on(m::CaughtUp{900}).trace() == "");  // not requested yet
     CHECK(script.on(m::Fenced{900}).trace() == "reach 900");
-    CHECK(script.on(m::Reached{899}).trace() == "");
-    CHECK(script.on(m::Reached{900}).trace() == "keep switch");
-    CHECK(script.on(m::AbortAsked{}).trace() == "cannot abort");
+    CHECK(script.on(m::CaughtUp{899}).trace() == "");
+    CHECK(script.on(m::CaughtUp{900}).trace() == "keep switch");
+    CHECK(script.on(m::AbortRequested{}).trace() == "cannot abort");
     CHECK(script.keep().trace() == "publish; own");
     CHECK(script.on(m::Owns{}).trace() == "");  // the map is not published yet
     CHECK(script.on(m::Published{}).on(m::Owns{}).trace() == "keep drain");
@@ -228,7 +230,7 @@
     CHECK(script.on(m::Dropped{2}).trace() == "");
     CHECK(script.on(m::Dropped{1}).trace() == "keep done");
     CHECK(script.keep().trace() == "done");
-    CHECK(script.on(m::AbortAsked{}).on(m::Tick{}, 90'000).trace() == "");
+    CHECK(script.on(m::AbortRequested{}).on(m::Tick{}, 90'000).trace() == "");
 }
 
 TEST_CASE("requests are repeated; a move is undone on abort or after the fence timeout, and can be paused") {
@@ -239,9 +241,9 @@
     CHECK(script.on(m::Tick{}, 2'000).trace() == "copy");
     script.on(m::Copied{}, 2'000).keep(2'000);
     CHECK(script.trace() == "keep catch-up; missing?");
-    CHECK(script.on(m::Pause{}, 2'000).on(m::Tick{}, 9'000).on(m::Missing{0}, 9'000).trace() == "");
+    CHECK(script.on(m::Pause{}, 2'000).on(m::Tick{}, 9'000).on(m::CopyLag{0}, 9'000).trace() == "");
     CHECK(script.on(m::Resume{}, 9'000).trace() == "missing?");
-    CHECK(script.on(m::Missing{1}, 9'000).keep(9'000).trace() == "keep fence; fence");
+    CHECK(script.on(m::CopyLag{1}, 9'000).keep(9'000).trace() == "keep fence; fence");
     CHECK(script.on(m::Tick{}, 28'999).trace() == "fence");
     CHECK(script.on(m::Tick{}, 29'000).trace() == "keep undo");
     CHECK(script.keep(29'000).trace() == "unfence; drop 2");
@@ -249,7 +251,7 @@
     CHECK(script.on(m::Tick{}, 31'000).trace() == "drop 2");
     CHECK(script.on(m::Dropped{2}, 31'000).keep(31'000).trace() == "keep undone; undone");
     Script aborted;
-    CHECK(aborted.on(m::AbortAsked{}).keep().trace() == "keep prepare; keep undo; unfence; drop 2");
+    CHECK(aborted.on(m::AbortRequested{}).keep().trace() == "keep prepare; keep undo; unfence; drop 2");
 }
 
 TEST_CASE("a restarted mover resumes from the saved step") {
@@ -266,7 +268,7 @@
 }
 
 TEST_CASE("a guard runs parts of its own epoch, and refuses delayed requests of ended moves") {
-    BoxGuard from(true, 5), to;
+    ShardGuard from(true, 5), to;
     CHECK(from.may_run(5).run);
     CHECK(!from.may_run(4).run);
     CHECK(from.may_run(4).known == 5);
@@ -282,7 +284,7 @@
     CHECK(from.drop(7, 6));
     CHECK(from.may_run(5).known == 6);
     CHECK(!from.fence(7, 5));  // delayed request
-    BoxGuard undone(true, 5), other;
+    ShardGuard undone(true, 5), other;
     CHECK(other.copy(8));
     CHECK(undone.fence(8, 5));
     undone.unfence(8);
--- a/tests/placement/mover_test.cpp
+++ b/tests/placement/mover_test.cpp
@@ -40,7 +40,7 @@
         boxes.use_map(map);
         discovery.list(boxes.listed());
         discovery.set_map(map, names);
-        program = std::make_unique<Program>(boxes.listed(), discovery.at());
+        program = std::make_unique<FrontNodeProcess>(boxes.listed(), discovery.at());
         program->with_settings(
             "[placement]\non = true\nask_again_ms = 5\nmost_legs = 60\n[placement.merge]\nagain = "
             "\"sum\"\nonce = "
@@ -139,9 +139,9 @@
     TempFolder folder;
     TestServers boxes{3};
     MapDiscovery discovery;
-    BoxNames names;
+    ServerNames names;
     ShardMap map;
-    std::unique_ptr<Program> program;
+    std::unique_ptr<FrontNodeProcess> program;
     Peer client;
 };
 
@@ -282,7 +282,7 @@
     CHECK(moves[0].move.step == MoveStep::kFence);
     auto next = moves[0].move;
     next.step = MoveStep::kSwitch;
-    CHECK_THROWS_AS(journal.keep(next, "somebody else"), store::LostLease);
+    CHECK_THROWS_AS(journal.keep(next, "somebody else"), store::LeaseLost);
     CHECK(journal.moves(true)[0].move.step == MoveStep::kFence);
     CHECK(!journal.take_lease("somebody else", 100));
     journal.leave_lease(holder);
@@ -316,7 +316,7 @@
         auto move = added[0].move;
         move.step = MoveStep::kSwitch;
         journal.keep(move, "me");
-        CHECK_THROWS_AS(journal.keep(move, "other"), store::LostLease);
+        CHECK_THROWS_AS(journal.keep(move, "other"), store::LeaseLost);
         CHECK(journal.wish(2, "abort"));
         CHECK(!journal.wish(3, "abort"));
         journal.pause(true);
@@ -389,43 +389,43 @@
 }
 
 TEST_CASE("the move queue limits moves in total, per server, shard and zone; pauses with hysteresis") {
-    CHECK(MoveDesk::fault_of({}) == "");
-    DeskTerms wrong;
+    CHECK(MoveQueue::fault_of({}) == "");
+    MoveQueueConfig wrong;
     wrong.resume_below = wrong.pause_above;
-    CHECK(MoveDesk::fault_of(wrong) != "");
-    MoveDesk desk({2, 1, 2, 0.02, 0.005, 2});
+    CHECK(MoveQueue::fault_of(wrong) != "");
+    MoveQueue desk({2, 1, 2, 0.02, 0.005, 2});
     desk.add({1, 10, 1, 2, 0, false});
     desk.add({2, 11, 1, 3, 0, false});  // from the same index server
     desk.add({3, 12, 4, 5, 0, false});
     desk.add({4, 10, 6, 7, 1, false});  // a later wave
     CHECK(desk.begin() == std::vector<MoveId>{1, 3});
     CHECK(desk.begin().empty());
-    desk.ended(1, MoveDesk::End::kDone);
+    desk.ended(1, MoveQueue::End::kDone);
     CHECK(desk.begin() == std::vector<MoveId>{2});
-    desk.ended(3, MoveDesk::End::kDone);
+    desk.ended(3, MoveQueue::End::kDone);
     CHECK(desk.begin().empty());  // the first wave is not finished
-    CHECK(desk.look(0.5) == MoveDesk::Did::kNothing);
-    CHECK(desk.look(0.5) == MoveDesk::Did::kPaused);
-    desk.ended(2, MoveDesk::End::kDone);
+    CHECK(desk.look(0.5) == MoveQueue::Did::kNothing);
+    CHECK(desk.look(0.5) == MoveQueue::Did::kPaused);
+    desk.ended(2, MoveQueue::End::kDone);
     CHECK(desk.begin().empty());
     CHECK(desk.why() == "paused: the fleet is under pressure");
-    CHECK(desk.look(0.01) == MoveDesk::Did::kNothing);  // between the thresholds: no change
-    CHECK(desk.look(0.01) == MoveDesk::Did::kNothing);
-    CHECK(desk.look(0.001) == MoveDesk::Did::kNothing);
-    CHECK(desk.look(0.001) == MoveDesk::Did::kResumed);
+    CHECK(desk.look(0.01) == MoveQueue::Did::kNothing);  // between the thresholds: no change
+    CHECK(desk.look(0.01) == MoveQueue::Did::kNothing);
+    CHECK(desk.look(0.001) == MoveQueue::Did::kNothing);
+    CHECK(desk.look(0.001) == MoveQueue::Did::kResumed);
     CHECK(desk.begin() == std::vector<MoveId>{4});
     CHECK(!desk.done());
     desk.add({5, 20, 1, 2, 2, false});
-    desk.ended(4, MoveDesk::End::kUndone);
+    desk.ended(4, MoveQueue::End::kUndone);
     CHECK(desk.begin().empty());
     CHECK(desk.done());
     CHECK(desk.why() == "move 4 was undone; plan again");
-    MoveDesk zoned({4, 4, 1, 0.02, 0.005, 2});
+    MoveQueue zoned({4, 4, 1, 0.02, 0.005, 2});
     zoned.add({1, 10, 1, 2, 0, false, 7});
     zoned.add({2, 11, 3, 4, 0, false, 7});
     zoned.add({3, 12, 5, 6, 0, false, 8});
     CHECK(zoned.begin() == std::vector<MoveId>{1, 3});
-    MoveDesk again({1, 1, 1, 0.02, 0.005, 2});
+    MoveQueue again({1, 1, 1, 0.02, 0.005, 2});
     again.by_hand(true);
     again.add({1, 10, 1, 2, 5, true});
     again.add({2, 11, 1, 2, 0, false});
@@ -434,17 +434,17 @@
 
 TEST_CASE("the move queue keeps its limits and terminates") {
     CHECK(rc::check("desk", [] {
-        DeskTerms terms;
+        MoveQueueConfig terms;
         terms.at_once = *rc::gen::inRange<std::size_t>(1, 5);
         terms.at_once_box = *rc::gen::inRange<std::size_t>(1, 3);
-        MoveDesk desk(terms);
+        MoveQueue desk(terms);
         const int count = *rc::gen::inRange(1, 30);
-        std::map<MoveId, WantedMove> all, on;
+        std::map<MoveId, QueuedMove> all, on;
         for (int i = 1; i <= count; ++i) {
-            WantedMove wanted{static_cast<MoveId>(i),
+            QueuedMove wanted{static_cast<MoveId>(i),
                               *rc::gen::inRange<ShardId>(1, 9),
-                              *rc::gen::inRange<BoxId>(1, 6),
-                              *rc::gen::inRange<BoxId>(1, 6),
+                              *rc::gen::inRange<ServerNumber>(1, 6),
+                              *rc::gen::inRange<ServerNumber>(1, 6),
                               *rc::gen::inRange<std::size_t>(0, 3),
                               false};
             all[wanted.id] = wanted;
@@ -459,7 +459,7 @@
             }
             RC_ASSERT(!on.empty());
             RC_ASSERT(on.size() <= terms.at_once);
-            std::map<BoxId, std::size_t> from, to;
+            std::map<ServerNumber, std::size_t> from, to;
             std::set<ShardId> shards;
             for (const auto& [id, each] : on) {
                 RC_ASSERT(++from[each.from] <= terms.at_once_box);
@@ -468,7 +468,7 @@
             }
             const auto which = on.begin()->first;
             on.erase(which);
-            desk.ended(which, MoveDesk::End::kDone);
+            desk.ended(which, MoveQueue::End::kDone);
             ++ended;
         }
         RC_ASSERT(ended == all.size());
--- a/tests/quiet_time_test.cpp
+++ b/tests/quiet_time_test.cpp
@@ -15,7 +15,7 @@
     Listener first;
     Listener second;
     Listener discovery;
-    Program program{{{"s-1", first.at()}, {"s-2", second.at()}}, discovery.at()};
+    FrontNodeProcess program{{{"s-1", first.at()}, {"s-2", second.at()}}, discovery.at()};
     Peer client;
     Peer watch;
 
--- a/tests/script.hpp
+++ b/tests/script.hpp
@@ -15,22 +15,22 @@
 // and the next one.
 class Script {
 public:
-    OpType partial_op{10'000, 20'000, Repeat::kRetriable, 0, 5, 0, 0.6, 1, 0.9, 0};
-    OpType whole_op{10'000, 20'000, Repeat::kRetriable, 0, 1, 0, 1, 1, 0.9, 0};
-    OpType once{10'000, 20'000, Repeat::kNonRetriable, 0, 1, 0.3, 1, 1, 0.9, 0};  // non-retriable
-    OpType deduped_op{10'000, 20'000, Repeat::kDeduped, 4'000, 1, 0, 1, 1, 0.9, 0};
+    OpType partial_op{10'000, 20'000, RetrySafety::kRetriable, 0, 5, 0, 0.6, 1, 0.9, 0};
+    OpType whole_op{10'000, 20'000, RetrySafety::kRetriable, 0, 1, 0, 1, 1, 0.9, 0};
+    OpType once{10'000, 20'000, RetrySafety::kNonRetriable, 0, 1, 0.3, 1, 1, 0.9, 0};  // non-retriable
+    OpType deduped_op{10'000, 20'000, RetrySafety::kDeduped, 4'000, 1, 0, 1, 1, 0.9, 0};
     ShardRing ring{4, 2, 1, 0};
-    SendTerms sends{3, true, true, 2'500};
-    FurtherSendTerms further;
-    ColdTerms cold_start{0.2, 100'000, 3, 10'000};
-    ListTerms list_config;
+    SendConfig sends{3, true, true, 2'500};
+    FurtherSendConfig further;
+    ColdStartConfig cold_start{0.2, 100'000, 3, 10'000};
+    ServerListConfig list_config;
     int front_nodes = 2;
-    ClientTerms clients{true, 5'000, false, 200};
+    ClientConfig clients{true, 5'000, false, 200};
 
     // Updates the server list. "A0 B1d C2g D3@400": server and position; d: draining, g: removed, @: started
     // at that millisecond.
-    Script& list(const std::string& text, ListKind kind = ListKind::kFull) {
-        ListNews update{kind, {}};
+    Script& list(const std::string& text, ListUpdateKind kind = ListUpdateKind::kFull) {
+        ListUpdate update{kind, {}};
         std::istringstream in(text);
         for (std::string item; in >> item;) {
             ListEntry entry;
@@ -103,8 +103,8 @@
 private:
     void start() {
         node_ = std::make_unique<FrontNode>(
-            7, NodePlace{0, front_nodes, 0, 50}, std::vector<OpType>{partial_op, whole_op, once, deduped_op},
-            ring, sends, further, cold_start, list_config, clients, std::vector<TenantShare>{}, HintTerms{});
+            7, NodeConfig{0, front_nodes, 0, 50}, std::vector<OpType>{partial_op, whole_op, once, deduped_op},
+            ring, sends, further, cold_start, list_config, clients, std::vector<TenantQuota>{}, HintConfig{});
     }
 
     std::ostream& line() { return trace_ << now_ / 10 << ' '; }
@@ -114,17 +114,17 @@
         sends_[a.part].emplace_back(a.server, now_);
         line() << "send " << a.part << " to " << name(a.server) << '\n';
     }
-    void print(const CallOff& a) { line() << "cancel " << a.part << " send " << a.send << '\n'; }
+    void print(const CancelSend& a) { line() << "cancel " << a.part << " send " << a.send << '\n'; }
     void print(const Answer& a) {
         line() << "answer " << a.multiget << (a.whole ? " whole\n" : " in part\n");
     }
     void print(const PushBack& a) { line() << "push back " << a.multiget << " for " << a.wait / 10 << '\n'; }
     void print(const Fail& a) { line() << "fail " << a.multiget << '\n'; }
     void print(const LogLine& a) { line() << "log " << a.text << '\n'; }
-    void print(const WatchList&) { line() << "watch the list\n"; }
-    void print(const FetchList&) { line() << "fetch the list\n"; }
+    void print(const WatchServerList&) { line() << "watch the list\n"; }
+    void print(const FetchServerList&) { line() << "fetch the list\n"; }
     void print(const Probe& a) { line() << "probe " << name(a.server) << '\n'; }
-    void print(const SetBell&) {}
+    void print(const SetTimer&) {}
 
     Time now_ = 0;
     std::unique_ptr<FrontNode> node_;
--- a/tests/service/exchange_test.cpp
+++ b/tests/service/exchange_test.cpp
@@ -20,7 +20,7 @@
 };
 
 struct NoListSource : ServerListSource {
-    void watch(const WatchList&) override {}
+    void watch(const WatchServerList&) override {}
     void fetch() override {}
 };
 
@@ -32,10 +32,11 @@
     NoListSource list_source;
     Dispatcher dispatcher{
         scheduler,
-        FrontNode(7, NodePlace{0, 1, 0, 10},
-                  std::vector<OpType>{{10'000, 40'000, Repeat::kRetriable, 0, 1, 0, 1, 1, 0.9, 0}},
-                  ShardRing{1, 1, 1, 0}, SendTerms{3, true, true, 2'500}, FurtherSendTerms{}, ColdTerms{},
-                  ListTerms{}, ClientTerms{}, std::vector<TenantShare>{}, HintTerms{}),
+        FrontNode(7, NodeConfig{0, 1, 0, 10},
+                  std::vector<OpType>{{10'000, 40'000, RetrySafety::kRetriable, 0, 1, 0, 1, 1, 0.9, 0}},
+                  ShardRing{1, 1, 1, 0}, SendConfig{3, true, true, 2'500}, FurtherSendConfig{},
+                  ColdStartConfig{}, ServerListConfig{}, ClientConfig{}, std::vector<TenantQuota>{},
+                  HintConfig{}),
         10,
         100,
         3,
@@ -51,7 +52,7 @@
             member.entry.state = ServerState::kReady;
             members.push_back(member);
         }
-        dispatcher.apply_list(ListKind::kFull, members);
+        dispatcher.apply_list(ListUpdateKind::kFull, members);
     }
     void run_until(const std::function<bool()>& done) { scheduler.run(done); }
     void run_turns(std::uint64_t turns) {
@@ -70,12 +71,12 @@
 // never tried again: within 45 minutes a third of all requests were rejected for lack of servers.
 TEST_CASE("a retry whose client leaves in the same turn is not outstanding at any server") {
     DispatcherFixture fixture;
-    MultigetAsked multiget;
+    MultigetRequest multiget;
     multiget.name = "t";
     multiget.not_after = fixture.scheduler.now() + 30'000;
     multiget.query = "q";
     multiget.parts.push_back({0, 0, 1.0, 0, 0});
-    const auto [taken, ticket] = fixture.dispatcher.ask(multiget, [](Ending) {});
+    const auto [taken, ticket] = fixture.dispatcher.ask(multiget, [](MultigetResult) {});
     REQUIRE(taken == Acceptance::kTaken);
     fixture.run_until([&] { return fixture.transport.calls.size() == 1; });
     CHECK(fixture.parts_out() == 1);
--- a/tests/service/request_log_test.cpp
+++ b/tests/service/request_log_test.cpp
@@ -10,7 +10,7 @@
 using namespace pinedoor::test;
 
 // Returns the lines of one request, each with its event, message and reason.
-std::string lines_of(const Program& program, const std::string& request) {
+std::string lines_of(const FrontNodeProcess& program, const std::string& request) {
     std::istringstream log(program.log());
     std::string found;
     const auto value = [](const std::string& line, const std::string& key) {
@@ -29,7 +29,7 @@
 
 TEST_CASE("the lines of a request share its name and give the reason of each end") {
     Listener server;
-    Program program({{"s-1", server.at()}}, Listener().at());
+    FrontNodeProcess program({{"s-1", server.at()}}, Listener().at());
     program.with_settings("[log]\nlevel = \"debug\"\n").with("\"max_open\":40", "\"max_open\":2");
     auto client = program.start().client();
     client.say(post("again", "t1", asks({1})));
@@ -50,7 +50,7 @@
 
 TEST_CASE("at level info no line is written for a request that is served") {
     Listener server;
-    Program program({{"s-1", server.at()}}, Listener().at());
+    FrontNodeProcess program({{"s-1", server.at()}}, Listener().at());
     auto client = program.start().client();
     client.say(post("again", "t1", asks({1})));
     auto link = server.accept();
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -13,7 +13,7 @@
 struct OneServer {
     Listener server;
     Listener discovery;
-    Program program{{{"s-1", server.at()}}, discovery.at()};
+    FrontNodeProcess program{{{"s-1", server.at()}}, discovery.at()};
     Peer client;
     Peer connection;  // connection to the server, once it has received a call
 
@@ -288,7 +288,7 @@
 
 TEST_CASE("list changes are applied: new servers are used, draining ones are not, addresses may change") {
     Listener first, second, moved, discovery;
-    Program program({{"s-1", first.at()}}, discovery.at());
+    FrontNodeProcess program({{"s-1", first.at()}}, discovery.at());
     auto client = program.start().client();
     auto watch = discovery.accept();
     CHECK(watch.read_to("\r\n") == "GET /discovery/hosts?stream=1&index=1 HTTP/1.1\r\n");
@@ -325,7 +325,7 @@
                                     {std::to_string(now + 90'000), false},
                                     {std::string("\"x\""), false}}) {
         Listener server, discovery;
-        Program program({{"s-1", server.at()}}, discovery.at());
+        FrontNodeProcess program({{"s-1", server.at()}}, discovery.at());
         program.with("\"revision\":1", "\"saved_unix_ms\":" + held + ",\"revision\":1").start();
         CHECK((program.counter("list_age_ms") >= 90'000) == old);
         CHECK(program.counter("servers_known") == 1);  // used at once
@@ -359,7 +359,7 @@
 
 TEST_CASE("a list call that fails or falls silent is repeated with the last revision, after a delay") {
     Listener server, discovery;
-    Program program({{"s-1", server.at()}}, discovery.at());
+    FrontNodeProcess program({{"s-1", server.at()}}, discovery.at());
     program.start();
     auto watch = discovery.accept();
     watch.read_to("\r\n\r\n");
@@ -417,7 +417,7 @@
 
 TEST_CASE("a reload requests the full list from the new address at once, and multigets are not affected") {
     Listener first, second, initial_discovery, moved;
-    Program program({{"s-1", first.at()}}, moved.at());
+    FrontNodeProcess program({{"s-1", first.at()}}, moved.at());
     program.with_variable(
         initial_discovery.at());  // overrides the file at the start, but not at a later reload
     auto client = program.start().client();
@@ -451,7 +451,7 @@
 
 TEST_CASE("an invalid file changes nothing and is read again soon; settings that need a restart are logged") {
     Listener server, discovery, moved;
-    Program program({{"s-1", server.at()}}, discovery.at());
+    FrontNodeProcess program({{"s-1", server.at()}}, discovery.at());
     program.start().client();
     auto watch = discovery.accept();
     watch.read_to("\r\n\r\n");
@@ -532,11 +532,11 @@
 }
 
 TEST_CASE("whatever servers and clients do, each request has one answer and each send one outcome") {
-    Mischief servers(8);
+    FaultyServers servers(8);
     Listener discovery;
     std::vector<Listed> known;
     for (std::size_t i = 0; i < 8; ++i) known.push_back({"s-" + std::to_string(i), servers.at(i)});
-    Program program(known, discovery.at());
+    FrontNodeProcess program(known, discovery.at());
     for (int i = 0; i < 2; ++i)
         program.with("\"aim_ms\":2000", "\"aim_ms\":300");  // servers that are set aside are soon tried again
     program.with("\"max_attempts\":1", "\"max_attempts\":3")
--- a/tests/stand_ins.hpp
+++ b/tests/stand_ins.hpp
@@ -110,9 +110,9 @@
     // Reads an HTTP response as a client: status, the retry-after and connection headers if present, and the
     // body.
     std::string answer() {
-        parse::HttpReader reader(parse::HttpReader::Kind::kResponse);
-        while (reader.state() != parse::HttpReader::State::kDone) {
-            if (reader.state() == parse::HttpReader::State::kBad) return "malformed";
+        parse::HttpParser reader(parse::HttpParser::Kind::kResponse);
+        while (reader.state() != parse::HttpParser::State::kDone) {
+            if (reader.state() == parse::HttpParser::State::kBad) return "malformed";
             if (received_.empty() && !read_more()) return "nothing";
             take(reader.feed(received_));
         }
@@ -197,14 +197,14 @@
 // Index servers that answer every part (kGood), or that at random, from a fixed seed, also fail it, report
 // full, do not answer, answer a wrong part, send a partial or malformed frame, or reset the connection
 // (kBad).
-class Mischief {
+class FaultyServers {
 public:
     enum class Manners { kBad, kGood };
-    explicit Mischief(int servers, Manners behaviour = Manners::kBad)
+    explicit FaultyServers(int servers, Manners behaviour = Manners::kBad)
         : listeners_(static_cast<std::size_t>(servers)), behaviours_(behaviour == Manners::kBad ? 40 : 0) {
         thread_ = std::thread([this] { run(); });
     }
-    ~Mischief() {
+    ~FaultyServers() {
         stop_ = true;
         thread_.join();
     }
@@ -293,9 +293,9 @@
 // A front node process with a small deployment: one ring position, so every server holds all shards, and at
 // most one send per part, so each outcome is visible in the response. with() replaces any text of the
 // configuration before start().
-class Program {
+class FrontNodeProcess {
 public:
-    explicit Program(const std::vector<Listed>& known, net::Endpoint discovery) {
+    explicit FrontNodeProcess(const std::vector<Listed>& known, net::Endpoint discovery) {
         config_ = R"({"name":"n0","listen":")" + net::to_text(at()) + R"(","discovery":")" +
                   net::to_text(discovery) + R"(","seed":"8c1f30d27a5be964",
 "limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":)" +
@@ -318,36 +318,36 @@
 "stop_sending_within_ms":250.0,"tip_after_ms":1000.0,"warm_after_ms":16000.0},
 "siblings":1,"tick_ms":1.0,"zone":0}})";
     }
-    ~Program() {
+    ~FrontNodeProcess() {
         kill(SIGKILL);
         if (!folder_.empty()) std::filesystem::remove_all(folder_);
     }
-    Program(const Program&) = delete;
-    Program& operator=(const Program&) = delete;
+    FrontNodeProcess(const FrontNodeProcess&) = delete;
+    FrontNodeProcess& operator=(const FrontNodeProcess&) = delete;
 
     // Replaces the first occurrence of `old_text` in the configuration file.
-    Program& with(const std::string& old_text, const std::string& new_text) {
+    FrontNodeProcess& with(const std::string& old_text, const std::string& new_text) {
         const auto position = config_.find(old_text);
         if (position == std::string::npos) std::abort();
         config_.replace(position, old_text.size(), new_text);
         return *this;
     }
     // Sets ROUTER_DISCOVERY.
-    Program& with_variable(net::Endpoint discovery) {
+    FrontNodeProcess& with_variable(net::Endpoint discovery) {
         discovery_ = net::to_text(discovery);
         return *this;
     }
     // Sets pinedoor's TOML settings. Each @ in the text is replaced by folder(), which lasts as long as this
     // object.
-    Program& with_settings(const std::string& toml) {
+    FrontNodeProcess& with_settings(const std::string& toml) {
         settings_ = toml;
         return *this;
     }
-    Program& run_program(const char* path) {
+    FrontNodeProcess& run_program(const char* path) {
         path_ = path;
         return *this;
     }
-    Program& with_environment(const std::string& name, const std::string& value) {
+    FrontNodeProcess& with_environment(const std::string& name, const std::string& value) {
         environment_[name] = value;
         return *this;
     }
@@ -366,7 +366,7 @@
     }
     // Writes the configuration file again, for a reload.
     void rewrite() const { std::ofstream(folder_ + "/config.json") << config_; }
-    Program& start() {
+    FrontNodeProcess& start() {
         auto folder = scratch() + "/pinedoor-test-XXXXXX";
         if (folder_.empty()) folder_ = mkdtemp(folder.data());
         rewrite();
--- a/tests/stand_ins/boxes.hpp
+++ b/tests/stand_ins/boxes.hpp
@@ -85,20 +85,20 @@
                 const bool owner = each.role == placement::Role::kOwner;
                 auto& held = mine[shard.id];
                 if (held.guard.epoch() != shard.epoch || held.guard.owns() != owner)
-                    held = {shard.first, shard.last, placement::BoxGuard(owner, shard.epoch, !owner)};
+                    held = {shard.first, shard.last, placement::ShardGuard(owner, shard.epoch, !owner)};
             }
         }
         for (auto& [id, held] : mine) {  // shards that this server no longer holds by the new map
             if (here.contains(id) || !(held.guard.owns() || held.guard.reads())) continue;
             const auto* now = map.find(id);
-            held.guard = placement::BoxGuard(false, now == nullptr ? held.guard.epoch() + 1 : now->epoch);
+            held.guard = placement::ShardGuard(false, now == nullptr ? held.guard.epoch() + 1 : now->epoch);
         }
     }
     // The state of a shard at a server.
-    placement::BoxGuard guard(std::size_t box, placement::ShardId shard) const {
+    placement::ShardGuard guard(std::size_t box, placement::ShardId shard) const {
         const std::lock_guard lock(mutex_);
         const auto at = boxes_[box - 1].shards.find(shard);
-        return at == boxes_[box - 1].shards.end() ? placement::BoxGuard{} : at->second.guard;
+        return at == boxes_[box - 1].shards.end() ? placement::ShardGuard{} : at->second.guard;
     }
     // Servers refuse `copy` requests until the copy has lasted this long.
     void set_copy_duration(int ms) { copy_ms_ = ms; }
@@ -133,7 +133,7 @@
 private:
     struct ShardState {
         placement::Key first = 0, last = 0;
-        placement::BoxGuard guard;
+        placement::ShardGuard guard;
     };
     struct Box {
         Listener listener;
@@ -263,7 +263,7 @@
                 continue;
             }
             const auto at = boxes_[connection.box].shards.find(part.shard);
-            placement::BoxGuard::Verdict verdict;
+            placement::ShardGuard::Verdict verdict;
             if (at != boxes_[connection.box].shards.end() && at->second.first <= part.first &&
                 part.last <= at->second.last) {
                 const auto& guard = at->second.guard;
@@ -315,7 +315,7 @@
         whole_ = whole;
     }
     // Sets the authoritative map, which clients can change by posted steps.
-    void set_map(const placement::ShardMap& map, const placement::BoxNames& names) {
+    void set_map(const placement::ShardMap& map, const placement::ServerNames& names) {
         const std::lock_guard lock(mutex_);
         names_ = names;
         current_map_ = std::make_unique<placement::ShardMap>(map);
@@ -398,7 +398,7 @@
 
     Listener listener_;
     mutable std::mutex mutex_;
-    placement::BoxNames names_;
+    placement::ServerNames names_;
     std::unique_ptr<placement::ShardMap> current_map_;
     std::vector<Listed> members_;
     std::string whole_;
--- a/tests/stand_ins/counting.hpp
+++ b/tests/stand_ins/counting.hpp
@@ -15,12 +15,12 @@
 // Counts how often each query's text was run. The last letter of the text selects the behaviour: 'f'
 // runs the query and reports a failure, 'u' reports full without running it, 's' runs it and never answers,
 // and any other letter (usually 'a') runs it and answers.
-class Counting {
+class CountingServer {
 public:
-    Counting() {
+    CountingServer() {
         thread_ = std::thread([this] { run(); });
     }
-    ~Counting() {
+    ~CountingServer() {
         stop_ = true;
         thread_.join();
     }
--- a/tests/stand_ins/fleets.hpp
+++ b/tests/stand_ins/fleets.hpp
@@ -39,7 +39,7 @@
     const auto count = static_cast<double>(shape.boxes);
     for (std::size_t b = 0; b < shape.boxes; ++b) {
         Box box;
-        box.id = static_cast<BoxId>(b + 1);
+        box.id = static_cast<ServerNumber>(b + 1);
         box.zone = static_cast<int>(b) % shape.zones;
         box.capacity = (1 + std::floor(2 * uniform())) * 1.4 * load / count;
         box.space = shape.space * 1.5 * size / count / fleet.terms.fill + 5;
@@ -50,7 +50,7 @@
     for (auto& need : fleet.shards) {
         for (int tries = 0; need.now.size() < shape.replicas && tries < 1'000; ++tries) {
             const auto b = static_cast<std::size_t>(std::pow(uniform(), shape.crowding) * count);
-            const auto id = static_cast<BoxId>(b + 1);
+            const auto id = static_cast<ServerNumber>(b + 1);
             if (is_on(need.now, id) || used[b] + need.size > fleet.boxes[b].space * fleet.terms.fill)
                 continue;
             used[b] += need.size;
--- a/tests/stand_ins/witness.hpp
+++ b/tests/stand_ins/witness.hpp
@@ -23,7 +23,7 @@
 }
 
 // A received part.
-struct SeenPart {
+struct ReceivedPart {
     double at = 0;  // time of receipt, in seconds of the steady clock
     std::size_t server = 0;
     std::string id;
@@ -31,18 +31,18 @@
 };
 
 // The recording index servers, served by one thread.
-class Witness {
+class RecordingServers {
 public:
-    Witness(int servers, int work_ms)
+    RecordingServers(int servers, int work_ms)
         : listeners_(static_cast<std::size_t>(servers)), reply_delay_(work_ms / 1e3) {
         thread_ = std::thread([this] { run(); });
     }
-    ~Witness() {
+    ~RecordingServers() {
         stop_ = true;
         thread_.join();
     }
     net::Endpoint at(std::size_t server) const { return listeners_[server].at(); }
-    std::vector<SeenPart> seen() const {
+    std::vector<ReceivedPart> seen() const {
         const std::lock_guard lock(mutex_);
         return seen_;
     }
@@ -100,7 +100,7 @@
     std::vector<Listener> listeners_;
     const double reply_delay_;  // delay of a reply in seconds
     std::vector<Connection> connections_;
-    std::vector<SeenPart> seen_;
+    std::vector<ReceivedPart> seen_;
     mutable std::mutex mutex_;
     std::mt19937 random_{11};
     std::atomic<bool> stop_ = false;
--- a/tests/stated_test.cpp
+++ b/tests/stated_test.cpp
@@ -5,8 +5,8 @@
 namespace {
 
 using namespace pinedoor;
-using stated::Launch;
-using stated::Stated;
+using stated::LaunchConfig;
+using stated::Settings;
 
 const std::string kSettings = R"({"classes":[{"aim_ms":2500.0,"deadline_ms":7500,"effect":"guarded",
 "memory_span_ms":5e3,"worth":3.0,"late_worth":0.25,"name":"one two"}],
@@ -21,7 +21,7 @@
     "family_info.short_worth=0.95\nfamily_info.warm_keys=true\nfailure_domains=north_ far,south\n"
     "limits.probes=true\nlimits.peers=false\nload_info.fields=util,latency_ms\n";
 
-std::string print(const Stated& stated) {
+std::string print(const Settings& stated) {
     std::string out;
     for (const auto& type : stated.op_types()) {
         for (const double v :
@@ -43,8 +43,8 @@
 }
 
 TEST_CASE("the simulator's text and JSON give the same settings") {
-    const auto text = print(Stated::from_text(kSettingsAsText));
-    CHECK(print(Stated::from_json(parse::parse_json(kSettings))) == text);
+    const auto text = print(Settings::from_text(kSettingsAsText));
+    CHECK(print(Settings::from_json(parse::parse_json(kSettings))) == text);
     CHECK(text.starts_with("25000.000000 75000.000000 1.000000 50000.000000 3.000000 0.250000 0.600000 "));
     CHECK(text.ends_with("one two north_ far south 1 0 1 1 0 "));
 }
@@ -64,7 +64,7 @@
         auto json = valid;
         json.replace(json.find(old_text), old_text.size(), new_text);
         try {
-            const auto stated = Stated::from_json(parse::parse_json(json));
+            const auto stated = Settings::from_json(parse::parse_json(json));
             stated.op_types();
             stated.send_terms();
             stated.cold_terms();
@@ -72,7 +72,7 @@
             stated.client_terms();
             stated.hint_terms();
             return "budget over " + std::to_string(stated.further_send_terms().look_back);
-        } catch (const stated::BadStated& error) {
+        } catch (const stated::ConfigError& error) {
             return error.what();
         }
     };
@@ -105,11 +105,11 @@
 // Returns the listen address and the seed, or the error message.
 std::string launch_outcome(const std::string& json, const std::string& listen = "") {
     try {
-        const Launch launch(parse::parse_json(json), [&](const char* name) {
+        const LaunchConfig launch(parse::parse_json(json), [&](const char* name) {
             return std::string(name) == "ROUTER_LISTEN" ? listen.c_str() : nullptr;
         });
         return net::to_text(launch.listen()) + ' ' + std::to_string(launch.seed());
-    } catch (const stated::BadStated& error) {
+    } catch (const stated::ConfigError& error) {
         return error.what();
     }
 }
@@ -135,9 +135,9 @@
           "configuration: limits.sockets is not a number");
     CHECK(with("\"settings\":{}", "\"settings\":[]") == "settings: no object");
     CHECK(with("\"known\":{},", "") == "configuration: known is missing");
-    CHECK_THROWS_WITH(Launch::read([](const char*) -> const char* { return nullptr; }),
+    CHECK_THROWS_WITH(LaunchConfig::read([](const char*) -> const char* { return nullptr; }),
                       "ROUTER_CONFIG is not set");
-    CHECK_THROWS_WITH(Launch::read([](const char*) { return "/nowhere"; }),
+    CHECK_THROWS_WITH(LaunchConfig::read([](const char*) { return "/nowhere"; }),
                       "ROUTER_CONFIG: cannot read '/nowhere'");
 }
 
--- a/tests/store/crash_test.cpp
+++ b/tests/store/crash_test.cpp
@@ -17,7 +17,7 @@
 const std::string kSqlite = "[store]\nkind = \"sqlite\"\nfolder = \"@/store\"\nlease_ms = 200\n";
 
 // The states of all records, oldest first, separated by blanks.
-std::string list_states(const Program& program) {
+std::string list_states(const FrontNodeProcess& program) {
     std::istringstream lines(program.store("list --most 100000"));
     std::string out;
     for (std::string line; std::getline(lines, line);) {
@@ -47,9 +47,9 @@
           Point{"outcome_durable", "answered", 1, "recorded"},
           Point{"answered", "answered", 1, "recorded"}}) {
         CAPTURE(point.name);
-        Counting server;
+        CountingServer server;
         Listener discovery;
-        Program program({{"s-1", server.at()}}, discovery.at());
+        FrontNodeProcess program({{"s-1", server.at()}}, discovery.at());
         program.with_settings(kSqlite).with_environment("PINEDOOR_CRASH_AT", point.name);
         auto client = program.start().client();
         CHECK(program.counter_at("store_condition", 1) == 1);
@@ -71,9 +71,9 @@
 // Runs many multigets and kills the program at a random time, repeatedly; then repeats the request of each
 // key until it has a final answer.
 struct CrashRounds {
-    Counting server;
+    CountingServer server;
     Listener discovery;
-    Program program{{{"s-1", server.at()}}, discovery.at()};
+    FrontNodeProcess program{{{"s-1", server.at()}}, discovery.at()};
     std::mt19937 rng{20'261'201};
     int next_request = 0;
     std::vector<std::string> texts;
--- a/tests/store/record_test.cpp
+++ b/tests/store/record_test.cpp
@@ -19,7 +19,7 @@
 struct Node {
     Listener server;
     Listener discovery;
-    Program program{{{"s-1", server.at()}}, discovery.at()};
+    FrontNodeProcess program{{{"s-1", server.at()}}, discovery.at()};
     Peer client;
     Peer link;
 
@@ -184,12 +184,12 @@
 TEST_CASE("a folder is used by one node only, and errors in the settings name file, line and key") {
     Node node(kSqlite);
     node.start();
-    Program second({}, node.discovery.at());
+    FrontNodeProcess second({}, node.discovery.at());
     second.with_settings("[store]\nkind = \"sqlite\"\nfolder = \"" + node.program.folder() + "/store\"\n")
         .start();
     CHECK(second.wait() == 1);
     CHECK(second.log().find("is in use by another process") != std::string::npos);
-    Program third({}, node.discovery.at());
+    FrontNodeProcess third({}, node.discovery.at());
     third.with_settings("[store]\nkind = \"sqlite\"\nfolder = \"@\"\n[store.write]\nmost_bach = 3\n").start();
     CHECK(third.wait() == 1);
     CHECK(third.log().find(
--- a/tests/store/recorder_test.cpp
+++ b/tests/store/recorder_test.cpp
@@ -46,7 +46,7 @@
 };
 
 struct Script {
-    WriteTerms config;
+    WriteConfig config;
     std::optional<Recorder> recorder;
     Time now = 0;
     std::ostringstream trace;
@@ -435,8 +435,8 @@
     explicit Simulation(std::uint64_t seed)
         : recorder(seed, test_config()), rng(static_cast<std::mt19937::result_type>(seed)) {}
 
-    static WriteTerms test_config() {
-        WriteTerms config;
+    static WriteConfig test_config() {
+        WriteConfig config;
         config.most_batch = 4;
         config.most_waiting = 40;
         config.spill_bytes = 20'000;
--- a/tests/system_calls_test.cpp
+++ b/tests/system_calls_test.cpp
@@ -34,7 +34,7 @@
 constexpr int kRequests = kLight.requests();
 
 // The fault may hit the request for the counter itself: it is repeated once.
-std::uint64_t counter(Program& program, const std::string& name) {
+std::uint64_t counter(FrontNodeProcess& program, const std::string& name) {
     constexpr std::uint64_t kUnknown = 999'999;
     const auto value = program.counter(name);
     return value == kUnknown ? program.counter(name) : value;
@@ -54,9 +54,9 @@
 // ends without an answer opens a new one. The request is sent once more, as the protocol allows, where
 // connections without input may be closed because descriptors are short, or where the connection was idle for
 // as long as the front node keeps idle ones while another client's answer was awaited.
-Tally run_requests(const std::string& fault, Mischief& servers, Listener& discovery,
+Tally run_requests(const std::string& fault, FaultyServers& servers, Listener& discovery,
                    bool short_of_descriptors = false, Load load = kLight) {
-    Program program({{"s-1", servers.at(0)}, {"s-2", servers.at(1)}}, discovery.at());
+    FrontNodeProcess program({{"s-1", servers.at(0)}, {"s-2", servers.at(1)}}, discovery.at());
     program.run_program(PINEDOOR_FAULTY)
         .with("\"max_attempts\":1", "\"max_attempts\":3")
         .with("\"max_open\":40", "\"max_open\":" + std::to_string(std::max(40, 4 * load.clients)))
@@ -114,7 +114,7 @@
 }
 
 TEST_CASE("a temporary failure of a system call costs no request its answer") {
-    Mischief servers(2, Mischief::Manners::kGood);
+    FaultyServers servers(2, FaultyServers::Manners::kGood);
     Listener discovery;
     const std::vector<FaultCase> cases{
         {"accept", ECONNABORTED},   {"accept", EINTR},          {"accept", EMFILE},
@@ -155,12 +155,12 @@
 // If this machine cannot open a connection for lack of a descriptor, a port or a route, the server must not
 // count as refusing or dead.
 TEST_CASE("the only server stays in use when this machine fails to open a connection to it") {
-    Mischief servers(1, Mischief::Manners::kGood);
+    FaultyServers servers(1, FaultyServers::Manners::kGood);
     Listener discovery;
     for (const int error :
          {EADDRNOTAVAIL, ENETUNREACH}) {  // the fault hits the second connect; the first one is the watch
         CAPTURE(error);
-        Program program({{"s-1", servers.at(0)}}, discovery.at());
+        FrontNodeProcess program({{"s-1", servers.at(0)}}, discovery.at());
         program.run_program(PINEDOOR_FAULTY)
             .with_environment("PINEDOOR_FAULT", "connect 2 " + std::to_string(error));
         auto client = program.start().client();
@@ -179,7 +179,7 @@
 TEST_CASE("a connection that would reach itself counts as refused") {
     pinedoor::lab::HeldPort down;
     Listener discovery;
-    Program program({{"s-1", down.at()}}, discovery.at());
+    FrontNodeProcess program({{"s-1", down.at()}}, discovery.at());
     program.run_program(PINEDOOR_FAULTY).with_environment("PINEDOOR_FAULT", "connect 2 self");
     auto client = program.start().client();
     CHECK(discovery.accept().read_to("\r\n\r\n").starts_with("GET "));  // the first connect
@@ -197,7 +197,7 @@
 }
 
 TEST_CASE("short reads and writes lose nothing") {
-    Mischief servers(2, Mischief::Manners::kGood);
+    FaultyServers servers(2, FaultyServers::Manners::kGood);
     Listener discovery;
     for (const char* call : {"receive", "transmit"}) {
         for (int n = 1; n <= kCallsPerRun; ++n) {
@@ -211,7 +211,7 @@
 // A connection is lost with everything outstanding on it; a client's own connection takes its request with
 // it.
 TEST_CASE("a connection that breaks costs at most the request on it, and no other its answer") {
-    Mischief servers(2, Mischief::Manners::kGood);
+    FaultyServers servers(2, FaultyServers::Manners::kGood);
     Listener discovery;
     const std::vector<FaultCase> cases{{"receive", ETIMEDOUT},
                                        {"receive", EHOSTUNREACH},
@@ -237,10 +237,10 @@
 // accept() is not retried at once, which would spin, but it is retried.
 TEST_CASE("while no connection can be accepted the program waits, and then accepts all pending ones") {
     constexpr int kFailures = 5;
-    Mischief servers(2, Mischief::Manners::kGood);
+    FaultyServers servers(2, FaultyServers::Manners::kGood);
     Listener discovery;
     for (const int error : {EMFILE, ENFILE, ENOBUFS, ENOMEM}) {
-        Program program({{"s-1", servers.at(0)}}, discovery.at());
+        FrontNodeProcess program({{"s-1", servers.at(0)}}, discovery.at());
         program.run_program(PINEDOOR_FAULTY)
             .with_environment("PINEDOOR_FAULT",
                               "accept 1 " + std::to_string(error) + ' ' + std::to_string(kFailures));
--- a/tests/tool_test.cpp
+++ b/tests/tool_test.cpp
@@ -14,7 +14,7 @@
 
 using namespace pinedoor;
 using namespace pinedoor::test;
-using pinedoor::stated::Installation;
+using pinedoor::stated::NodeSettings;
 
 struct Folder {
     Folder() { path = mkdtemp(path.data()); }
@@ -32,9 +32,9 @@
 
 std::string error_of(const std::string& toml) {
     try {
-        Installation::from_text(toml, "f.toml");
+        NodeSettings::from_text(toml, "f.toml");
         return "none";
-    } catch (const stated::BadStated& error) {
+    } catch (const stated::ConfigError& error) {
         return error.what();
     }
 }
@@ -60,7 +60,7 @@
           "f.toml:4: store.postgres.conninfo is missing; write where the database is, as libpq takes it");
     CHECK(error_of("store = 1\n") == "f.toml:1: store is no table; write [store]");
     CHECK(error_of("[store\n").starts_with("f.toml:1: no TOML: "));
-    const auto read = Installation::from_text(
+    const auto read = NodeSettings::from_text(
         "[store]\nkind = \"sqlite\"\nfolder = \"/x\"\nlease_ms = 700\n[store.write]\ngather_ms = 1.5\n", "f");
     CHECK(read.store.lease == 7'000);
     CHECK(read.store.write.gather == 15);
@@ -192,8 +192,8 @@
     write(21, "doubt", std::nullopt);
     run_command(store + "resolve n/1/21 failed --who ann --why seen");
     run_command(store + "backup " + copy);
-    // Lost: records 1 to 3, and the outcomes of 4 and 5. Changed since: k1 is held by another record, 6 has
-    // failed.
+    // Lost: records 1 to 3, and the outcomes of 4 and 5. MembershipChange since: k1 is held by another
+    // record, 6 has failed.
     db.run("DELETE FROM records WHERE number <= 3");
     db.run("DELETE FROM claims WHERE number <= 3");
     db.run("DELETE FROM history");
@@ -240,7 +240,7 @@
     const auto path = folder.path + "/log";
     net::Scheduler scheduler;
     service::Counters counters;
-    const auto written = [&](service::LogTerms terms) {
+    const auto written = [&](service::LogOptions terms) {
         auto* const file = std::fopen(path.c_str(), "w+");
         {
             service::Log log(file, scheduler, counters, terms);
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -24,7 +24,7 @@
     Listener server;
     Listener discovery;
     std::string folder = scratch() + "/pinedoor-clock-XXXXXX";
-    Program program{{{"s-1", server.at()}}, discovery.at()};
+    FrontNodeProcess program{{{"s-1", server.at()}}, discovery.at()};
     Peer client;
     Peer watch;
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -57,7 +57,7 @@
     CHECK(batch.clock == 84123);
     REQUIRE(batch.records.size() == 3);
     const auto& update = std::get<wire::DiscoveryUpdate>(batch.records[0].content);
-    CHECK(update.kind == ListKind::kSaved);
+    CHECK(update.kind == ListUpdateKind::kSaved);
     REQUIRE(update.entries.size() == 2);
     CHECK(update.entries[1].server == ServerId{0x0a9011f2, 9044});
     CHECK(update.entries[1].started == 6100'0);
@@ -80,7 +80,7 @@
 TEST_CASE("actions are encoded as the protocol defines") {
     wire::ReplyEncoder reply;
     reply.add(3, Send{0x5d3a91c4, {0x0a124a07, 9003}, 80'0});
-    reply.add(3, SetBell{500'0, 77});
+    reply.add(3, SetTimer{500'0, 77});
     CHECK(reply.finish(12) ==
           bytes("02000000 38000000 0c000000 16 14000000 0300 c4913a5d 0a124a07 2b23 0000000000005440"
                 "11 0e000000 0300 0000000000407f40 4d000000"));
@@ -111,13 +111,13 @@
 }
 
 TEST_CASE("settings text: unknown keys are ignored, errors name the key and the value") {
-    CHECK(stated::Stated::from_text("family_info.places=12\nfamily_info.width=3\nfamily_info.per_call=8\n"
-                                    "family_info.overhead_ms=45.0\nwhat.is.this=x\n")
+    CHECK(stated::Settings::from_text("family_info.places=12\nfamily_info.width=3\nfamily_info.per_call=8\n"
+                                      "family_info.overhead_ms=45.0\nwhat.is.this=x\n")
               .shard_ring()
               .call_cost == 45'0);
-    CHECK_THROWS_WITH(stated::Stated::from_text("me=x").node_place(), "settings: me is not a number: 'x'");
-    CHECK_THROWS_WITH(stated::Stated::from_text("").node_place(), "settings: me is missing");
-    CHECK_THROWS_WITH(stated::Stated::from_text("discovery=maybe").list_terms(),
+    CHECK_THROWS_WITH(stated::Settings::from_text("me=x").node_place(), "settings: me is not a number: 'x'");
+    CHECK_THROWS_WITH(stated::Settings::from_text("").node_place(), "settings: me is missing");
+    CHECK_THROWS_WITH(stated::Settings::from_text("discovery=maybe").list_terms(),
                       "settings: discovery is unknown: 'maybe'");
 }
 
