--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -229,7 +229,7 @@
             for (int s = 0; s < kServers; ++s)
                 reports[name_of(server(s))].opinion =
                     hangs(server(s)) ? MemberReport::Opinion::kGood : MemberReport::Opinion::kBad;
-            node.gossip.publish(now_, fleet::kServersTopic, fleet::write_words(reports), 15 * kSecond);
+            node.gossip.publish(now_, fleet::kServersTopic, fleet::write_reports(reports), 15 * kSecond);
         }
     }
 
--- a/bench/moves.cpp
+++ b/bench/moves.cpp
@@ -44,7 +44,7 @@
                 "= \"sum\"\n");
             programs.back()->start().client();
         }
-        for (auto& program : programs) program->counter_at("map_version", 1);
+        for (auto& program : programs) program->wait_for_counter("map_version", 1);
         folder = scratch() + "/pinedoor-moves-XXXXXX";
         folder = mkdtemp(folder.data());
         db = std::make_unique<store::SqliteDb>(folder + "/journal.db", "", 1'000);
@@ -208,9 +208,9 @@
         ServerNumber reader = 0;
         for (const auto& each : one.replicas) reader = each.role == Role::kReader ? each.box : reader;
         const auto began = Clock::now();
-        pinedoor::tool::ask_http(fleet.discovery.at(), "POST", "/discovery/shards",
-                                 print_changes(map.version(), {PassOwnership{one.id, reader}}, fleet.names),
-                                 1'000);
+        pinedoor::tool::send_http_request(
+            fleet.discovery.at(), "POST", "/discovery/shards",
+            print_changes(map.version(), {PassOwnership{one.id, reader}}, fleet.names), 1'000);
         for (auto& program : fleet.programs) {
             while (program->counter("map_version") != map.version() + 1) usleep(200);
         }
--- a/bench/peers.cpp
+++ b/bench/peers.cpp
@@ -50,7 +50,7 @@
     if (count > 300) wait_for_quiet(fleet, count);
     std::uint64_t sent = 0, bytes = 0;
     for (int i = 0; i < count; ++i) sent += fleet.node(i).sent, bytes += fleet.node(i).bytes;
-    const auto before = fleet.deaths_told_of_living;
+    const auto before = fleet.false_deaths;
     const Time end = fleet.now() + length;
     for (int member = 5; fleet.now() < end; member = (member + 7) % count) {
         if (!suspensions) {
@@ -67,13 +67,13 @@
     const auto member_seconds = static_cast<double>(length) / kSecond * count;
     row.messages = static_cast<double>(sent_after - sent) / member_seconds;
     row.bytes = static_cast<double>(bytes_after - bytes) / member_seconds;
-    row.false_per_hour = static_cast<double>(fleet.deaths_told_of_living - before) / std::max(1, count - 1) /
+    row.false_per_hour = static_cast<double>(fleet.false_deaths - before) / std::max(1, count - 1) /
                          (static_cast<double>(length) / kSecond) * 3'600;
     for (int member = 3; member < 6; ++member) {
         fleet.kill(member);
         const Time from = fleet.now();
         const auto name = SimulatedPeers::name(member);
-        if (fleet.run_until(200 * kSecond, [&] { return fleet.seen_as_member(name) == 0; }))
+        if (fleet.run_until(200 * kSecond, [&] { return fleet.count_seeing_member(name) == 0; }))
             detection_times.push_back(static_cast<double>(fleet.now() - from) / kSecond);
     }
     std::sort(detection_times.begin(), detection_times.end());
@@ -108,7 +108,7 @@
     const int max_members = count > 2 ? std::atoi(arguments[2]) : 300;  // members; 3000 takes half an hour
     const int min_members = count > 3 ? std::atoi(arguments[3]) : 0;
     MembershipConfig plain_swim;
-    plain_swim.local_health = plain_swim.sooner_by_confirmation = false;
+    plain_swim.local_health = plain_swim.dynamic_suspicion = false;
     std::printf("%-12s %6s %6s %-11s %10s %12s %10s %9s\n", "who", "nodes", "loss", "standstill", "known",
                 "false/hour", "bytes/s", "messages/s");
     for (const int nodes : {10, 100, 300, 1'000, 3'000}) {
--- a/bench/placement.cpp
+++ b/bench/placement.cpp
@@ -222,7 +222,7 @@
     const double boxes = median_ns(kTimes, [&] {
         for (int i = 0; i < kTimes; ++i) {
             const auto* piece = gatherer.piece(routes[static_cast<std::size_t>(i) % routes.size()]);
-            sum += gatherer.boxes_now(0, *piece).size();
+            sum += gatherer.eligible_servers(0, *piece).size();
         }
     });
     std::printf("\nof a piece, %zu open, 10,000 shards: its epoch at sending %.0f ns, its boxes %.0f ns%s\n",
--- a/bench/scale.cpp
+++ b/bench/scale.cpp
@@ -80,7 +80,7 @@
             for (std::size_t i = peers_.size(); i-- > 0;) {
                 if (polled[i + 1].revents == 0) continue;
                 bool open = serve(peers_[i]);
-                while (open && peers_[i].holds_more()) open = serve(peers_[i]);
+                while (open && peers_[i].has_buffered_data()) open = serve(peers_[i]);
                 if (!open) peers_.erase(peers_.begin() + static_cast<std::ptrdiff_t>(i));
             }
             if (polled[0].revents != 0)
@@ -180,7 +180,7 @@
         .with("\"max_attempts\":1", "\"max_attempts\":2")
         .with("\"aim_ms\":2000.0,\"deadline_ms\":4000.0", "\"aim_ms\":300.0,\"deadline_ms\":900.0");
     auto client = program.start().client();
-    program.counter_at("list_news", 2);
+    program.wait_for_counter("list_news", 2);
     int asked = 0, served = 0;
     std::mt19937 chance(7);
     for (const auto until = Clock::now() + kRunTime; Clock::now() < until;
--- a/bench/start.cpp
+++ b/bench/start.cpp
@@ -18,7 +18,7 @@
                         loop.clients = clients;
                         loop.parts = parts;
                         loop.part_ms = part_ms;
-                        loop.least_share = least;
+                        loop.min_share = least;
                         loop.front_nodes = front_nodes;
                         const auto first_2_s = loop.run(20'000), first_8_s = loop.run(80'000);
                         const auto percent = [](std::uint64_t count, std::uint64_t total) {
--- a/bench/store.cpp
+++ b/bench/store.cpp
@@ -227,7 +227,7 @@
                                               "\"\n");
                     }
                     program.start().client();
-                    if (kind > 0) program.counter_at("store_condition", 1);
+                    if (kind > 0) program.wait_for_counter("store_condition", 1);
                     drive(program, op_type, 100, 0.5);  // warm-up
                     results[static_cast<std::size_t>(kind)].push_back(
                         drive(program, op_type, per_second, for_seconds));
--- a/demo/main.cpp
+++ b/demo/main.cpp
@@ -42,7 +42,8 @@
         "A front node, three index servers and a discovery are running. `again` may run twice, `once` must "
         "not.");
     program.client();
-    if (program.counter_at("servers_known", 3) != 3 || program.counter_at("store_condition", 1) != 1) {
+    if (program.wait_for_counter("servers_known", 3) != 3 ||
+        program.wait_for_counter("store_condition", 1) != 1) {
         std::fprintf(stderr, "demo: the front node did not start\n%s", program.log().c_str());
         return 1;
     }
@@ -68,7 +69,7 @@
         "are not "
         "run again.");
     program.start().client();
-    program.counter_at("store_condition", 1);
+    program.wait_for_counter("store_condition", 1);
     demo.send_request("once", {5}, "booth-a", "a");
     demo.send_request("once", {7}, "booth-s", "s");
     const auto store = [&](const std::string& command) {
--- a/src/fleet/about.cpp
+++ b/src/fleet/about.cpp
@@ -21,7 +21,7 @@
     std::map<std::string, double> needs;
     std::istringstream in(text);
     double need = 0;
-    for (std::string name; in >> name >> need && needs.size() < kMostAbout;) {
+    for (std::string name; in >> name >> need && needs.size() < kMaxApproximateLimits;) {
         if (need > 0) needs[name] = std::min(need, kMaxNeed);  // false for NaN
     }
     return needs;
@@ -63,7 +63,7 @@
 }
 
 // The smallest share computed within `propagation_delay`: decreases take effect at once, increases after it.
-double ApproximateShare::may_use(Time now) {
+double ApproximateShare::allowance(Time now) {
     while (targets_.size() > 1 && targets_[1].first + terms_.propagation_delay <= now) targets_.pop_front();
     double smallest = targets_.empty() || targets_.front().first + terms_.propagation_delay > now
                           ? 0
--- a/src/fleet/about.hpp
+++ b/src/fleet/about.hpp
@@ -45,7 +45,8 @@
 };
 
 inline constexpr const char* kNeedsTopic = "needs";
-inline constexpr std::size_t kMostAbout = 20;  // limits of this kind: their needs share one published record
+inline constexpr std::size_t kMaxApproximateLimits =
+    20;  // limits of this kind: their needs share one published record
 std::string write_needs(const std::map<std::string, double>& needs);  // by limit
 std::map<std::string, double> read_needs(const std::string& text);
 
@@ -60,7 +61,7 @@
     // Takes the latest needs published by the other members and the number of live members, this node
     // included. `ready`: this node has received what the others publish.
     void hear(Time now, const std::vector<double>& others, std::size_t members, bool ready);
-    double may_use(Time now);  // the floor and the usable share
+    double allowance(Time now);  // the floor and the usable share
 
     double said() const { return published_need_; }
     Time lives() const { return terms_.record_lifetime; }
--- a/src/fleet/at_servers.cpp
+++ b/src/fleet/at_servers.cpp
@@ -6,7 +6,7 @@
 
 namespace pinedoor::fleet {
 
-bool ConnectionRateLimiter::may_open(Time now, std::uint64_t server, double share) {
+bool ConnectionRateLimiter::try_open(Time now, std::uint64_t server, double share) {
     auto& entry = servers_.try_emplace(server, Server{TokenBucket(limit_, 1), {}}).first->second;
     entry.demand.came(now);
     if (entry.bucket.refill(now, share) < 1) {
--- a/src/fleet/at_servers.hpp
+++ b/src/fleet/at_servers.hpp
@@ -24,7 +24,7 @@
     // `server`: derived from its address, which stays the same when it leaves the list and returns. A
     // flapping server is listed as a different one each time; limited by that identity, all front nodes would
     // connect to it at once each time.
-    bool may_open(Time now, std::uint64_t server, double share);
+    bool try_open(Time now, std::uint64_t server, double share);
     bool has_room(Time now, std::uint64_t server, double share);  // takes no token
     double need(Time now, double share);                          // at the server with the highest need
     std::uint64_t put_off() const { return deferred_; }
--- a/src/fleet/gate.hpp
+++ b/src/fleet/gate.hpp
@@ -81,8 +81,7 @@
 // capacity and counts a rejection at one that has none. Returns the limits without capacity; empty if the
 // request is admitted.
 template <class Limit, class HasCapacity, class Acquire>
-std::vector<Limit> turned_away_by(const std::vector<Limit>& limits, HasCapacity has_capacity,
-                                  Acquire acquire) {
+std::vector<Limit> acquire_all(const std::vector<Limit>& limits, HasCapacity has_capacity, Acquire acquire) {
     std::vector<Limit> full;
     std::copy_if(limits.begin(), limits.end(), std::back_inserter(full),
                  [&](const auto& each) { return !has_capacity(each); });
--- a/src/fleet/leases.cpp
+++ b/src/fleet/leases.cpp
@@ -305,7 +305,7 @@
     return share;
 }
 
-double LeaseParticipant::may_use(Time now) const {
+double LeaseParticipant::allowance(Time now) const {
     return terms_.floor() + (now < held_until_ ? held_amount_ : 0);
 }
 
--- a/src/fleet/leases.hpp
+++ b/src/fleet/leases.hpp
@@ -114,8 +114,10 @@
     std::vector<OutgoingLeaseMessage> leave(Time now);
 
     // What this node may use now: its floor, and its granted share until that expires.
-    double may_use(Time now) const;
-    Time held_until() const { return held_until_; }  // when the granted share expires unless it is renewed
+    double allowance(Time now) const;
+    Time lease_expires_at() const {
+        return held_until_;
+    }  // when the granted share expires unless it is renewed
     bool owns(Time now) const;
     double lent(Time now) const;                  // sum of granted shares, as the owner counts them
     std::string owner() const { return owner_; }  // last known owner
--- a/src/fleet/server_words.cpp
+++ b/src/fleet/server_words.cpp
@@ -55,7 +55,7 @@
 
 // One report is "NAME b|g|- EVIDENCE_AGE_MS|- COLD_MS|- PARTS_PER_SECOND "; b is faulty, g is healthy. Faulty
 // servers come first, since they cost the others most; what exceeds the size of a record is left out.
-std::string write_words(const std::map<std::string, MemberReport>& reports) {
+std::string write_reports(const std::map<std::string, MemberReport>& reports) {
     std::vector<std::pair<const std::string*, const MemberReport*>> order;
     for (const auto& [name, each] : reports) {
         if (has_content(each) && is_valid_name(name)) order.emplace_back(&name, &each);
@@ -209,7 +209,7 @@
     if (!is_due(now, reports)) return std::nullopt;
     published_ = std::move(reports);
     published_at_ = now;
-    return write_words(published_);
+    return write_reports(published_);
 }
 
 std::map<std::string, ServerConsensus> ConsensusTracker::hear(Time now, const Said& others) {
--- a/src/fleet/server_words.hpp
+++ b/src/fleet/server_words.hpp
@@ -72,7 +72,7 @@
 };
 
 // Text form of one member's reports, as many as one published record holds.
-std::string write_words(const std::map<std::string, MemberReport>& reports);
+std::string write_reports(const std::map<std::string, MemberReport>& reports);
 std::map<std::string, MemberReport> read_reports(const std::string& text);  // skips malformed reports
 
 // The current reports of all other members, by server. Input of both the publisher and the receiver.
--- a/src/fleet/terms.hpp
+++ b/src/fleet/terms.hpp
@@ -21,7 +21,7 @@
     std::string tenant, op_type;  // of the multigets that count; empty: any
     // Never exceeded (fleet/leases), held approximately (fleet/about), or divided evenly without
     // communication.
-    enum class Kind { kNeverOver, kAbout, kAlone } kind = Kind::kNeverOver;
+    enum class Kind { kStrict, kAbout, kAlone } kind = Kind::kStrict;
     double per_second = 0;  // for parts out: the number out at the same time
     double burst = 0;       // allowed at once beyond the rate, by all nodes together
 };
--- a/src/lab/commands.cpp
+++ b/src/lab/commands.cpp
@@ -340,7 +340,7 @@
 int replay_node(const std::string& path, int node) {
     std::ifstream log(path, std::ios::binary);
     if (!log) throw stated::ConfigError(path + ": cannot be read; name a log that exists");
-    const auto lines = life_of_node(log, node);
+    const auto lines = node_timeline(log, node);
     if (lines.empty())
         throw stated::ConfigError("there is no front node " + std::to_string(node) + " in the log");
     for (const auto& line : lines) std::printf("%s\n", line.c_str());
@@ -533,8 +533,8 @@
     const auto threads = threads_or_all(options.threads);
     const auto play_worlds = [&](const std::vector<World>& worlds) {
         std::vector<double> badness_values(worlds.size(), 0);
-        on_threads(worlds.size(), threads, InterruptFlag::flag(),
-                   [&](std::size_t i) { badness_values[i] = badness(worlds[i], options); });
+        run_on_threads(worlds.size(), threads, InterruptFlag::flag(),
+                       [&](std::size_t i) { badness_values[i] = badness(worlds[i], options); });
         return badness_values;
     };
     std::printf("hunting for %s in %s: %d rounds of %d worlds, %d seeds each\n", options.goal.c_str(),
--- a/src/lab/fleet/relay.cpp
+++ b/src/lab/fleet/relay.cpp
@@ -110,7 +110,7 @@
         while (!mine.out.empty() && !from.cut && mine.out.front().due <= now && waiter.may(net::kWrite)) {
             auto& piece = mine.out.front();
             if (piece.bytes.empty()) {
-                net::end_writing(mine.stream.fd());
+                net::shutdown_write(mine.stream.fd());
                 mine.out.pop_front();
                 mine.write_ended = true;
                 if (mine.read_ended) co_return;
--- a/src/lab/fleet/rig.cpp
+++ b/src/lab/fleet/rig.cpp
@@ -404,8 +404,8 @@
         context_.write_log(
             context_.start,
             "world cold_from " + std::to_string(1 / w.servers.cold_factor) + " warm_after " +
-                std::to_string(w.servers.warm_after) + " fall " + std::to_string(w.cold.fall_multiple) +
-                " tip " + std::to_string(w.cold.tip_after) + " rate " +
+                std::to_string(w.servers.warm_after) + " fall " + std::to_string(w.cold.overload_multiple) +
+                " tip " + std::to_string(w.cold.overload_after) + " rate " +
                 std::to_string(w.servers.cores / (w.servers.part_ms.mean() * 10)) + " floor " +
                 std::to_string(w.further.floor) + " ratio " + std::to_string(w.further.ratio) +
                 " look_back " + std::to_string(w.further.look_back) + " stop " +
@@ -417,7 +417,7 @@
                                    (type.repeat == RetrySafety::kRetriable ? "retriable"
                                     : type.repeat == RetrySafety::kDeduped ? "deduped"
                                                                            : "non-retriable") +
-                                   " least " + std::to_string(type.least_share) + " window " +
+                                   " least " + std::to_string(type.min_share) + " window " +
                                    std::to_string(type.dedup_window) + " budget " +
                                    std::to_string(type.latency_budget) + " name " + w.clients[kind].name);
         }
--- a/src/lab/fleet/verdict.cpp
+++ b/src/lab/fleet/verdict.cpp
@@ -196,7 +196,7 @@
 
 }  // namespace
 
-std::vector<std::string> life_of_node(std::istream& log, int node) {
+std::vector<std::string> node_timeline(std::istream& log, int node) {
     const auto name = std::to_string(node);
     std::multimap<Time, std::string> life;
     std::map<Time, NodeSecond> seconds;
--- a/src/lab/fleet/verdict.hpp
+++ b/src/lab/fleet/verdict.hpp
@@ -96,7 +96,7 @@
 
 // Returns the timeline of a front node: its process, faults, discovery's news, the members it knew, its sends
 // by server and its ends by second, and its own log ("said" lines).
-std::vector<std::string> life_of_node(std::istream& log, int node);
+std::vector<std::string> node_timeline(std::istream& log, int node);
 
 // Prints a human-readable summary, one line per figure.
 void print_verdict(std::ostream& out, const FleetWorld& world, const FleetTotals& seen, FleetReader& reader);
--- a/src/lab/live/live_clients.cpp
+++ b/src/lab/live/live_clients.cpp
@@ -210,7 +210,7 @@
         }
         connection.used = true;
         answered(std::move(connection.pending), reader.status(), reader.header("retry-after"), body);
-        if (!reader.keeps_open()) co_return;
+        if (!reader.keep_alive()) co_return;
         if (!connection.pending) idle_[static_cast<std::size_t>(connection.node)].push_back(&connection);
     }
 }
--- a/src/lab/live/live_list.cpp
+++ b/src/lab/live/live_list.cpp
@@ -135,7 +135,7 @@
 void EmulatedDiscovery::answer(Link& link) {
     link.answered = true;
     if (link.call_state == Link::CallState::kRefused) {
-        link.out += parse::http_answer(503, "", "busy", true);
+        link.out += parse::http_response(503, "", "busy", true);
         return;
     }
     const auto all = whole_text();
@@ -143,7 +143,7 @@
     if (link.watching)
         link.out += "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(all + '\n');
     else
-        link.out += parse::http_answer(200, "", all, true);
+        link.out += parse::http_response(200, "", all, true);
 }
 
 void EmulatedDiscovery::send_chunk(Link& link, const std::string& text) {
--- a/src/lab/live/node_config.cpp
+++ b/src/lab/live/node_config.cpp
@@ -23,10 +23,10 @@
                            {"memory_span_ms", ms(type.dedup_window)},
                            {"worth", type.importance},
                            {"late_worth", type.late_importance}});
-        least.push_back(type.least_share);
+        least.push_back(type.min_share);
         need.push_back(type.whole_share);
         follow.push_back(0);
-        shorter.push_back(type.short_importance);
+        shorter.push_back(type.partial_importance);
     }
     for (int zone = 0; zone < world.zones; ++zone) zones.push_back("z" + std::to_string(zone));
     Json tenants = Json::array();
@@ -73,13 +73,13 @@
                         {"rules",
                          {{"cold_from", world.cold.from},
                           {"warm_after_ms", ms(world.cold.warm_after)},
-                          {"fall_multiple", world.cold.fall_multiple},
-                          {"tip_after_ms", ms(world.cold.tip_after)},
+                          {"fall_multiple", world.cold.overload_multiple},
+                          {"tip_after_ms", ms(world.cold.overload_after)},
                           {"extra_floor", world.further.floor},
                           {"repeat_ratio", world.further.ratio},
                           {"look_back_ms", ms(world.further.look_back)},
                           {"grace_to_answer_ms", 20.0},
-                          {"must_ask_in_ms", ms(world.must_ask_in)},
+                          {"must_ask_in_ms", ms(world.refresh_within)},
                           {"stop_sending_within_ms", 250.0}}}};
     const Json config{{"name", "lab-" + std::to_string(node)},
                       {"listen", listen},
--- a/src/lab/read/checker.cpp
+++ b/src/lab/read/checker.cpp
@@ -94,7 +94,7 @@
         fields >> kind;
         auto& kind_rules = kinds_[kind];
         kind_rules.repeat = read_value<std::string>(fields);
-        kind_rules.least_share = read_value<double>(fields);
+        kind_rules.min_share = read_value<double>(fields);
         kind_rules.window = read_value<Time>(fields);
     } else if (what == "ask") {
         std::uint64_t number = 0;
@@ -173,7 +173,7 @@
     }
     if (completeness == "whole" && parts < multiget->weights.size())
         record_breach(Rule::kHonestAnswers, time, name + " is answered as whole but lacks parts");
-    if (weight_sum + kShareTolerance < kinds_[multiget->kind].least_share)
+    if (weight_sum + kShareTolerance < kinds_[multiget->kind].min_share)
         record_breach(Rule::kHonestAnswers, time, name + " is answered below its least_share");
 }
 
--- a/src/lab/read/checker.hpp
+++ b/src/lab/read/checker.hpp
@@ -55,7 +55,7 @@
     using Time = std::int64_t;
     struct Kind {
         std::string repeat;
-        double least_share = 1;
+        double min_share = 1;
         Time window = 0;
     };
     struct Multiget {
--- a/src/lab/sim/policy.cpp
+++ b/src/lab/sim/policy.cpp
@@ -128,7 +128,7 @@
         const auto& type = terms_.op_types[static_cast<std::size_t>(open.op_type)];
         if (open.parts_returned == open.parts.size()) {
             actions_.emplace_back(Answer{multiget, true});
-        } else if (open.parts_returned > 0 && open.returned_weight >= type.least_share) {
+        } else if (open.parts_returned > 0 && open.returned_weight >= type.min_share) {
             actions_.emplace_back(Answer{multiget, false});
         } else if (open.may_have_run && type.repeat == RetrySafety::kNonRetriable) {
             actions_.emplace_back(Fail{multiget});
--- a/src/lab/sim/simulation.cpp
+++ b/src/lab/sim/simulation.cpp
@@ -109,16 +109,16 @@
       partitions_(static_cast<std::size_t>(world.zones)) {
     write_log("world cold_from " + std::to_string(1 / world_.servers.cold_factor) + " warm_after " +
               std::to_string(world_.servers.warm_after) + " fall " +
-              std::to_string(world_.cold.fall_multiple) + " tip " + std::to_string(world_.cold.tip_after) +
-              " rate " + std::to_string(world_.servers.cores / (world_.servers.part_ms.mean() * 10)) +
-              " floor " + std::to_string(world_.further.floor) + " ratio " +
-              std::to_string(world_.further.ratio) + " look_back " +
-              std::to_string(world_.further.look_back) + " stop " + std::to_string(kStopSendingWithin) +
-              " grace " + std::to_string(kGrace));
+              std::to_string(world_.cold.overload_multiple) + " tip " +
+              std::to_string(world_.cold.overload_after) + " rate " +
+              std::to_string(world_.servers.cores / (world_.servers.part_ms.mean() * 10)) + " floor " +
+              std::to_string(world_.further.floor) + " ratio " + std::to_string(world_.further.ratio) +
+              " look_back " + std::to_string(world_.further.look_back) + " stop " +
+              std::to_string(kStopSendingWithin) + " grace " + std::to_string(kGrace));
     for (std::size_t kind = 0; kind < world_.clients.size(); ++kind) {
         const auto& clients = world_.clients[kind];
         write_log("kind " + std::to_string(kind) + " repeat " + name_of(clients.type.repeat) + " least " +
-                  std::to_string(clients.type.least_share) + " window " +
+                  std::to_string(clients.type.min_share) + " window " +
                   std::to_string(clients.type.dedup_window) + " budget " +
                   std::to_string(clients.type.latency_budget) + " name " + clients.name);
     }
@@ -228,7 +228,7 @@
     terms.ring.places = world_.places();
     terms.ring.width = std::min(world_.width, terms.ring.places);
     terms.ring.parts_per_call = world_.parts_per_call;
-    terms.ring.call_cost = static_cast<Time>(world_.servers.call_ms.mean() * 10 + 0.5);
+    terms.ring.call_overhead = static_cast<Time>(world_.servers.call_ms.mean() * 10 + 0.5);
     terms.sends = world_.sends;
     terms.further = world_.further;
     terms.cold = world_.cold;
--- a/src/lab/study/experiment.cpp
+++ b/src/lab/study/experiment.cpp
@@ -8,8 +8,8 @@
 
 namespace pinedoor::lab {
 
-void on_threads(std::size_t count, unsigned threads, const std::atomic<bool>& stop,
-                const std::function<void(std::size_t)>& job) {
+void run_on_threads(std::size_t count, unsigned threads, const std::atomic<bool>& stop,
+                    const std::function<void(std::size_t)>& job) {
     std::atomic<std::size_t> next = 0;
     std::exception_ptr failure;
     std::mutex mutex;
@@ -65,7 +65,7 @@
         ++progress_now.reused;
         record(world, variant, seed, *stored);
     }
-    on_threads(jobs.size(), threads, stop, [&](std::size_t index) {
+    run_on_threads(jobs.size(), threads, stop, [&](std::size_t index) {
         const auto job = jobs[index];
         const auto world = job / (variants * seeds), variant = job / seeds % variants, seed = job % seeds;
         const auto& named_world = experiment.worlds[world];
--- a/src/lab/study/experiment.hpp
+++ b/src/lab/study/experiment.hpp
@@ -42,7 +42,7 @@
 
 // Calls job(0) to job(count - 1) on `threads` threads until all are done, `stop` is set or a job throws; the
 // first exception is rethrown.
-void on_threads(std::size_t count, unsigned threads, const std::atomic<bool>& stop,
-                const std::function<void(std::size_t)>& job);
+void run_on_threads(std::size_t count, unsigned threads, const std::atomic<bool>& stop,
+                    const std::function<void(std::size_t)>& job);
 
 }  // namespace pinedoor::lab
--- a/src/lab/world/totals.hpp
+++ b/src/lab/world/totals.hpp
@@ -32,7 +32,7 @@
                     late += is_late ? 1U : 0U;
                     ++(is_whole ? whole : in_part);
                     ms.add(static_cast<double>(latency) / 10);
-                    earned += type.importance * (is_whole ? 1 : type.short_importance * returned_weight) *
+                    earned += type.importance * (is_whole ? 1 : type.partial_importance * returned_weight) *
                               (is_late ? type.late_importance : 1);
                     break;
                 }
--- a/src/lab/world/world.cpp
+++ b/src/lab/world/world.cpp
@@ -76,9 +76,9 @@
     type.dedup_window = time(table, "dedup_window_ms", 0, 0, 600'000);
     type.importance = table.number("importance", 1, 0, 1'000);
     type.late_importance = table.number("late_importance", 0, 0, 1);
-    type.least_share = table.number("least_share", 1, 0, 1);
+    type.min_share = table.number("least_share", 1, 0, 1);
     type.whole_share = 1;
-    type.short_importance = table.number("short_importance", 0.8, 0, 1);
+    type.partial_importance = table.number("short_importance", 0.8, 0, 1);
     table.finish();
     return clients;
 }
@@ -214,7 +214,7 @@
     world.loss = table.number("loss", 0, 0, 0.95);
     world.retransmit = time(table, "retransmit_ms", 200, 0.1, 60'000);
     world.turn = time(table, "turn_ms", 1, 0.1, 1'000);
-    world.must_ask_in = time(table, "must_ask_in_ms", 1'600, 1, 600'000);
+    world.refresh_within = time(table, "must_ask_in_ms", 1'600, 1, 600'000);
     world.list_lag_ms = draw(table, "list_lag_ms", world.list_lag_ms, 0, 60'000);
     read_servers(table.table("servers"), world.servers);
     auto sends = table.table("sends");
@@ -229,8 +229,8 @@
     sends.finish();
     world.cold.warm_after = world.servers.warm_after;
     world.cold.from = 1 / world.servers.cold_factor;
-    world.cold.fall_multiple = 3;
-    world.cold.tip_after = 10'000;
+    world.cold.overload_multiple = 3;
+    world.cold.overload_after = 10'000;
     for (auto& each : table.tables("clients")) world.clients.push_back(read_clients(std::move(each)));
     if (world.clients.empty()) table.reject("clients", "are missing; write at least one [[clients]]");
     if (auto tenants = table.tables("tenants"); !tenants.empty()) {
@@ -277,7 +277,7 @@
     line("loss", print(loss));
     line("retransmit_ms", print_ms(retransmit));
     line("turn_ms", print_ms(turn));
-    line("must_ask_in_ms", print_ms(must_ask_in));
+    line("must_ask_in_ms", print_ms(refresh_within));
     line("list_lag_ms", print(list_lag_ms));
     out << "\n[servers]\n";
     line("count", std::to_string(servers.count));
@@ -321,8 +321,8 @@
         line("dedup_window_ms", print_ms(type.dedup_window));
         line("importance", print(type.importance));
         line("late_importance", print(type.late_importance));
-        line("least_share", print(type.least_share));
-        line("short_importance", print(type.short_importance));
+        line("least_share", print(type.min_share));
+        line("short_importance", print(type.partial_importance));
     }
     for (const auto& each : tenants) {
         out << "\n[[tenants]]\n";
--- a/src/lab/world/world.hpp
+++ b/src/lab/world/world.hpp
@@ -111,7 +111,7 @@
     int parts_per_call = 8;
     FurtherSendConfig further;
     ColdStartConfig cold;
-    Time must_ask_in = 16'000;  // deadline for the first server list request, on sockets (platform rule)
+    Time refresh_within = 16'000;  // deadline for the first server list request, on sockets (platform rule)
     Draw list_lag_ms{Draw::Kind::kFixed, 100,
                      0};  // delay until a front node receives a change of a server's state
     std::vector<ClientKind> clients;
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -39,11 +39,11 @@
     RetrySafety repeat = RetrySafety::kNonRetriable;
     Time dedup_window = 0;  // servers recognise a part that is sent again within this time
     double importance = 1;
-    double late_importance = 0;   // share of the importance that a late answer earns
-    double least_share = 1;       // minimum share of the weight that any answer needs
-    double whole_share = 1;       // share of the weight that an answer marked whole needs
-    double short_importance = 0;  // a partial answer earns this times its share of the weight
-    int second_step_parts = 0;    // parts of the second step; 0: the multiget has one step
+    double late_importance = 0;     // share of the importance that a late answer earns
+    double min_share = 1;           // minimum share of the weight that any answer needs
+    double whole_share = 1;         // share of the weight that an answer marked whole needs
+    double partial_importance = 0;  // a partial answer earns this times its share of the weight
+    int second_step_parts = 0;      // parts of the second step; 0: the multiget has one step
 };
 
 // Assignment of shards to index servers by an explicit map, which replaces the ring (docs/placement.md).
@@ -59,7 +59,7 @@
     int places = 1;
     int width = 1;
     int parts_per_call = 1;
-    Time call_cost = 0;                   // fixed overhead of a call, whatever the number of its parts
+    Time call_overhead = 0;               // fixed overhead of a call, whatever the number of its parts
     const ReplicaMap* holders = nullptr;  // not null: replaces the ring
 
     bool holds(int position, int shard) const {
@@ -94,18 +94,19 @@
 
 // How an index server warms up after a start, and how much load brings it down meanwhile.
 struct ColdStartConfig {
-    double from = 1;           // share of a warm server's capacity that a server has at its start
-    Time warm_after = 0;       // duration of the warm-up
-    double fall_multiple = 0;  // a load of this multiple of the present capacity ...
-    Time tip_after = 0;        // ... for this long makes the server fail
+    double from = 1;               // share of a warm server's capacity that a server has at its start
+    Time warm_after = 0;           // duration of the warm-up
+    double overload_multiple = 0;  // a load of this multiple of the present capacity ...
+    Time overload_after = 0;       // ... for this long makes the server fail
 };
 
 // How the server list is obtained: pulled from discovery, or pushed to the front node as it changes.
 struct ServerListConfig {
-    bool ask = false;          // true: pulled from discovery
-    Time must_ask_in = 0;      // discovery has to be called at least this often
-    Time stop_within = 0;      // time to stop sending to a server once its removal counts as received
-    bool own_agent = false;    // pulled from an agent that serves only this front node and is always current
+    bool ask = false;              // true: pulled from discovery
+    Time refresh_within = 0;       // discovery has to be called at least this often
+    Time stop_sending_within = 0;  // time to stop sending to a server once its removal counts as received
+    bool dedicated_agent =
+        false;                 // pulled from an agent that serves only this front node and is always current
     Time told_after = 60'000;  // protocol: a change at discovery counts as received after this time
     Time beat = 20'000;        // protocol: interval of the heartbeats on a watch
 };
@@ -114,7 +115,7 @@
 struct ClientConfig {
     bool retry_after = false;      // pushbacks carry the time to wait before a retry
     Time longest_retry_after = 0;  // maximum of that time
-    bool marks_repeats = false;    // clients mark retries
+    bool marks_retries = false;    // clients mark retries
     Time answer_grace = 0;         // answers are due this long before the deadline of the client
 };
 
@@ -289,19 +290,26 @@
 
 // kWaitTooLong: too few parts can be expected to return in time. kNoCredit: admission control allows fewer
 // parts. kDeadlyKey: servers crashed under each part that was sent.
-enum class GiveUpReason : std::uint8_t { kTimeOver, kPartsLost, kNoHope, kNoCredit, kDeadly, kListExpired };
+enum class GiveUpReason : std::uint8_t {
+    kDeadlineExceeded,
+    kPartsLost,
+    kWaitTooLong,
+    kNoCredit,
+    kDeadlyKey,
+    kListExpired
+};
 
 // Rejects a multiget that its client may safely retry.
 struct PushBack {
     Id multiget = 0;
     Time wait = 0;  // the client is asked to wait for so long before it retries; 0: no advice
-    GiveUpReason reason = GiveUpReason::kTimeOver;
+    GiveUpReason reason = GiveUpReason::kDeadlineExceeded;
 };
 
 // Fails a multiget that must not be retried, since parts of it may have run.
 struct Fail {
     Id multiget = 0;
-    GiveUpReason reason = GiveUpReason::kTimeOver;
+    GiveUpReason reason = GiveUpReason::kDeadlineExceeded;
 };
 
 // Sets a timer that fires after a delay.
--- a/src/net/socket.cpp
+++ b/src/net/socket.cpp
@@ -132,6 +132,6 @@
     return poll(&ready, 1, 0) == 1 && (ready.revents & POLLIN) != 0;
 }
 
-void end_writing(const Fd& fd) { shutdown(fd.get(), SHUT_WR); }
+void shutdown_write(const Fd& fd) { shutdown(fd.get(), SHUT_WR); }
 
 }  // namespace pinedoor::net
--- a/src/net/socket.hpp
+++ b/src/net/socket.hpp
@@ -54,6 +54,6 @@
 // Whether a read would return at once; for a listener, whether a connection waits to be accepted.
 bool is_readable(int fd);
 // Shuts down the sending side.
-void end_writing(const Fd& fd);
+void shutdown_write(const Fd& fd);
 
 }  // namespace pinedoor::net
--- a/src/parse/http.cpp
+++ b/src/parse/http.cpp
@@ -213,7 +213,7 @@
     return it == headers_.end() ? nullptr : &it->second;
 }
 
-bool HttpParser::keeps_open() const {
+bool HttpParser::keep_alive() const {
     const auto* connection = header("connection");
     if (connection != nullptr && list_contains(*connection, "close")) return false;
     return minor_version_ == 1 || (connection != nullptr && list_contains(*connection, "keep-alive"));
@@ -224,7 +224,7 @@
     return expect != nullptr && equals_ignore_case(*expect, "100-continue");
 }
 
-std::string http_answer(int status, std::string_view headers, std::string_view body, bool close) {
+std::string http_response(int status, std::string_view headers, std::string_view body, bool close) {
     std::string out = "HTTP/1.1 " + std::to_string(status) + ' ' + reason_phrase(status) + "\r\n";
     out += headers;
     if (close) out += "Connection: close\r\n";
--- a/src/parse/http.hpp
+++ b/src/parse/http.hpp
@@ -40,7 +40,7 @@
     // Null if the header is missing; the values of repeated headers are joined by commas.
     const std::string* header(const std::string& lower_case_name) const;
     // Whether the connection stays open after this message.
-    bool keeps_open() const;
+    bool keep_alive() const;
     bool expects_continue() const;
     // Returns the body bytes that were received since the last call.
     std::string take_body() { return std::exchange(body_, {}); }
@@ -79,7 +79,7 @@
 // Compares ASCII text without regard to case.
 bool equals_ignore_case(std::string_view a, std::string_view b);
 // `headers` are complete lines that end with CRLF; Content-Length is added.
-std::string http_answer(int status, std::string_view headers, std::string_view body, bool close);
+std::string http_response(int status, std::string_view headers, std::string_view body, bool close);
 std::string http_get(std::string_view target, std::string_view host);
 
 }  // namespace pinedoor::parse
--- a/src/peers/carrier.cpp
+++ b/src/peers/carrier.cpp
@@ -195,7 +195,7 @@
     if (handler != direct_handlers_.end()) handler->second(message.from, message.payload);
 }
 
-void PeerTransport::send_letter(const std::string& to, const std::string& topic, std::string bytes) {
+void PeerTransport::send_direct_message(const std::string& to, const std::string& topic, std::string bytes) {
     if (const auto address = membership_.address_of(to))
         send(*address, codec_.write(DirectMessage{membership_.self().name, topic, std::move(bytes)}));
 }
--- a/src/peers/carrier.hpp
+++ b/src/peers/carrier.hpp
@@ -34,9 +34,9 @@
     // Publishes a record to all members; see Gossip::publish.
     void publish(const std::string& topic, std::string value, Time lifetime);
     // Sends one datagram to a member, without acknowledgement or retry; dropped if `to` is not a member.
-    void send_letter(const std::string& to, const std::string& topic, std::string bytes);
+    void send_direct_message(const std::string& to, const std::string& topic, std::string bytes);
     using DirectMessageHandler = std::function<void(const std::string& from, const std::string& bytes)>;
-    void read_letters(const std::string& topic, DirectMessageHandler handler) {
+    void set_direct_message_handler(const std::string& topic, DirectMessageHandler handler) {
         direct_handlers_[topic] = std::move(handler);
     }
     // Adds a command to the control socket. The command is passed the rest of the line and returns the reply.
@@ -47,7 +47,9 @@
         listeners_.push_back(std::move(listener));
     }
     // Hands HTTP connections on the peers' port over to `handler`, which must outlive this object.
-    void take_guests(std::function<net::Task(net::Stream&)> handler) { http_handler_ = std::move(handler); }
+    void set_http_handler(std::function<net::Task(net::Stream&)> handler) {
+        http_handler_ = std::move(handler);
+    }
     std::string print_counters() const;  // one line each: name, space, value
 
 private:
--- a/src/peers/decide.cpp
+++ b/src/peers/decide.cpp
@@ -177,7 +177,7 @@
             known_.erase(name);
             continue;
         }
-        if (known.final_probe == 0 && settings_.sooner_by_confirmation) {
+        if (known.final_probe == 0 && settings_.dynamic_suspicion) {
             known.final_probe = ++last_sequence_;
             known.expires_at = now + scaled(settings_.period);
             Message ping;
@@ -222,7 +222,7 @@
     const auto others = static_cast<int>(member_count()) - 2;
     const int expected = std::min(settings_.confirmations, std::max(0, others - 1));
     double timeout = max_timeout;
-    if (!settings_.sooner_by_confirmation || expected == 0)
+    if (!settings_.dynamic_suspicion || expected == 0)
         timeout = min_timeout;
     else {
         const auto confirmed = static_cast<double>(known.suspected_by.size() - 1);
--- a/src/peers/decide.hpp
+++ b/src/peers/decide.hpp
@@ -89,8 +89,8 @@
     std::size_t most_members = 4'096;
     std::size_t max_record_bytes = 1'000;  // per message
     // Both are off in plain SWIM, the baseline of the benchmark.
-    bool local_health = true;            // scales probe timeouts by the local health score
-    bool sooner_by_confirmation = true;  // suspicion timeout shrinking with confirmations, and final probe
+    bool local_health = true;       // scales probe timeouts by the local health score
+    bool dynamic_suspicion = true;  // suspicion timeout shrinking with confirmations, and final probe
 };
 
 // Send `message` to `to` in one datagram.
--- a/src/peers/list_source.cpp
+++ b/src/peers/list_source.cpp
@@ -140,7 +140,7 @@
     return true;
 }
 
-bool ListSource::is_circle(const std::vector<std::string>& via) const {
+bool ListSource::is_cycle(const std::vector<std::string>& via) const {
     // A tree with two roots and a fan-out of sixteen has at most four levels.
     constexpr std::size_t kMaxPathLength = 16;
     return via.size() >= kMaxPathLength || std::find(via.begin(), via.end(), name_) != via.end();
--- a/src/peers/list_source.hpp
+++ b/src/peers/list_source.hpp
@@ -86,7 +86,7 @@
     Time due() const { return due_; }
 
     // Whether a list that passed through the members `via` has come in a cycle or over too many hops.
-    bool is_circle(const std::vector<std::string>& via) const;
+    bool is_cycle(const std::vector<std::string>& via) const;
     bool says() const {  // whether to advertise the revision: roots and the level below them
         return rank_ >= 0 && rank_ < settings_.roots + settings_.fan_out;
     }
--- a/src/placement/gatherer.cpp
+++ b/src/placement/gatherer.cpp
@@ -67,7 +67,7 @@
     return static_cast<double>(spread) / 4'294'967'296.0 < share;
 }
 
-std::vector<ServerNumber> Gatherer::boxes_now(Time now, const Piece& piece) const {
+std::vector<ServerNumber> Gatherer::eligible_servers(Time now, const Piece& piece) const {
     const auto route = routes_.find(piece.route);
     if (!map_ || route == routes_.end()) return piece.boxes;
     const auto& shard = map_->at(piece.first);
@@ -144,7 +144,7 @@
     while (!send_history_.empty() && send_history_.front().at <= now - config_.further_look_back)
         send_history_.pop_front();
     send_history_.push_back({now, pieces.size(), 0});
-    if (pieces.empty() || pieces.size() > config_.most_pieces) {
+    if (pieces.empty() || pieces.size() > config_.max_fragments) {
         // Nothing can be sent without a map or beyond the fragment limit.
         std::vector<std::pair<int, FragmentFate>> fates;
         for (const auto& each : multiget.asked.splits)
@@ -193,8 +193,8 @@
             continue;
         }
         auto again = cut(multiget, held.piece.split, held.piece.first, held.piece.last, held.piece.weight);
-        const bool room = multiget.last_round + 1 < config_.most_legs &&
-                          multiget.pieces.size() + pieces.size() + again.size() <= config_.most_pieces;
+        const bool room = multiget.last_round + 1 < config_.max_rounds &&
+                          multiget.pieces.size() + pieces.size() + again.size() <= config_.max_fragments;
         if (!room || !within_repeat_budget(now, again.size())) {
             held.state = TrackedFragment::State::kFailed;
             ++counted_.given_up;
@@ -248,7 +248,7 @@
 
 Gatherer::Actions Gatherer::tick(Time now) { return map_is(now, map_); }
 
-Gatherer::Actions Gatherer::leg_ended(Time now, Number number, int leg, RoundResult result) {
+Gatherer::Actions Gatherer::on_round_ended(Time now, Number number, int leg, RoundResult result) {
     const auto at = multigets_.find(number);
     if (at == multigets_.end()) return {};
     auto& multiget = at->second;
@@ -301,7 +301,7 @@
 // waits for has not arrived in time.
 void Gatherer::end_if_decided(Time now, Number number) {
     auto& multiget = multigets_.at(number);
-    const auto least = type_of(multiget).least_share;
+    const auto least = type_of(multiget).min_share;
     const auto weights = weights_of(multiget);
     bool waits = false;
     for (const auto& held : multiget.pieces) waits = waits || held.state == TrackedFragment::State::kWaiting;
@@ -364,7 +364,7 @@
     const bool none_ran = std::all_of(ending.fates.begin(), ending.fates.end(), [](const auto& each) {
         return each.second == FragmentFate::kNeverSent;
     });
-    if (!ending.values.empty() && in >= type.least_share - kWeightTolerance) {
+    if (!ending.values.empty() && in >= type.min_share - kWeightTolerance) {
         ending.kind = RoundResult::Kind::kAnswered;
         ending.whole = in >= type.whole_share - kWeightTolerance;
     } else {
@@ -379,7 +379,7 @@
     multigets_.erase(number);
 }
 
-std::vector<int> Gatherer::open_legs(Number number) const {
+std::vector<int> Gatherer::open_rounds(Number number) const {
     std::vector<int> rounds;
     const auto at = multigets_.find(number);
     if (at == multigets_.end()) return rounds;
--- a/src/placement/gatherer.hpp
+++ b/src/placement/gatherer.hpp
@@ -40,7 +40,7 @@
 struct GatheredOpType {
     MergeRule merge = MergeRule::kWhole;
     bool readers = false;    // readers may run its parts, not only the owner
-    double least_share = 1;  // share of the weight needed for an answer
+    double min_share = 1;    // share of the weight needed for an answer
     double whole_share = 1;  // share of the weight from which an answer is whole
     Time latency_budget = 0;
 };
@@ -50,13 +50,13 @@
     std::uint64_t splits = 1;  // number of equal ranges that the key space is divided into
     // Budget of repeated fragments within the look-back window: the floor plus the ratio times first sends.
     double further_floor = 0, further_ratio = 0;
-    Time further_look_back = 0;      // 0: no budget applies
-    Time ask_again = 200;            // delay of a repeat if the server has an older epoch than the map
-    Time answer_grace = 200;         // time reserved before the deadline to send the answer
-    int most_legs = 4;               // limit on rounds per multiget
-    std::size_t most_pieces = 4096;  // limit on fragments per multiget
-    double cold_from = 1;            // initial share of reads at a cold server; 1: no server is cold
-    Time warm_after = 0;             // time from which a server is warm
+    Time further_look_back = 0;        // 0: no budget applies
+    Time ask_again = 200;              // delay of a repeat if the server has an older epoch than the map
+    Time answer_grace = 200;           // time reserved before the deadline to send the answer
+    int max_rounds = 4;                // limit on rounds per multiget
+    std::size_t max_fragments = 4096;  // limit on fragments per multiget
+    double cold_from = 1;              // initial share of reads at a cold server; 1: no server is cold
+    Time warm_after = 0;               // time from which a server is warm
 };
 
 using Number = std::uint64_t;  // identifies a multiget
@@ -141,12 +141,12 @@
     Actions ask(Time now, Number number, GatherRequest asked);
     // An index server refused the fragment without running it; `known` is the epoch that it knows.
     Actions refused(Time now, Route route, Epoch known);
-    Actions leg_ended(Time now, Number number, int leg, RoundResult end);
+    Actions on_round_ended(Time now, Number number, int leg, RoundResult end);
     Actions tick(Time now);
 
     // Removes a multiget whose client has disconnected. The caller abandons the open rounds and passes the
     // known fates of their fragments; returns the fates of the splits.
-    std::vector<int> open_legs(Number number) const;
+    std::vector<int> open_rounds(Number number) const;
     std::vector<std::pair<int, FragmentFate>> left(Number number,
                                                    const std::vector<std::pair<Route, FragmentFate>>& fates);
 
@@ -155,7 +155,7 @@
     // holds its keys: a fragment may be sent later than it was cut.
     const Piece* sending(Route route);
     // Index servers that may run the fragment by the current map, without those that are too cold for it.
-    std::vector<ServerNumber> boxes_now(Time now, const Piece& piece) const;
+    std::vector<ServerNumber> eligible_servers(Time now, const Piece& piece) const;
 
     static std::pair<Key, Key> keys_of(int split, std::uint64_t splits);
 
--- a/src/placement/map_follower.cpp
+++ b/src/placement/map_follower.cpp
@@ -32,7 +32,7 @@
     backoff_ = 0;
 }
 
-bool MapFollower::wants_whole(Time now) {
+bool MapFollower::should_request_map(Time now) {
     if (now < request_at_) return false;
     request_at_ = kNever;
     requested_at_ = now;
@@ -128,7 +128,7 @@
 
 void MapFollower::lost(Time now) { schedule_request(now); }
 
-void MapFollower::epoch_seen(Time now, ShardId shard, Epoch epoch) {
+void MapFollower::on_epoch_seen(Time now, ShardId shard, Epoch epoch) {
     if (!current_) return;
     const auto* known = current_->find(shard);
     // A shard that is not in the map was split or merged by a step that this map already contains.
--- a/src/placement/map_follower.hpp
+++ b/src/placement/map_follower.hpp
@@ -51,14 +51,14 @@
     void lost(Time now);  // the stream of updates has broken, so the whole map must be requested
     // An index server has refused a part of this shard with this epoch. If it is newer than the map's, the
     // map is outdated and the whole map is requested.
-    void epoch_seen(Time now, ShardId shard, Epoch epoch);
+    void on_epoch_seen(Time now, ShardId shard, Epoch epoch);
 
     // The current map; null until a first map has been accepted.
     const std::shared_ptr<const ShardMap>& present() const { return current_; }
 
     // Whether the whole map must be requested now. A true result counts as the request.
-    bool wants_whole(Time now);
-    // Next time that wants_whole() can be true; kNever if none is set.
+    bool should_request_map(Time now);
+    // Next time that should_request_map() can be true; kNever if none is set.
     Time wake() const { return request_at_; }
     static constexpr Time kNever = INT64_MAX;
 
--- a/src/placement/map_text.cpp
+++ b/src/placement/map_text.cpp
@@ -139,7 +139,7 @@
     return key;
 }
 
-MapUpdate read_map_news(std::string_view line, ServerNames& names) {
+MapUpdate read_map_update(std::string_view line, ServerNames& names) {
     try {
         const auto json = parse::parse_json(line, {kMaxMapBytes, 8});
         const auto version = require_integer(json, "version");
--- a/src/placement/map_text.hpp
+++ b/src/placement/map_text.hpp
@@ -52,7 +52,7 @@
 };
 using MapUpdate = std::variant<WholeMap, MapChanges, Unreadable>;
 
-MapUpdate read_map_news(std::string_view line, ServerNames& names);
+MapUpdate read_map_update(std::string_view line, ServerNames& names);
 std::string print_map(const ShardMap& map, const ServerNames& names);
 std::string print_changes(Version after, const std::vector<Step>& steps, const ServerNames& names);
 
--- a/src/placement/planner.cpp
+++ b/src/placement/planner.cpp
@@ -228,9 +228,9 @@
 
     // Moves load off the most loaded server while that lowers the higher load of the two servers concerned.
     void balance() {
-        const double enough = mean() * (1 + fleet_.terms.near_enough);
+        const double enough = mean() * (1 + fleet_.terms.balance_tolerance);
         std::set<std::size_t> not_improvable;  // servers that no change can relieve
-        for (std::size_t copies = 0; copies < fleet_.terms.most_copies;) {
+        for (std::size_t copies = 0; copies < fleet_.terms.max_balancing_copies;) {
             auto fullest = by_load_.rbegin();
             while (fullest != by_load_.rend() && not_improvable.contains(fullest->second)) ++fullest;
             if (fullest == by_load_.rend() || fullest->first <= enough) return;
--- a/src/placement/planner.hpp
+++ b/src/placement/planner.hpp
@@ -42,12 +42,12 @@
 };
 
 struct PlanConfig {
-    double fill = 0.9;                 // usable share of a server's space, at any moment
-    double near_enough = 0.05;         // balancing stops at this excess over the mean load, as a share of it
-    std::size_t most_copies = 10'000;  // limit on copies made for balancing, per plan
-    std::size_t at_once = 16;          // limit on copies per wave
-    std::size_t at_once_box = 1;       // limit on copies per wave from one server, and to one server
-    std::size_t sound = 1;             // replicas a shard keeps at any moment, or its current number if lower
+    double fill = 0.9;                // usable share of a server's space, at any moment
+    double balance_tolerance = 0.05;  // balancing stops at this excess over the mean load, as a share of it
+    std::size_t max_balancing_copies = 10'000;  // limit on copies made for balancing, per plan
+    std::size_t at_once = 16;                   // limit on copies per wave
+    std::size_t at_once_box = 1;                // limit on copies per wave from one server, and to one server
+    std::size_t sound = 1;  // replicas a shard keeps at any moment, or its current number if lower
 };
 
 // Input of the planner.
--- a/src/placement/terms.hpp
+++ b/src/placement/terms.hpp
@@ -15,7 +15,7 @@
     std::string path = "/discovery/shards";  // URL path of the map at discovery
     std::map<std::string, MergeRule> merge;  // by op type; kWhole for those not listed
     double further_share = 0.25;  // share of the further-send budget reserved for repeated fragments
-    int most_legs = 4;            // limit on rounds per multiget
+    int max_rounds = 4;           // limit on rounds per multiget
     Time ask_again = 200;         // GathererConfig::ask_again
     LoadTrackerConfig heat;
     MapFollowerConfig follow;
--- a/src/policy/list_follower.cpp
+++ b/src/policy/list_follower.cpp
@@ -36,7 +36,7 @@
 
 ListFollower::ListFollower(Inboxes& inboxes, ServerListConfig config, int front_nodes)
     : inboxes_(inboxes), config_(config),
-      fleet_span_(config.own_agent ? max_pause() : config.must_ask_in * front_nodes / kCallsServed),
+      fleet_span_(config.dedicated_agent ? max_pause() : config.refresh_within * front_nodes / kCallsServed),
       lease_(config) {}
 
 void ListFollower::handle(const Tick&) {
@@ -54,10 +54,10 @@
 // leave this node sending by an outdated list. While a list is held, calls may overlap, and follow each other
 // faster as the lease runs out.
 void ListFollower::call() {
-    const bool may_overlap = holds_list() && !config_.own_agent;
+    const bool may_overlap = holds_list() && !config_.dedicated_agent;
     called_at_ = inboxes_.now;
     inboxes_.actions.emplace_back(WatchServerList{lease_.max_silence(), may_overlap ? kMaxOtherCalls : 0});
-    const Time retry_after = config_.must_ask_in / 4 + inboxes_.random_up_to(config_.must_ask_in / 8);
+    const Time retry_after = config_.refresh_within / 4 + inboxes_.random_up_to(config_.refresh_within / 8);
     call_at_ = inboxes_.now + (may_overlap ? lease_.overdue_timeout(inboxes_.now) : retry_after);
 }
 
@@ -67,7 +67,7 @@
     watching_ |= update.kind != ListUpdateKind::kSaved;
     lease_.on_contact(inboxes_.now);
     saved_age_ = watching_ ? 0 : update.age;
-    call_within_ = std::max(config_.must_ask_in / 4, watching_ ? 0 : config_.must_ask_in - update.age);
+    call_within_ = std::max(config_.refresh_within / 4, watching_ ? 0 : config_.refresh_within - update.age);
     for (const auto& entry : listed_.apply(update)) inboxes_.post(entry);
     inboxes_.overload.push_back(ReadyServers{listed_.count_ready()});
 }
@@ -117,7 +117,7 @@
 // minimum pause prevents a call storm, however quickly the calls end.
 void ListFollower::on_call_refused() {
     const Time max_span =
-        listed_.empty() ? 3 * fleet_span_ : std::min(3 * fleet_span_, 2 * config_.must_ask_in);
+        listed_.empty() ? 3 * fleet_span_ : std::min(3 * fleet_span_, 2 * config_.refresh_within);
     span_ = span_ < max_span / 2 ? std::min(3 * span_, max_span) : max_span / 2;
     refusals_in_a_row_ = std::min(refusals_in_a_row_ + 1, kMaxRefusalCount);
     const Time pause = std::min(max_pause(), refusals_in_a_row_ * fleet_span_);
--- a/src/policy/list_follower.hpp
+++ b/src/policy/list_follower.hpp
@@ -38,10 +38,10 @@
     void check_lease();
     bool holds_list() const { return !listed_.empty(); }
     Time min_pause() const {
-        return holds_list() ? lease_.min_pause(inboxes_.now) : config_.must_ask_in / 16;
+        return holds_list() ? lease_.min_pause(inboxes_.now) : config_.refresh_within / 16;
     }
     // Maximum pause in a small fleet, where few other front nodes compete for discovery.
-    Time max_pause() const { return config_.must_ask_in / 8; }
+    Time max_pause() const { return config_.refresh_within / 8; }
     Time first_span() const;
 
     Inboxes& inboxes_;
--- a/src/policy/list_lease.cpp
+++ b/src/policy/list_lease.cpp
@@ -37,7 +37,7 @@
 Time ListLease::max_silence() const { return config_.beat + config_.told_after / kHeartbeatSlackDivisor; }
 
 Time ListLease::sparing_pause() const {
-    return std::min(config_.must_ask_in / kSparingPauseDivisor, config_.told_after / kRandomPauseDivisor);
+    return std::min(config_.refresh_within / kSparingPauseDivisor, config_.told_after / kRandomPauseDivisor);
 }
 
 Time ListLease::max_pause(Time now) const {
@@ -48,7 +48,7 @@
 
 Time ListLease::min_pause(Time now) const {
     const Time by_refresh_time =
-        config_.must_ask_in / (is_expired(now) ? kMinPauseExpiredDivisor : kMinPauseDivisor);
+        config_.refresh_within / (is_expired(now) ? kMinPauseExpiredDivisor : kMinPauseDivisor);
     return std::min(by_refresh_time, config_.told_after / kFixedPauseDivisor);
 }
 
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -31,7 +31,7 @@
                                    Time turn)
     : inboxes_(inboxes), op_types_(std::move(op_types)), sends_(sends), clients_(clients), turn_(turn),
       slack_(turn + sends.connect_timeout), budget_(inboxes, further, slack_), replicas_(inboxes, ring),
-      admission_(min_latency_budget(op_types_)), repeats_(op_types_.size(), clients.marks_repeats) {}
+      admission_(min_latency_budget(op_types_)), repeats_(op_types_.size(), clients.marks_retries) {}
 
 void RequestLifecycle::handle(const Alpha& alpha) {
     alpha_ = alpha.value;
@@ -49,7 +49,7 @@
     set_times(request, type);
     requests_.add_parts(request, arrival.parts);
     request.one_at_a_time = deadly_keys_.any_of(request.parts, inboxes_.now);
-    if (type.least_share < type.whole_share && !request.parts.empty())
+    if (type.min_share < type.whole_share && !request.parts.empty())
         inboxes_.overload.push_back(PartWeights{1.0 / static_cast<double>(request.parts.size())});
     select(request, type);
 }
@@ -163,7 +163,7 @@
 // whatever delays their servers.
 void RequestLifecycle::mark_stragglers(MultigetState& request) {
     const auto& type = type_of(request.arrival);
-    if (!sends_.second_copies || alpha_ > 0 || type.least_share < type.whole_share) return;
+    if (!sends_.second_copies || alpha_ > 0 || type.min_share < type.whole_share) return;
     const auto tally = request.tally();
     const int max_stragglers = std::max(1, (tally.parts_answered + tally.parts_open) / kStragglerDivisor);
     if (tally.parts_answered == 0 || tally.parts_open > max_stragglers) return;
@@ -187,7 +187,7 @@
     if (request.single_part == part) {
         inboxes_.actions.emplace_back(LogLine{"given up: servers died under each part sent"});
         add_deadly_key(request);
-        give_up(request, GiveUpReason::kDeadly);
+        give_up(request, GiveUpReason::kDeadlyKey);
         return true;
     }
     request.one_at_a_time = true;
@@ -223,7 +223,7 @@
     Selection selection;
     // A late answer that still earns something extends the time by that share. A request that may be answered
     // in part ends at the end of the step with what has been answered.
-    const bool partial = type.least_share < type.whole_share;
+    const bool partial = type.min_share < type.whole_share;
     const Time late = partial ? 0 : request.answer_by - request.budget_ends;
     const double left = static_cast<double>(request.step_ends - inboxes_.now) +
                         type.late_importance * static_cast<double>(late);
@@ -241,14 +241,14 @@
 // Parts with a weight above alpha are sent. The floor guard adds the heaviest parts that cover the least
 // share and a quarter of the rest, for requests in which many parts weigh the same or nearly nothing.
 void RequestLifecycle::select(MultigetState& request, const OpType& type) {
-    const bool partial = type.least_share < type.whole_share;
-    const double guard = type.least_share + (type.whole_share - type.least_share) * kGuardedShare;
+    const bool partial = type.min_share < type.whole_share;
+    const double guard = type.min_share + (type.whole_share - type.min_share) * kGuardedShare;
     const auto selection = rank_parts(request, type);
     // A request that cannot be answered in time is pushed back before any part is sent: parts that end too
     // late to be of use would still take their servers' time, and under load would make the next requests
     // late too.
-    if (selection.timely_weight + kRounding < type.least_share)
-        return give_up(request, GiveUpReason::kNoHope);
+    if (selection.timely_weight + kRounding < type.min_share)
+        return give_up(request, GiveUpReason::kWaitTooLong);
     double covered = 0;
     auto allowed = admission_.parts_allowed();
     for (const auto& ranked : selection.parts) {
@@ -308,26 +308,27 @@
 
 void RequestLifecycle::review(MultigetState& request) {
     if (request.awaits_second_step && inboxes_.now < request.answer_by) return;
-    if (request.awaits_second_step) return give_up(request, GiveUpReason::kTimeOver);
+    if (request.awaits_second_step) return give_up(request, GiveUpReason::kDeadlineExceeded);
 
     const auto& type = type_of(request.arrival);
     const auto tally = request.tally();
     const double need = request.step == 1 ? type.whole_share : 1;
     const bool enough = tally.all_answered || (need < 1 && tally.answered_weight + kRounding >= need);
     const bool whole = enough && request.first_step_whole;
-    const bool floor_reached = tally.all_answered || tally.answered_weight + kRounding >= type.least_share;
+    const bool floor_reached = tally.all_answered || tally.answered_weight + kRounding >= type.min_share;
     if (whole || (floor_reached && tally.parts_open == 0)) return answer(request, type, whole);
-    if (tally.parts_open == 0 || tally.answered_weight + tally.open_weight + kRounding < type.least_share)
+    if (tally.parts_open == 0 || tally.answered_weight + tally.open_weight + kRounding < type.min_share)
         return give_up(request, GiveUpReason::kPartsLost);
     if (inboxes_.now >= request.answer_by)
-        return floor_reached ? answer(request, type, false) : give_up(request, GiveUpReason::kTimeOver);
+        return floor_reached ? answer(request, type, false)
+                             : give_up(request, GiveUpReason::kDeadlineExceeded);
     if (inboxes_.now < request.step_ends) return;
     // A partial answer in time is preferred where it earns more than a whole one that is late. A request that
     // earns nothing late is given up at the end of its budget.
-    if (floor_reached && type.short_importance * tally.answered_weight > type.late_importance)
+    if (floor_reached && type.partial_importance * tally.answered_weight > type.late_importance)
         return answer(request, type, false);
     if (type.late_importance <= 0 && inboxes_.now >= request.budget_ends)
-        give_up(request, GiveUpReason::kTimeOver);
+        give_up(request, GiveUpReason::kDeadlineExceeded);
 }
 
 void RequestLifecycle::answer(MultigetState& request, const OpType& type, bool whole) {
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -21,9 +21,9 @@
     const auto age = static_cast<double>(std::max<Time>(0, now - started_at_));
     const double warmth = config_.from + (1 - config_.from) * age / static_cast<double>(config_.warm_after);
     const double throughput = std::max(stats.throughput, 1 / stats.low_latency / front_nodes_);
-    const double share = kSafetyFactor * config_.fall_multiple * warmth * throughput;
+    const double share = kSafetyFactor * config_.overload_multiple * warmth * throughput;
     const double rate = std::clamp(front_nodes_ * share - others_rate_, 0.0, share);
-    const double max_slots = std::max(1.0, rate * static_cast<double>(config_.tip_after) / 2);
+    const double max_slots = std::max(1.0, rate * static_cast<double>(config_.overload_after) / 2);
     slots_ = std::min(max_slots, slots_ + rate * static_cast<double>(now - accrued_to_));
     accrued_to_ = now;
     // With an initial share of 0 the rate is 0 at first. A slot is free at the latest when the server is
--- a/src/service/client_side.cpp
+++ b/src/service/client_side.cpp
@@ -245,9 +245,9 @@
         connection.ticket = 0;
 
         // After a malformed request the position in the stream is unknown: the client must reconnect.
-        open = request.state() == State::kDone && request.keeps_open() && !reply->close_after &&
+        open = request.state() == State::kDone && request.keep_alive() && !reply->close_after &&
                scheduler_.now() < serve_until_;
-        const auto text = parse::http_answer(reply->status, reply->headers, reply->body, !open);
+        const auto text = parse::http_response(reply->status, reply->headers, reply->body, !open);
         const Time deadline = scheduler_.now() + write_timeout_;
         for (std::size_t written = 0; written < text.size();) {
             written += stream.write(std::string_view(text).substr(written));
@@ -258,7 +258,7 @@
         connection.phase_since = scheduler_.now();
     }
     // Closing a connection with unread input resets it and may destroy the answer in transit.
-    net::end_writing(stream.fd());
+    net::shutdown_write(stream.fd());
     connection.phase = Connection::Phase::kLeaving;
     const Time deadline = scheduler_.now() + kSecond;
     for (std::size_t discarded = 0;
--- a/src/service/exchange.cpp
+++ b/src/service/exchange.cpp
@@ -101,7 +101,7 @@
 // Requests are rejected while the number of open multigets and unanswered parts has reached the limit. The
 // last accepted multiget may exceed it, and answered parts do not count: otherwise a node with two multigets
 // of the largest size would reject a third one that the settings allow for.
-Acceptance Dispatcher::could_take(const std::string& name) const {
+Acceptance Dispatcher::check_acceptance(const std::string& name) const {
     if (open_count() >= max_open_) {
         counters_.add(Count::kNoRoom);
         log_.event(Level::kInfo, "no_room", "no room: " + std::to_string(open_count()) + " open",
@@ -113,7 +113,7 @@
 }
 
 SubmitResult Dispatcher::ask(MultigetRequest multiget, std::function<void(MultigetResult)> ended) {
-    if (const auto acceptance = could_take(multiget.name); acceptance != Acceptance::kTaken) {
+    if (const auto acceptance = check_acceptance(multiget.name); acceptance != Acceptance::kTaken) {
         request_log_.rejected(multiget.name, acceptance == Acceptance::kNoRoom ? "no room" : "name in use");
         return {acceptance, 0};
     }
--- a/src/service/exchange.hpp
+++ b/src/service/exchange.hpp
@@ -89,7 +89,7 @@
 
     SubmitResult ask(MultigetRequest multiget, std::function<void(MultigetResult)> ended) override;
     store::PartOutcomes leave(Ticket ticket) override;
-    Acceptance could_take(const std::string& name) const override;
+    Acceptance check_acceptance(const std::string& name) const override;
 
     // Reports the outcome of a send, exactly once for each send. The value is used with kReturned only.
     void finish_send(const PartSend& send, Outcome outcome, std::vector<double> load = {},
--- a/src/service/front_door.cpp
+++ b/src/service/front_door.cpp
@@ -19,8 +19,8 @@
 ServerListConfig on_sockets(ServerListConfig terms, Time connect_timeout) {
     if (terms.ask) return terms;
     terms.ask = true;
-    terms.own_agent = true;
-    terms.must_ask_in = terms.stop_within > 0 ? terms.stop_within : connect_timeout;
+    terms.dedicated_agent = true;
+    terms.refresh_within = terms.stop_sending_within > 0 ? terms.stop_sending_within : connect_timeout;
     return terms;
 }
 
@@ -28,16 +28,16 @@
 FrontNode make_node(std::uint64_t seed, const stated::Settings& stated, const ReplicaMap* holders,
                     const placement::PlacementConfig& placement) {
     auto ring = stated.shard_ring();
-    auto further = stated.further_send_terms();
+    auto further = stated.further_send_config();
     ring.holders = holders;
     if (holders != nullptr) {
         further.floor *= 1 - placement.further_share;
         further.ratio *= 1 - placement.further_share;
     }
-    return FrontNode(seed, stated.node_place(), stated.op_types(), ring, stated.send_terms(), further,
-                     stated.cold_terms(),
-                     on_sockets(stated.list_terms(), stated.send_terms().connect_timeout),
-                     stated.client_terms(), stated.tenants(), stated.hint_terms());
+    return FrontNode(seed, stated.node_place(), stated.op_types(), ring, stated.send_config(), further,
+                     stated.cold_start_config(),
+                     on_sockets(stated.server_list_config(), stated.send_config().connect_timeout),
+                     stated.client_config(), stated.tenants(), stated.hint_config());
 }
 
 Time longest_timeout(const stated::Settings& stated) {
@@ -73,21 +73,21 @@
       dispatcher_(scheduler,
                   make_node(launch.seed(), launch.settings(), placement_.get(), installation.placement),
                   launch.settings().node_place().turn, launch.settings().most_open(),
-                  launch.settings().send_terms().most_sends, counters_, log_),
+                  launch.settings().send_config().most_sends, counters_, log_),
       keeper_(make_keeper(installation)), peers_(make_peers(installation)),
       limiter_(make_limits(installation)),
       server_connections_(scheduler, dispatcher_, counters_, log_, launch.settings().report_fields(),
                           launch.settings().shard_ring().parts_per_call,
                           launch.settings().streams_per_connection(),
-                          launch.settings().send_terms().connect_timeout, launch.settings().connection_idle(),
-                          descriptors_.for_servers(),
+                          launch.settings().send_config().connect_timeout,
+                          launch.settings().connection_idle(), descriptors_.for_servers(),
                           kIdlePerOpenRequest * static_cast<std::size_t>(launch.settings().most_open())),
       list_client_(scheduler, dispatcher_, counters_, log_, launch.discovery(),
                    launch.settings().zone_names()),
       client_connections_(
           scheduler, request_handler(), counters_, log_, launch.listen(), launch.settings().op_type_names(),
           launch.settings().tenant_names(), launch.settings().shards(), longest_timeout(launch.settings()),
-          launch.settings().send_terms().connect_timeout, max_clients(launch, descriptors_),
+          launch.settings().send_config().connect_timeout, max_clients(launch, descriptors_),
           keeper_ != nullptr, [this] { return print_counters(); },
           [this] { return dispatcher_.has_servers(); }),
       reload_waiter_(scheduler) {
@@ -137,7 +137,7 @@
 std::unique_ptr<store::RecordKeeper> FrontNodeService::make_keeper(const stated::NodeSettings& installation) {
     if (installation.store.kind == store::Kind::kNone) return nullptr;
     const auto& settings = launch_.settings();
-    const auto terms = settings.client_terms();
+    const auto terms = settings.client_config();
     store::RecordKeeperConfig recorded{launch_.name(),
                                        settings.op_type_names(),
                                        settings.tenant_names(),
@@ -169,7 +169,7 @@
 std::unique_ptr<FleetLimiter> FrontNodeService::make_limits(const stated::NodeSettings& installation) {
     if (!installation.fleet.on) return nullptr;
     const auto& settings = launch_.settings();
-    const auto terms = settings.client_terms();
+    const auto terms = settings.client_config();
     try {
         return std::make_unique<FleetLimiter>(
             scheduler_, recording_handler(), dispatcher_, peers_.get(), log_, installation.fleet,
@@ -212,19 +212,19 @@
         const auto& type = types[i];
         const auto rule = terms.merge.find(names[i]);
         gather.op_types.push_back({rule == terms.merge.end() ? placement::MergeRule::kWhole : rule->second,
-                                   type.repeat == RetrySafety::kRetriable, type.least_share, type.whole_share,
+                                   type.repeat == RetrySafety::kRetriable, type.min_share, type.whole_share,
                                    type.latency_budget});
     }
-    const auto further = settings.further_send_terms();
+    const auto further = settings.further_send_config();
     gather.splits = static_cast<std::uint64_t>(settings.shards());
     gather.further_floor = further.floor * terms.further_share;
     gather.further_ratio = further.ratio * terms.further_share;
     gather.further_look_back = further.look_back;
     gather.ask_again = terms.ask_again;
-    gather.answer_grace = settings.client_terms().answer_grace;
-    gather.most_legs = terms.most_legs;
-    gather.cold_from = settings.cold_terms().from;
-    gather.warm_after = settings.cold_terms().warm_after;
+    gather.answer_grace = settings.client_config().answer_grace;
+    gather.max_rounds = terms.max_rounds;
+    gather.cold_from = settings.cold_start_config().from;
+    gather.warm_after = settings.cold_start_config().warm_after;
     return std::make_unique<PlacementHandler>(scheduler_, log_, terms, std::move(gather), launch_.discovery(),
                                               launch_.seed());
 }
@@ -256,7 +256,7 @@
         list_client_.move_to(newer.discovery());
         if (placement_) placement_->move_to(newer.discovery());
         std::string line = "reload: discovery is at " + net::to_text(newer.discovery());
-        for (const auto& key : launch_.needing_restart(newer)) line += "; " + key + " needs a restart";
+        for (const auto& key : launch_.keys_needing_restart(newer)) line += "; " + key + " needs a restart";
         log_.event(Level::kInfo, "reloaded", line);
         return {};
     } catch (const std::exception& error) {
--- a/src/service/limit_side.cpp
+++ b/src/service/limit_side.cpp
@@ -27,7 +27,7 @@
         case Of::kMultigets: return gate.need(now);
         case Of::kFurtherSends:
             return 1 + further_demand.need(now);  // sends that the share prevented are not visible
-        case Of::kConnections: return pace.need(now, may_use(now));
+        case Of::kConnections: return pace.need(now, allowance(now));
         case Of::kPartsOut: return parts_out.need();
     }
     return 0;
@@ -67,7 +67,7 @@
             case fleet::LimitConfig::Kind::kAbout:
                 limit.about.emplace(terms.about(each, options.nodes));
                 break;
-            case fleet::LimitConfig::Kind::kNeverOver: {
+            case fleet::LimitConfig::Kind::kStrict: {
                 const auto& self = carrier->membership().self();
                 limit.leases.emplace(each.name, self.name, self.life, terms.leases(each, options.nodes),
                                      scheduler.now());
@@ -92,9 +92,9 @@
 
 void FleetLimiter::register_handlers() {
     carrier_->watch([this](const peers::MembershipChange&) { update_members(); });
-    carrier_->read_letters(fleet::kLeaseTopic, [this](const std::string& from, const std::string& bytes) {
-        receive_lease(from, bytes);
-    });
+    carrier_->set_direct_message_handler(
+        fleet::kLeaseTopic,
+        [this](const std::string& from, const std::string& bytes) { receive_lease(from, bytes); });
     carrier_->answer_to("limits", [this](std::string_view) { return print(); });
     update_members();
 }
@@ -173,7 +173,7 @@
     const double sent = dispatcher_.further_sends();
     const double recent = sent - std::exchange(further_sends_seen_, sent);
     for (auto& each : limits_) {
-        const double share_now = each->may_use(now);
+        const double share_now = each->allowance(now);
         if (each->terms.of == Of::kPartsOut) {
             each->parts_out.see(now, most_out);
             share.parts_out = std::min(share.parts_out, static_cast<int>(std::min(share_now, 1e9)));
@@ -184,8 +184,8 @@
         } else {
             continue;
         }
-        if (each->leases && each->leases->held_until() > now)
-            share.until = std::min(share.until, each->leases->held_until());
+        if (each->leases && each->leases->lease_expires_at() > now)
+            share.until = std::min(share.until, each->leases->lease_expires_at());
     }
     dispatcher_.notify(share);
     next_module_update_at_ = now + kUpdateInterval;
@@ -198,15 +198,15 @@
     for (auto& each : limits_) {
         if (each->terms.of == Of::kConnections) paces.push_back(each.get());
     }
-    return fleet::turned_away_by(
-               paces, [&](Limit* each) { return each->pace.has_room(now, server, each->may_use(now)); },
-               [&](Limit* each) { each->pace.may_open(now, server, each->may_use(now)); })
+    return fleet::acquire_all(
+               paces, [&](Limit* each) { return each->pace.has_room(now, server, each->allowance(now)); },
+               [&](Limit* each) { each->pace.try_open(now, server, each->allowance(now)); })
         .empty();
 }
 
 void FleetLimiter::send_leases(std::vector<fleet::OutgoingLeaseMessage> all) {
     for (auto& each : all)
-        carrier_->send_letter(each.to, fleet::kLeaseTopic, fleet::write_lease(each.message));
+        carrier_->send_direct_message(each.to, fleet::kLeaseTopic, fleet::write_lease(each.message));
 }
 
 void FleetLimiter::receive_lease(const std::string& from, const std::string& bytes) {
@@ -233,7 +233,7 @@
 
 // Reads the clock for each request: after a suspension nothing that has expired meanwhile is used.
 SubmitResult FleetLimiter::ask(MultigetRequest multiget, std::function<void(MultigetResult)> ended) {
-    if (const auto acceptance = inner_.could_take(multiget.name); acceptance != Acceptance::kTaken)
+    if (const auto acceptance = inner_.check_acceptance(multiget.name); acceptance != Acceptance::kTaken)
         return {acceptance, 0};
     const auto now = scheduler_.now();
     std::vector<Limit*> gates;
@@ -243,15 +243,15 @@
         if (each->op_type >= 0 && each->op_type != multiget.op_type) continue;
         gates.push_back(each.get());
     }
-    const auto exhausted = fleet::turned_away_by(
-        gates, [&](Limit* each) { return each->gate.has_room(now, each->may_use(now)); },
-        [&](Limit* each) { each->gate.pass(now, each->may_use(now)); });
+    const auto exhausted = fleet::acquire_all(
+        gates, [&](Limit* each) { return each->gate.has_room(now, each->allowance(now)); },
+        [&](Limit* each) { each->gate.pass(now, each->allowance(now)); });
     if (exhausted.empty()) return inner_.ask(std::move(multiget), std::move(ended));
     MultigetResult ending;
     ending.kind = MultigetResult::Kind::kPushedBack;
     for (auto* each : exhausted) {
         if (max_retry_after_ > 0)
-            ending.wait = std::max(ending.wait, each->gate.wait(each->may_use(now), max_retry_after_));
+            ending.wait = std::max(ending.wait, each->gate.wait(each->allowance(now), max_retry_after_));
     }
     ended(std::move(ending));
     return {Acceptance::kTaken, 0};
@@ -265,7 +265,7 @@
         std::snprintf(text, sizeof text, "%s, %s, %.6g%s, burst %.6g: here %.6g, ", each->terms.name.c_str(),
                       fleet::name_of(each->terms.of), each->terms.per_second,
                       each->terms.of == Of::kPartsOut ? " at once" : " a second", each->terms.burst,
-                      each->may_use(now));
+                      each->allowance(now));
         out += text;
         if (each->leases) {
             const auto owner = each->leases->owner().empty() ? "unknown" : each->leases->owner();
@@ -292,7 +292,7 @@
             append_line(out, name + "turned_away", each->gate.turned_away());
         }
         if (each->terms.of == Of::kConnections) append_line(out, name + "put_off", each->pace.put_off());
-        append_line(out, name + "share", static_cast<std::uint64_t>(each->may_use(now)));
+        append_line(out, name + "share", static_cast<std::uint64_t>(each->allowance(now)));
         if (!each->leases) continue;
         const auto& counts = each->leases->counts();
         append_line(out, name + "owned", each->leases->owns(now) ? 1U : 0U);
--- a/src/service/limit_side.hpp
+++ b/src/service/limit_side.hpp
@@ -38,7 +38,9 @@
     void stop();  // gives back leased shares
     SubmitResult ask(MultigetRequest multiget, std::function<void(MultigetResult)> ended) override;
     store::PartOutcomes leave(Ticket multiget) override { return inner_.leave(multiget); }
-    Acceptance could_take(const std::string& name) const override { return inner_.could_take(name); }
+    Acceptance check_acceptance(const std::string& name) const override {
+        return inner_.check_acceptance(name);
+    }
     bool limits_connections() const { return has_limit(fleet::LimitConfig::Of::kConnections); }
     bool may_connect(net::Endpoint at);
     std::string print_gauges() const;
@@ -57,8 +59,8 @@
         fleet::TokenBucket further_sends;
         fleet::DemandEstimator further_demand;
         bool owned = false;
-        double may_use(Time now) {
-            return leases ? leases->may_use(now) : about ? about->may_use(now) : even_share;
+        double allowance(Time now) {
+            return leases ? leases->allowance(now) : about ? about->allowance(now) : even_share;
         }
         double need(Time now);
         std::string print_use() const;
--- a/src/service/list_share.cpp
+++ b/src/service/list_share.cpp
@@ -46,7 +46,7 @@
 void ServerListRelay::start() {
     list_client_.set_listener(*this);
     carrier_.watch([this](const peers::MembershipChange&) { waiter_.signal(); });
-    carrier_.take_guests([this](net::Stream& stream) { return serve_follower(stream); });
+    carrier_.set_http_handler([this](net::Stream& stream) { return serve_follower(stream); });
     task_ = run();
     task_.start([this](std::exception_ptr failure) {
         if (failure) scheduler_.defer([failure] { std::rethrow_exception(failure); });
@@ -178,7 +178,7 @@
 // passed through, and a node that finds itself among them has no source. Without this check two nodes relayed
 // one full list to each other thousands of times a second; it never grew old, and they missed every change.
 void ServerListRelay::on_alive(const SourceInfo& source) {
-    if (source_selection_.is_circle(source.via)) {
+    if (source_selection_.is_cycle(source.via)) {
         ++cycles_detected_;
         has_list_ = false;
         return drop_source("it gets the list from this node");
@@ -281,7 +281,7 @@
         follower.pending =
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(list_text(true, all));
     } else {
-        follower.pending = parse::http_answer(503, "", "no list to pass on", true);
+        follower.pending = parse::http_response(503, "", "no list to pass on", true);
     }
     while (!stream.broken()) {
         if (waiter.may(net::kRead)) {
--- a/src/service/log.hpp
+++ b/src/service/log.hpp
@@ -19,10 +19,10 @@
 namespace pinedoor::service {
 
 enum class Level { kDebug, kInfo, kWarning, kError };
-enum class LogFormat { kPairs, kJson };
+enum class LogFormat { kKeyValue, kJson };
 
 struct LogOptions {
-    LogFormat format = LogFormat::kPairs;
+    LogFormat format = LogFormat::kKeyValue;
     Level least = Level::kInfo;
 };
 
--- a/src/service/placement_side.cpp
+++ b/src/service/placement_side.cpp
@@ -64,7 +64,7 @@
 
 bool PlacementHandler::handle_object(const std::string& line) {
     using Effect = MapFollower::Did;
-    const auto result = follower_.hear(scheduler_.now(), read_map_news(line, box_names_));
+    const auto result = follower_.hear(scheduler_.now(), read_map_update(line, box_names_));
     if (result.did == Effect::kRefused) log_.event(Level::kWarning, "map_refused", result.why);
     if (result.did == Effect::kOlder || result.did == Effect::kAside)
         log_.event(Level::kInfo, "map_waits", result.why);
@@ -83,7 +83,7 @@
 net::Task PlacementHandler::run() {
     for (;;) {
         const Time now = scheduler_.now();
-        if (follower_.wants_whole(now)) watch();
+        if (follower_.should_request_map(now)) watch();
         if (now >= wake_at_) {
             wake_at_ = net::kNever;
             execute_all(gatherer_.tick(now));
@@ -105,7 +105,8 @@
 }
 
 SubmitResult PlacementHandler::ask(MultigetRequest multiget, std::function<void(MultigetResult)> ended) {
-    if (const auto acceptance = dispatcher_->could_take(multiget.name); acceptance != Acceptance::kTaken)
+    if (const auto acceptance = dispatcher_->check_acceptance(multiget.name);
+        acceptance != Acceptance::kTaken)
         return {acceptance, 0};
     const auto number = ++last_number_;
     GatherRequest request{multiget.op_type, multiget.not_after, {}};
@@ -120,7 +121,7 @@
     const auto at = open_.find(multiget);
     if (at == open_.end()) return {};
     std::vector<std::pair<Route, FragmentFate>> known;
-    for (const int leg : gatherer_.open_legs(multiget)) {
+    for (const int leg : gatherer_.open_rounds(multiget)) {
         for (const auto& [route, fate] : dispatcher_->leave(at->second.legs[leg]))
             known.emplace_back(route, from_store(fate));
     }
@@ -149,7 +150,7 @@
     std::vector<ServerId> servers;
     const auto* piece = gatherer_.piece(shard);
     if (piece == nullptr) return servers;
-    for (const auto box : gatherer_.boxes_now(scheduler_.now(), *piece)) {
+    for (const auto box : gatherer_.eligible_servers(scheduler_.now(), *piece)) {
         if (const auto server = dispatcher_->find_server(box_names_.name(box))) servers.push_back(*server);
     }
     return servers;
@@ -192,7 +193,7 @@
     }
     const auto [acceptance, ticket] = dispatcher_->ask(
         std::move(multiget), [this, number = leg.number, which = leg.leg](MultigetResult ending) {
-            leg_ended(number, which, std::move(ending));
+            on_round_ended(number, which, std::move(ending));
         });
     if (acceptance == Acceptance::kTaken) {
         if (const auto still = open_.find(leg.number); still != open_.end())
@@ -201,10 +202,10 @@
     }
     MultigetResult none;
     none.kind = MultigetResult::Kind::kPushedBack;
-    leg_ended(leg.number, leg.leg, std::move(none));
+    on_round_ended(leg.number, leg.leg, std::move(none));
 }
 
-void PlacementHandler::leg_ended(Number number, int leg, MultigetResult ending) {
+void PlacementHandler::on_round_ended(Number number, int leg, MultigetResult ending) {
     RoundResult result;
     result.kind = ending.kind == MultigetResult::Kind::kAnswered     ? RoundResult::Kind::kAnswered
                   : ending.kind == MultigetResult::Kind::kPushedBack ? RoundResult::Kind::kPushedBack
@@ -212,7 +213,7 @@
     result.wait = ending.wait;
     for (auto& [route, value] : ending.values) result.values.emplace_back(route, std::move(value));
     for (const auto& [route, fate] : ending.parts) result.fates.emplace_back(route, from_store(fate));
-    execute_all(gatherer_.leg_ended(scheduler_.now(), number, leg, std::move(result)));
+    execute_all(gatherer_.on_round_ended(scheduler_.now(), number, leg, std::move(result)));
 }
 
 void PlacementHandler::execute(const gathering::AbandonRound& leg) {
@@ -221,7 +222,7 @@
 }
 
 void PlacementHandler::execute(const gathering::RequestMap& want) {
-    follower_.epoch_seen(scheduler_.now(), want.shard, want.epoch);
+    follower_.on_epoch_seen(scheduler_.now(), want.shard, want.epoch);
     waiter_.signal();
 }
 
--- a/src/service/placement_side.hpp
+++ b/src/service/placement_side.hpp
@@ -34,7 +34,9 @@
 
     SubmitResult ask(MultigetRequest multiget, std::function<void(MultigetResult)> ended) override;
     store::PartOutcomes leave(Ticket multiget) override;
-    Acceptance could_take(const std::string& name) const override { return dispatcher_->could_take(name); }
+    Acceptance check_acceptance(const std::string& name) const override {
+        return dispatcher_->check_acceptance(name);
+    }
 
     std::shared_ptr<const std::string> request_text(int route,
                                                     const std::shared_ptr<const std::string>& text) override;
@@ -59,7 +61,7 @@
     void execute(const placement::gathering::RequestMap& want);
     void execute(const placement::gathering::Wake& wake);
     void execute(const placement::gathering::End& end);
-    void leg_ended(placement::Number number, int leg, MultigetResult ending);
+    void on_round_ended(placement::Number number, int leg, MultigetResult ending);
 
     net::Scheduler& scheduler_;
     Log& log_;
--- a/src/service/request_handler.hpp
+++ b/src/service/request_handler.hpp
@@ -66,7 +66,7 @@
     // Abandons a multiget. Returns the fates of its parts; empty if it has ended.
     virtual store::PartOutcomes leave(Ticket multiget) = 0;
     // What submit() would return now.
-    virtual Acceptance could_take(const std::string& name) const = 0;
+    virtual Acceptance check_acceptance(const std::string& name) const = 0;
 };
 
 }  // namespace pinedoor::service
--- a/src/service/request_log.cpp
+++ b/src/service/request_log.cpp
@@ -7,11 +7,11 @@
 std::string_view name_of(GiveUpReason reason) {
     switch (reason) {
         case GiveUpReason::kListExpired: return "the list has expired";
-        case GiveUpReason::kNoHope: return "no replica can answer in time";
+        case GiveUpReason::kWaitTooLong: return "no replica can answer in time";
         case GiveUpReason::kNoCredit: return "more parts than this node's credit";
-        case GiveUpReason::kDeadly: return "servers died under it";
+        case GiveUpReason::kDeadlyKey: return "servers died under it";
         case GiveUpReason::kPartsLost: return "too few parts are left";
-        case GiveUpReason::kTimeOver: break;
+        case GiveUpReason::kDeadlineExceeded: break;
     }
     return "its time is over";
 }
--- a/src/simhost/main.cpp
+++ b/src/simhost/main.cpp
@@ -19,9 +19,9 @@
 
 FrontNode make_node(const pinedoor::wire::Hello& hello, const pinedoor::stated::Settings& settings) {
     return FrontNode(hello.seed, settings.node_place(), settings.op_types(), settings.shard_ring(),
-                     settings.send_terms(), settings.further_send_terms(), settings.cold_terms(),
-                     settings.list_terms(), settings.client_terms(), settings.tenants(),
-                     settings.hint_terms());
+                     settings.send_config(), settings.further_send_config(), settings.cold_start_config(),
+                     settings.server_list_config(), settings.client_config(), settings.tenants(),
+                     settings.hint_config());
 }
 
 // One front node of the simulation. Its events are collected over a batch, and processed in one turn.
--- a/src/stated/fleet_file.cpp
+++ b/src/stated/fleet_file.cpp
@@ -15,12 +15,12 @@
 
 void read_limits(TomlTable table, PlanConfig& terms) {
     terms.fill = table.number("fill", terms.fill, 0.01, 1);
-    terms.near_enough = table.number("near_enough", terms.near_enough, 0, 10);
+    terms.balance_tolerance = table.number("near_enough", terms.balance_tolerance, 0, 10);
     const auto count = [&table](const char* key, std::size_t default_value, std::int64_t min_value) {
         return static_cast<std::size_t>(
             table.whole(key, static_cast<std::int64_t>(default_value), min_value, kMaxCount));
     };
-    terms.most_copies = count("most_copies", terms.most_copies, 0);
+    terms.max_balancing_copies = count("most_copies", terms.max_balancing_copies, 0);
     terms.at_once = count("at_once", terms.at_once, 1);
     terms.at_once_box = count("at_once_box", terms.at_once_box, 1);
     terms.sound = count("sound", terms.sound, 1);
--- a/src/stated/fleet_file.hpp
+++ b/src/stated/fleet_file.hpp
@@ -1,7 +1,7 @@
 // Reads the TOML description of a fleet for `pinedoor shards check` and `plan` (example in
 // docs/placement.md):
 //
-//   [limits]   fill, near_enough, most_copies, at_once, at_once_box, sound
+//   [limits]   fill, balance_tolerance, max_balancing_copies, at_once, at_once_box, sound
 //   [[boxes]]  name, zone, capacity, space, draining
 //   [[shards]] id, replicas = ["s-1", "s-2"] (the first is the owner), reads, writes, size, wanted, pinned,
 //              never_on
--- a/src/stated/installation.cpp
+++ b/src/stated/installation.cpp
@@ -28,22 +28,24 @@
 }
 
 void read_write(TomlTable table, store::WriteConfig& terms) {
-    terms.most_batch = read_size(table, "most_batch", terms.most_batch, 1, 1, 10'000);
-    terms.most_waiting = read_size(table, "most_waiting", terms.most_waiting, 1, 1, 1'000'000);
+    terms.max_batch = read_size(table, "most_batch", terms.max_batch, 1, 1, 10'000);
+    terms.max_pending = read_size(table, "most_waiting", terms.max_pending, 1, 1, 1'000'000);
     terms.gather = read_time(table, "gather_ms", terms.gather, 0, 1'000);
     terms.slow_after = read_time(table, "slow_after_ms", terms.slow_after, 1, 60'000);
     terms.intent_share = table.number("intent_share", terms.intent_share, 0, 1);
     terms.answer_share = table.number("answer_share", terms.answer_share, 0, 1);
-    terms.reopen_from = read_time(table, "reopen_from_ms", terms.reopen_from, 1, 60'000);
-    terms.reopen_to = read_time(table, "reopen_to_ms", terms.reopen_to, 1, 600'000);
-    if (terms.reopen_to < terms.reopen_from) table.reject("reopen_to_ms", "is under reopen_from_ms");
+    terms.min_reopen_delay = read_time(table, "reopen_from_ms", terms.min_reopen_delay, 1, 60'000);
+    terms.max_reopen_delay = read_time(table, "reopen_to_ms", terms.max_reopen_delay, 1, 600'000);
+    if (terms.max_reopen_delay < terms.min_reopen_delay)
+        table.reject("reopen_to_ms", "is under reopen_from_ms");
     table.finish();
 }
 
 void read_spill(TomlTable table, store::StoreConfig& terms) {
     terms.write.spill_bytes = read_size(table, "most_mb", terms.write.spill_bytes, kMb, 1, 1'000'000);
     terms.spill_file_bytes = read_size(table, "file_mb", terms.spill_file_bytes, kMb, 1, 1'000);
-    terms.write.outcome_room = read_size(table, "outcome_room", terms.write.outcome_room, 1, 256, 65'536);
+    terms.write.outcome_reserve =
+        read_size(table, "outcome_room", terms.write.outcome_reserve, 1, 256, 65'536);
     table.finish();
 }
 
@@ -89,7 +91,7 @@
     terms.path = table.text("path", terms.path);
     if (terms.path.empty() || terms.path.front() != '/') table.reject("path", "must begin with /");
     terms.further_share = table.number("further_share", terms.further_share, 0, 1);
-    terms.most_legs = static_cast<int>(table.whole("most_legs", terms.most_legs, 1, 100));
+    terms.max_rounds = static_cast<int>(table.whole("most_legs", terms.max_rounds, 1, 100));
     terms.ask_again = read_time(table, "ask_again_ms", terms.ask_again, 1, 60'000);
     auto merge = table.table("merge");
     for (const auto& name : merge.keys()) {
@@ -190,8 +192,8 @@
         if (!at_once) limit.burst = entry.number("burst", limit.per_second / 10, 0, 1e9);
         using Kind = fleet::LimitConfig::Kind;
         const auto kind = entry.word("kind", {"never-over", "about", "alone"});
-        limit.kind = kind == "about" ? Kind::kAbout : kind == "alone" ? Kind::kAlone : Kind::kNeverOver;
-        if (at_once && limit.kind == Kind::kNeverOver)
+        limit.kind = kind == "about" ? Kind::kAbout : kind == "alone" ? Kind::kAlone : Kind::kStrict;
+        if (at_once && limit.kind == Kind::kStrict)
             entry.reject("kind",
                          "must be \"about\" or \"alone\" here: an outstanding part can outlive the share "
                          "under which it was sent");
@@ -203,14 +205,14 @@
             std::count_if(terms.limits.begin(), terms.limits.end(),
                           [kind](const auto& entry) { return entry.kind == kind; }));
     };
-    if (count(fleet::LimitConfig::Kind::kAbout) > fleet::kMostAbout)
+    if (count(fleet::LimitConfig::Kind::kAbout) > fleet::kMaxApproximateLimits)
         table.reject("limits", "has more than twenty entries of kind \"about\"");
     if (terms.on && !peers && terms.needs_peers())
         table.reject("on",
                      "needs [peers] unless all limits are of kind \"alone\": peers divide the other limits "
                      "among themselves");
     const auto voters = terms.voters.size();
-    if (terms.on && (count(fleet::LimitConfig::Kind::kNeverOver) > 0 || voters > 0) &&
+    if (terms.on && (count(fleet::LimitConfig::Kind::kStrict) > 0 || voters > 0) &&
         (voters % 2 == 0 || voters > 7))
         table.reject("voters", "must be 1, 3, 5 or 7 names of front nodes, the same on all of them");
     table.finish();
--- a/src/stated/launch.cpp
+++ b/src/stated/launch.cpp
@@ -91,7 +91,7 @@
     for (const char* key : {"name", "listen", "limits", "settings"}) fixed_values_[key] = *file.member(key);
 }
 
-std::vector<std::string> LaunchConfig::needing_restart(const LaunchConfig& newer) const {
+std::vector<std::string> LaunchConfig::keys_needing_restart(const LaunchConfig& newer) const {
     std::vector<std::string> keys;
     for (const auto& [key, value] : fixed_values_) {
         if (newer.fixed_values_.at(key) != value) keys.push_back(key);
--- a/src/stated/launch.hpp
+++ b/src/stated/launch.hpp
@@ -28,7 +28,7 @@
     // and would hide changes in the file.
     LaunchConfig read_again() const;
     // The keys that differ in `newer` and take effect only after a restart.
-    std::vector<std::string> needing_restart(const LaunchConfig& newer) const;
+    std::vector<std::string> keys_needing_restart(const LaunchConfig& newer) const;
 
     const std::string& name() const { return name_; }
     net::Endpoint listen() const { return listen_; }
--- a/src/stated/stated.cpp
+++ b/src/stated/stated.cpp
@@ -160,9 +160,9 @@
         }
         type.importance = number(prefix + "worth", 0, 1e9);
         type.late_importance = number(prefix + "late_worth", 0, 1);
-        type.least_share = list_number("family_info.min_share", i, 0, 1);
+        type.min_share = list_number("family_info.min_share", i, 0, 1);
         type.whole_share = list_number("family_info.need_by_class", i, 0, 1);
-        type.short_importance = list_number("family_info.short_worth", i, 0, 1);
+        type.partial_importance = list_number("family_info.short_worth", i, 0, 1);
         type.second_step_parts = static_cast<int>(list_number("family_info.follow_up", i, 0, kMaxCount));
     }
     return types;
@@ -173,11 +173,11 @@
     ring.places = whole("family_info.places", 1, kMaxCount);
     ring.width = whole("family_info.width", 1, ring.places);
     ring.parts_per_call = whole("family_info.per_call", 1, kMaxCount);
-    ring.call_cost = time("family_info.overhead_ms");
+    ring.call_overhead = time("family_info.overhead_ms");
     return ring;
 }
 
-SendConfig Settings::send_terms() const {
+SendConfig Settings::send_config() const {
     SendConfig terms;
     terms.most_sends = whole("limits.max_attempts", 1, kMaxCount);
     terms.second_copies = flag("limits.second_copies");
@@ -186,7 +186,7 @@
     return terms;
 }
 
-FurtherSendConfig Settings::further_send_terms() const {
+FurtherSendConfig Settings::further_send_config() const {
     FurtherSendConfig terms;
     if (find("rules.look_back_ms") == nullptr) return terms;
     terms.look_back = time("rules.look_back_ms");
@@ -195,32 +195,32 @@
     return terms;
 }
 
-ColdStartConfig Settings::cold_terms() const {
+ColdStartConfig Settings::cold_start_config() const {
     ColdStartConfig terms;
     terms.from = number("rules.cold_from", 0, 1);
     terms.warm_after = time("rules.warm_after_ms");
-    terms.fall_multiple = number("rules.fall_multiple", 0, 1e9);
-    terms.tip_after = time("rules.tip_after_ms");
+    terms.overload_multiple = number("rules.fall_multiple", 0, 1e9);
+    terms.overload_after = time("rules.tip_after_ms");
     return terms;
 }
 
-ServerListConfig Settings::list_terms() const {
+ServerListConfig Settings::server_list_config() const {
     ServerListConfig terms;
     const auto& mode = text("discovery");
     if (mode != "on_request" && mode != "pushed") {
         throw ConfigError("settings: discovery is unknown: '" + mode + "'");
     }
     terms.ask = mode == "on_request";
-    if (terms.ask) terms.must_ask_in = time("rules.must_ask_in_ms");
-    terms.stop_within = time("rules.stop_sending_within_ms");
+    if (terms.ask) terms.refresh_within = time("rules.must_ask_in_ms");
+    terms.stop_sending_within = time("rules.stop_sending_within_ms");
     return terms;
 }
 
-ClientConfig Settings::client_terms() const {
+ClientConfig Settings::client_config() const {
     ClientConfig terms;
     terms.retry_after = flag("limits.retry_after");
     terms.longest_retry_after = time("limits.max_retry_after_ms");
-    terms.marks_repeats = flag("clients.marks_retry");
+    terms.marks_retries = flag("clients.marks_retry");
     terms.answer_grace = time("rules.grace_to_answer_ms");
     return terms;
 }
@@ -235,7 +235,7 @@
     return tenants;
 }
 
-HintConfig Settings::hint_terms() const {
+HintConfig Settings::hint_config() const {
     HintConfig terms;
     terms.probes = flag("limits.probes");
     terms.peers = flag("limits.peers");
--- a/src/stated/stated.hpp
+++ b/src/stated/stated.hpp
@@ -29,13 +29,13 @@
     NodeConfig node_place() const;
     std::vector<OpType> op_types() const;
     ShardRing shard_ring() const;
-    SendConfig send_terms() const;
-    FurtherSendConfig further_send_terms() const;
-    ColdStartConfig cold_terms() const;
-    ServerListConfig list_terms() const;
-    ClientConfig client_terms() const;
+    SendConfig send_config() const;
+    FurtherSendConfig further_send_config() const;
+    ColdStartConfig cold_start_config() const;
+    ServerListConfig server_list_config() const;
+    ClientConfig client_config() const;
     std::vector<TenantQuota> tenants() const;
-    HintConfig hint_terms() const;
+    HintConfig hint_config() const;
 
     // Used only by the network code.
     std::vector<std::string> op_type_names() const;
--- a/src/store/decide.cpp
+++ b/src/store/decide.cpp
@@ -65,7 +65,7 @@
 void Recorder::on(const IntentSubmitted& submitted) {
     const EntryRef ref{Kind::kIntent, submitted.number};
     if (!expect(!entries_.contains(ref))) return;
-    if (entries_.size() >= config_.most_waiting) {
+    if (entries_.size() >= config_.max_pending) {
         actions_.emplace_back(
             RejectMultiget{submitted.number, RejectReason::kNoCapacity, false, retry_advice()});
         actions_.emplace_back(DiscardEntry{ref, false});
@@ -183,7 +183,7 @@
             --single_replays_left_;
             actions_.emplace_back(SetAsideSpilled{});
         } else {
-            single_replays_left_ = config_.most_batch;
+            single_replays_left_ = config_.max_batch;
         }
         return;
     }
@@ -243,7 +243,7 @@
     const auto refs = std::move(spill_write_->second);
     spill_write_.reset();
     spill_failing_ = !spilled.ok;
-    if (spill_failing_) spill_retry_at_ = now_ + config_.reopen_from;
+    if (spill_failing_) spill_retry_at_ = now_ + config_.min_reopen_delay;
     for (const auto& ref : refs) {
         const auto entry = entries_.find(ref);
         if (entry == entries_.end()) continue;
@@ -273,11 +273,11 @@
 bool Recorder::writes_directly() const {
     return condition_ == Condition::kUp && unreconciled_.empty() &&
            spill_entries_ + spill_queue_.size() + (spill_write_ ? spill_write_->second.size() : 0) <=
-               config_.most_batch;
+               config_.max_batch;
 }
 
 std::size_t Recorder::spill_free_bytes() const {
-    const auto used = spill_bytes_ + spill_pending_bytes_ + open_multigets_.size() * config_.outcome_room;
+    const auto used = spill_bytes_ + spill_pending_bytes_ + open_multigets_.size() * config_.outcome_reserve;
     return config_.spill_bytes - std::min(config_.spill_bytes, used);
 }
 
@@ -285,7 +285,7 @@
     const auto [ref, pending] = *entry;
     if (pending.store_only || writes_directly()) return queue_for_store(entry);
     const bool is_intent = ref.kind == Kind::kIntent;
-    const auto needed = pending.bytes + (is_intent ? config_.outcome_room : 0);
+    const auto needed = pending.bytes + (is_intent ? config_.outcome_reserve : 0);
     const bool fits = is_intent ? needed <= spill_free_bytes()
                                 : spill_bytes_ + spill_pending_bytes_ + needed <= config_.spill_bytes;
     if (fits && spill_usable()) return queue_for_spill(entry);
@@ -361,7 +361,7 @@
 
 // The time until the next attempt to open, or until a slow store may have recovered.
 Time Recorder::retry_advice() const {
-    return std::max(config_.reopen_from,
+    return std::max(config_.min_reopen_delay,
                     condition_ == Condition::kDown ? reopen_at_ - now_ : config_.slow_after);
 }
 
@@ -397,8 +397,9 @@
 
 void Recorder::mark_down() {
     const auto exponent = std::min(consecutive_failures_ - 1, 20);
-    const auto delay =
-        consecutive_failures_ == 0 ? 0 : std::min(config_.reopen_to, config_.reopen_from << exponent);
+    const auto delay = consecutive_failures_ == 0
+                           ? 0
+                           : std::min(config_.max_reopen_delay, config_.min_reopen_delay << exponent);
     ++consecutive_failures_;
     const double jitter =
         0.5 + 0.5 * (static_cast<double>(rng_()) / static_cast<double>(std::mt19937::max()));
@@ -434,7 +435,7 @@
         // Replay comes before new writes: the spill may hold the outcome of a key that a queued intent
         // claims.
         actions_.emplace_back(ReplaySpill{start_store_work(OutstandingWrite::Kind::kReplay, {}),
-                                          single_replays_left_ > 0 ? 1 : config_.most_batch});
+                                          single_replays_left_ > 0 ? 1 : config_.max_batch});
     } else if (auto refs = next_store_batch(); !refs.empty()) {
         for (const auto& ref : refs) {
             auto& pending = entries_.at(ref);
@@ -452,10 +453,10 @@
         if (entry != entries_.end() && entry->second.store_state == StoreState::kQueued) break;
         store_queue_.pop_front();
     }
-    const bool ready = store_queue_.size() >= config_.most_batch || single_writes_left_ > 0;
+    const bool ready = store_queue_.size() >= config_.max_batch || single_writes_left_ > 0;
     if (!ready && now_ < batch_started_at_ + config_.gather) return {};
     std::vector<EntryRef> refs;
-    const auto max_entries = single_writes_left_ > 0 ? 1 : config_.most_batch;
+    const auto max_entries = single_writes_left_ > 0 ? 1 : config_.max_batch;
     single_writes_left_ -= std::min<std::size_t>(single_writes_left_, 1);
     while (refs.size() < max_entries && !store_queue_.empty()) {
         const auto ref = store_queue_.front();
@@ -472,7 +473,7 @@
 void Recorder::start_spill_write() {
     if (spill_write_ || spill_queue_.empty() || !spill_usable()) return;
     std::vector<EntryRef> refs;
-    while (refs.size() < config_.most_batch && !spill_queue_.empty()) {
+    while (refs.size() < config_.max_batch && !spill_queue_.empty()) {
         const auto entry = entries_.find(spill_queue_.front());
         spill_queue_.pop_front();
         if (entry == entries_.end() || entry->second.spill_state != SpillState::kQueued) continue;
--- a/src/store/decide.hpp
+++ b/src/store/decide.hpp
@@ -42,9 +42,9 @@
 
 // Configuration of the writes to the store and the spill.
 struct WriteConfig {
-    std::size_t most_batch = 512;  // max. entries per write
+    std::size_t max_batch = 512;  // max. entries per write
     // max. entries in memory that are not durable yet; further intents are rejected
-    std::size_t most_waiting = 8192;
+    std::size_t max_pending = 8192;
     Time gather = 0;        // delay of a write after its first entry, 0.1 ms
     Time slow_after = 500;  // a write outstanding for longer makes the store slow, 0.1 ms
     // Share of the client's remaining time that an intent may take to become durable.
@@ -53,11 +53,11 @@
     double answer_share = 0.25;
     // Delay between attempts to open, in 0.1 ms: doubles up to max_reopen_delay, times a random
     // factor of 0.5 to 1.
-    Time reopen_from = 500;
-    Time reopen_to = 50'000;
+    Time min_reopen_delay = 500;
+    Time max_reopen_delay = 50'000;
     // Max. size of the spill on disk, including the space reserved for outcomes of open multigets.
     std::size_t spill_bytes = std::size_t{64} << 20U;
-    std::size_t outcome_room = 1024;  // bytes reserved in the spill for each open multiget's outcome
+    std::size_t outcome_reserve = 1024;  // bytes reserved in the spill for each open multiget's outcome
 };
 
 using RecordNumber = std::uint64_t;  // of a record, within the incarnation
--- a/src/store/keeper.cpp
+++ b/src/store/keeper.cpp
@@ -171,7 +171,7 @@
     const auto op_type = static_cast<std::size_t>(request.op_type);
     if (!config_.recorded[op_type] && request.key.empty())
         return inner_.ask(std::move(request), std::move(on_ended));
-    if (const auto acceptance = inner_.could_take(request.name); acceptance != Acceptance::kTaken)
+    if (const auto acceptance = inner_.check_acceptance(request.name); acceptance != Acceptance::kTaken)
         return {acceptance, 0};
     if (pending_names_.contains(request.name)) return {Acceptance::kNameInUse, 0};
     const auto number = ++last_number_;
--- a/src/store/keeper.hpp
+++ b/src/store/keeper.hpp
@@ -62,7 +62,9 @@
     service::SubmitResult ask(service::MultigetRequest request,
                               std::function<void(service::MultigetResult)> on_ended) override;
     PartOutcomes leave(service::Ticket ticket) override;
-    service::Acceptance could_take(const std::string& name) const override { return inner_.could_take(name); }
+    service::Acceptance check_acceptance(const std::string& name) const override {
+        return inner_.check_acceptance(name);
+    }
 
     std::string print_gauges() const;
 
--- a/src/store/move_journal.cpp
+++ b/src/store/move_journal.cpp
@@ -41,7 +41,7 @@
 }  // namespace
 
 void MoveJournal::init() {
-    db_.agree_on_clock();
+    db_.share_clock();
     Transaction transaction(db_);
     db_.run(
         "CREATE TABLE IF NOT EXISTS shard_moves(id bigint PRIMARY KEY, shard bigint NOT NULL, "
@@ -57,7 +57,7 @@
     transaction.commit();
 }
 
-bool MoveJournal::take_lease(const std::string& owner, std::int64_t duration) {
+bool MoveJournal::acquire_lease(const std::string& owner, std::int64_t duration) {
     Transaction transaction(db_);
     db_.run(
         "UPDATE shard_mover SET who = $1, until = pinedoor_now() + $2 WHERE one = 1 AND (who = $1 OR until < "
@@ -69,7 +69,7 @@
     return acquired;
 }
 
-void MoveJournal::leave_lease(const std::string& owner) {
+void MoveJournal::release_lease(const std::string& owner) {
     db_.run("UPDATE shard_mover SET until = 0 WHERE one = 1 AND who = $1", {owner});
 }
 
--- a/src/store/move_journal.hpp
+++ b/src/store/move_journal.hpp
@@ -36,8 +36,8 @@
 
     // Returns true if the owner has the lease now, for `duration` tenths of a millisecond. It fails while
     // another owner holds it.
-    bool take_lease(const std::string& owner, std::int64_t duration);
-    void leave_lease(const std::string& owner);
+    bool acquire_lease(const std::string& owner, std::int64_t duration);
+    void release_lease(const std::string& owner);
     std::string holder();  // empty: none, or the lease has expired
 
     // Adds all moves in one transaction and assigns their ids, in ascending order.
--- a/src/store/sql.cpp
+++ b/src/store/sql.cpp
@@ -178,7 +178,7 @@
 }
 
 std::uint64_t enroll(SqlDb& db, const Registration& registration) {
-    db.agree_on_clock();
+    db.share_clock();
     Transaction transaction(db);
     std::vector<std::vector<Row>> results;
     for (const auto& [text, values] : enroll_queries(registration)) results.push_back(db.run(text, values));
--- a/src/store/sql.hpp
+++ b/src/store/sql.hpp
@@ -40,7 +40,7 @@
     virtual std::string kind() const = 0;  // "sqlite" or "postgres"
     // Makes all processes that share the database read one clock, which leases depend on. Call before leases
     // are written. A database server's own clock is shared already.
-    virtual void agree_on_clock() {}
+    virtual void share_clock() {}
 };
 
 // A transaction that is rolled back unless commit() was called.
--- a/src/store/sqlite_db.cpp
+++ b/src/store/sqlite_db.cpp
@@ -93,7 +93,7 @@
     return prepared_.emplace(text, std::move(prepared)).first->second;
 }
 
-void SqliteDb::agree_on_clock() {
+void SqliteDb::share_clock() {
     run("CREATE TABLE IF NOT EXISTS pinedoor_clock(one bigint PRIMARY KEY, boot text NOT NULL, booted_at "
         "bigint "
         "NOT NULL)");
--- a/src/store/sqlite_db.hpp
+++ b/src/store/sqlite_db.hpp
@@ -30,7 +30,7 @@
     // In statements, pinedoor_now() is the boot-time clock, which is not affected by steps of the wall clock,
     // plus the time at which the machine booted by the wall clock. All processes that share a file take that
     // time from its table `pinedoor_clock`, which is rewritten after each boot.
-    void agree_on_clock() override;
+    void share_clock() override;
 
     // Copies the database in steps while others write. The target exists only once it is complete. Throws
     // SqlError.
--- a/src/tool/caller.cpp
+++ b/src/tool/caller.cpp
@@ -42,8 +42,9 @@
 
 }  // namespace
 
-std::optional<HttpResponse> ask_http(net::Endpoint endpoint, const std::string& method,
-                                     const std::string& target, const std::string& body, int timeout_ms) {
+std::optional<HttpResponse> send_http_request(net::Endpoint endpoint, const std::string& method,
+                                              const std::string& target, const std::string& body,
+                                              int timeout_ms) {
     const auto fd = connect_to(endpoint, timeout_ms);
     if (!fd) return std::nullopt;
     const auto request = method + ' ' + target + " HTTP/1.1\r\nHost: " + net::to_text(endpoint) +
--- a/src/tool/caller.hpp
+++ b/src/tool/caller.hpp
@@ -13,8 +13,9 @@
     std::string body;
 };
 // Returns nullopt if there is no response within the timeout.
-std::optional<HttpResponse> ask_http(net::Endpoint endpoint, const std::string& method,
-                                     const std::string& target, const std::string& body, int timeout_ms);
+std::optional<HttpResponse> send_http_request(net::Endpoint endpoint, const std::string& method,
+                                              const std::string& target, const std::string& body,
+                                              int timeout_ms);
 
 // A connection to a box, reopened after it breaks. A request is the letter M, a request number and the words
 // of the command; the response is the same number, yes or no, and a number (docs/placement.md, "What the
--- a/src/tool/serve.cpp
+++ b/src/tool/serve.cpp
@@ -43,7 +43,7 @@
 
 service::LogOptions log_options(const stated::LogSettings& config) {
     service::LogOptions options;
-    options.format = config.format == "json" ? service::LogFormat::kJson : service::LogFormat::kPairs;
+    options.format = config.format == "json" ? service::LogFormat::kJson : service::LogFormat::kKeyValue;
     options.least = config.level == "debug"     ? service::Level::kDebug
                     : config.level == "warning" ? service::Level::kWarning
                     : config.level == "error"   ? service::Level::kError
--- a/src/tool/shard_carrier.cpp
+++ b/src/tool/shard_carrier.cpp
@@ -26,11 +26,11 @@
 }  // namespace
 
 FleetView fetch_fleet(net::Endpoint discovery, const std::string& path, ServerNames& names, int timeout_ms) {
-    const auto map = ask_http(discovery, "GET", path, "", timeout_ms);
+    const auto map = send_http_request(discovery, "GET", path, "", timeout_ms);
     if (!map || map->status != 200)
         throw CommandError("no map of shards at " + net::to_text(discovery) + path +
                            "; name discovery by --discovery");
-    auto news = read_map_news(map->body, names);
+    auto news = read_map_update(map->body, names);
     const auto* whole = std::get_if<WholeMap>(&news);
     if (whole == nullptr) {
         const auto* unreadable = std::get_if<Unreadable>(&news);
@@ -40,7 +40,7 @@
     if (const auto fault = ShardMap::fault_of(whole->shards); !fault.empty())
         throw CommandError("the map at " + net::to_text(discovery) + path + " cannot be used: " + fault);
     FleetView view{ShardMap::of(whole->shards, whole->version), {}, {}};
-    const auto list = ask_http(discovery, "GET", "/discovery/hosts", "", timeout_ms);
+    const auto list = send_http_request(discovery, "GET", "/discovery/hosts", "", timeout_ms);
     if (!list || list->status != 200) throw CommandError("no list of servers at " + net::to_text(discovery));
     const auto json = nlohmann::json::parse(list->body, nullptr, false);
     if (!json.is_object() || !json.contains("members"))
@@ -106,7 +106,7 @@
 
 bool MoveExecutor::run() {
     journal_.init();
-    if (!journal_.take_lease(config_.who, config_.lease))
+    if (!journal_.acquire_lease(config_.who, config_.lease))
         throw CommandError("moves are carried by " + journal_.holder() +
                            "; wait for it, or for its lease to end");
     refresh_fleet();
@@ -124,7 +124,7 @@
     auto renew_at = now() + config_.lease / kRenewalsPerLease;
     for (;;) {
         if (now() >= renew_at) {
-            if (!journal_.take_lease(config_.who, config_.lease))
+            if (!journal_.acquire_lease(config_.who, config_.lease))
                 throw CommandError("another mover has taken the moves over: " + journal_.holder());
             renew_at = now() + config_.lease / kRenewalsPerLease;
         }
@@ -142,7 +142,7 @@
         if (scheduler_.done() && !any) break;
         usleep(kPollIntervalMs * 1'000);
     }
-    journal_.leave_lease(config_.who);
+    journal_.release_lease(config_.who);
     if (!scheduler_.why().empty()) report_(scheduler_.why());
     return all_done_ && scheduler_.waiting() == 0;
 }
@@ -217,7 +217,7 @@
     next_pressure_check_ = now() + config_.pressure_interval_ms * 10;
     std::uint64_t taken = 0, refused = 0;
     for (const auto& node : config_.nodes) {
-        const auto response = ask_http(node, "GET", "/counters", "", config_.request_timeout_ms);
+        const auto response = send_http_request(node, "GET", "/counters", "", config_.request_timeout_ms);
         if (!response || response->status != 200) continue;
         std::istringstream in(response->body);
         std::uint64_t value = 0;
@@ -376,7 +376,7 @@
     if (!steps.empty()) {
         const auto text = print_changes(fleet_.map.version(), steps, names_);
         const auto response =
-            ask_http(config_.discovery, "POST", config_.path, text, config_.request_timeout_ms);
+            send_http_request(config_.discovery, "POST", config_.path, text, config_.request_timeout_ms);
         crash_points_.pass("published");
         // Whatever the response, the map shows whether the change was applied.
         if (response) refresh_fleet();
--- a/src/tool/shard_commands.cpp
+++ b/src/tool/shard_commands.cpp
@@ -406,7 +406,7 @@
         std::map<std::uint64_t, std::uint64_t> load;
         std::uint64_t proposals = 0;
         for (const auto& node : nodes_) {
-            const auto response = ask_http(endpoint(node, "--node"), "GET", "/counters", "", 2'000);
+            const auto response = send_http_request(endpoint(node, "--node"), "GET", "/counters", "", 2'000);
             if (!response || response->status != 200) throw CommandError("no counters from " + node);
             std::istringstream in(response->body);
             std::uint64_t value = 0;
--- a/tests/closed_loop.hpp
+++ b/tests/closed_loop.hpp
@@ -22,7 +22,7 @@
     int servers = 4;
     int cores = 16;      // per server
     double part_ms = 1;  // mean work of a part on a core, exponentially distributed
-    double least_share = 1;
+    double min_share = 1;
     Time turn = 10;
     int front_nodes = 1;
     Time retry_delay = 500;  // of a client after a pushback or a failure
@@ -74,7 +74,7 @@
         static constexpr Time kStart = 1'000'000;
         static constexpr Time kNetworkDelay = 2;
         static OpType type(const ClosedLoop& config) {
-            return {1'000, 4'000, RetrySafety::kRetriable, 0, 1, 0, config.least_share, 1, 0.9, 0};
+            return {1'000, 4'000, RetrySafety::kRetriable, 0, 1, 0, config.min_share, 1, 0.9, 0};
         }
         struct Server {
             int busy = 0;
--- a/tests/crossings_test.cpp
+++ b/tests/crossings_test.cpp
@@ -53,13 +53,13 @@
         watch = discovery.accept();
         watch.read_to("\r\n\r\n");
         watch.say(kStream + chunk(list_object(2, true, {{"s-1", slow.at()}}) + "\n"));
-        REQUIRE(program.counter_at("list_news", 2) == 2);
+        REQUIRE(program.wait_for_counter("list_news", 2) == 2);
         client.say(post("once", "t", asks({1})));
-        REQUIRE(program.counter_at("connections_opened", 1) == 1);
+        REQUIRE(program.wait_for_counter("connections_opened", 1) == 1);
     }
     void tell(const std::vector<Listed>& changes) {
         watch.say(chunk(list_object(3, false, changes) + "\n"));
-        REQUIRE(program.counter_at("list_news", 3) == 3);
+        REQUIRE(program.wait_for_counter("list_news", 3) == 3);
     }
 };
 
@@ -98,7 +98,7 @@
     setup.program.with("\"cancel\":true", "\"cancel\":false");
     setup.ask();
     setup.client = Peer{};
-    REQUIRE(setup.program.counter_at("clients_gone", 1) == 1);
+    REQUIRE(setup.program.wait_for_counter("clients_gone", 1) == 1);
     auto late = setup.slow.accept_waiting();
     setup.client = setup.program.client();
     setup.client.say(post("once", "u", asks({2})));
@@ -110,9 +110,9 @@
     SlowServerSetup setup;
     setup.ask();
     setup.client = Peer{};
-    REQUIRE(setup.program.counter_at("clients_gone", 1) == 1);
-    CHECK(setup.program.counter_at("connections_failed", 1) == 1);
-    CHECK(setup.program.counter_at("connections_open", 0) == 0);
+    REQUIRE(setup.program.wait_for_counter("clients_gone", 1) == 1);
+    CHECK(setup.program.wait_for_counter("connections_failed", 1) == 1);
+    CHECK(setup.program.wait_for_counter("connections_open", 0) == 0);
 }
 
 // The front node with faulty system calls, one server, and a folder with files that make it pause.
@@ -131,7 +131,7 @@
     ~PausableProgram() { std::filesystem::remove_all(folder); }
     void create_file(const std::string& name) const { std::ofstream(folder + '/' + name); }
     void wait_for_file(const std::string& name) const {
-        for (int tries = 0; tries < kPatienceSeconds * 1'000; ++tries) {
+        for (int tries = 0; tries < kWaitTimeoutSeconds * 1'000; ++tries) {
             if (std::filesystem::exists(folder + '/' + name)) return;
             usleep(1'000);
         }
@@ -155,7 +155,7 @@
     setup.client.say(post("once", "t2", asks({2})));
     setup.wait_for_file("paused");  // the request is read, the close is not noticed yet
     SUBCASE("closed") { setup.connection = Peer{}; }
-    SUBCASE("closed for writing only") { setup.connection.end_writing(); }
+    SUBCASE("closed for writing only") { setup.connection.shutdown_write(); }
     SUBCASE("reset") { setup.connection.reset(); }
     setup.create_file("go");
     setup.connection = setup.server.accept();
@@ -188,7 +188,7 @@
     client.say(post("once", "t1", asks({1})));
     auto connection = server.accept();
     REQUIRE(connection.frame() == "St1.1 1 1\nq");
-    connection.end_writing();
+    connection.shutdown_write();
     CHECK(client.answer() == "500");  // it may have run
     CHECK(connection.ended());
     client.say(post("once", "t2", asks({2})));
@@ -206,9 +206,9 @@
     client.say(post("once", "t", asks({1})));
     auto connection = server.accept();
     REQUIRE(connection.frame() == "St.1 1 1\nq");
-    client.end_writing();
+    client.shutdown_write();
     CHECK(connection.frame() == "Ct.1");
-    CHECK(program.counter_at("clients_gone", 1) == 1);
+    CHECK(program.wait_for_counter("clients_gone", 1) == 1);
     CHECK(client.ended());
 }
 
@@ -263,9 +263,9 @@
         std::vector<pollfd> polled;
         for (const auto& connection : connections) polled.push_back({connection.fd(), POLLIN, 0});
         for (std::size_t i = 0; i < connections.size(); ++i) {
-            if (connections[i].holds_more()) return i;
+            if (connections[i].has_buffered_data()) return i;
         }
-        poll(polled.data(), polled.size(), kPatienceSeconds * 1'000);
+        poll(polled.data(), polled.size(), kWaitTimeoutSeconds * 1'000);
         const auto readable = [](const pollfd& each) { return each.revents != 0; };
         return static_cast<std::size_t>(std::find_if(polled.begin(), polled.end(), readable) -
                                         polled.begin());
@@ -295,7 +295,7 @@
     FullConnectionsSetup setup;
     setup.fill();
     setup.client = Peer{};
-    REQUIRE(setup.program.counter_at("clients_gone", 1) == 1);
+    REQUIRE(setup.program.wait_for_counter("clients_gone", 1) == 1);
     for (const auto& call : setup.out) setup.answer(call);
     setup.client = setup.program.client();
     setup.client.say(post("again", "u", asks({7})));
@@ -347,18 +347,18 @@
     auto watch = setup.discovery.accept();
     watch.read_to("\r\n\r\n");
     watch.say(kStream + chunk(list_object(2, true, {{"s-2", setup.other.at()}}) + "\n"));
-    REQUIRE(setup.program.counter_at("list_news", 2) == 2);
+    REQUIRE(setup.program.wait_for_counter("list_news", 2) == 2);
     client.say(post("again", "t", asks({1})));
     auto connection = setup.other.accept();
     const auto sent = std::chrono::steady_clock::now();
     REQUIRE(connection.frame() == "St.1 1 1\nq");
     watch.say(chunk(list_object(3, true, {{"s-1", setup.slow.at()}}) + "\n"));
-    REQUIRE(setup.program.counter_at("list_news", 3) == 3);
+    REQUIRE(setup.program.wait_for_counter("list_news", 3) == 3);
     connection.reset();  // only the slow server is left for the retry
-    REQUIRE(setup.program.counter_at("connections_opened", 2) == 2);
+    REQUIRE(setup.program.wait_for_counter("connections_opened", 2) == 2);
     CHECK(client.answer().starts_with("50"));  // it may have run
     CHECK(std::chrono::steady_clock::now() - sent < std::chrono::milliseconds(kWindowMs));
-    CHECK(setup.program.counter_at("connections_open", 0) ==
+    CHECK(setup.program.wait_for_counter("connections_open", 0) ==
           0);  // no connection is left on which it could be written
     CHECK(setup.program.counter("calls") == 1);
 }
@@ -374,7 +374,7 @@
     REQUIRE(connection.frame() == "St1.1 1 1\nq");
     usleep(200'000);  // this time counts against the second request
     connection.reply("t1.1", "done", "one");
-    const auto frame = connection.frame_with_time();
+    const auto frame = connection.read_frame_with_time();
     CHECK(frame.starts_with("St2.2 2 d="));
     REQUIRE(frame.size() > 10);
     CHECK(std::stoi(frame.substr(10)) <= 1'300);
@@ -444,9 +444,9 @@
     const std::string list = "{\n  \"revision\" : 2,\n  \"complete\": true,\n\n  \"members\": [\n    " +
                              Listed{"s-2", second.at()}.text() + "\n  ]\n}\n";
     for (std::size_t at = 0; at < list.size(); at += 7) watch.say(chunk(list.substr(at, 7)));
-    REQUIRE(program.counter_at("list_news", 2) == 2);
+    REQUIRE(program.wait_for_counter("list_news", 2) == 2);
     watch.say(chunk("\n") + chunk("{\"revision\":3,\n\"complete\":false,\r\n\"members\":[]}"));
-    REQUIRE(program.counter_at("list_news", 3) == 3);
+    REQUIRE(program.wait_for_counter("list_news", 3) == 3);
     client.say(post("again", "t", asks({1})));
     CHECK(second.accept().frame() == "St.1 1 1\nq");
     CHECK(program.counter("list_failures") == 0);
@@ -462,11 +462,11 @@
     auto watch = agent.accept();
     CHECK(watch.read_to("\r\n") == "GET /discovery/hosts?stream=1&index=1 HTTP/1.1\r\n");
     watch.say(kStream + chunk(list_object(2, true, {{"s-1", first.at()}, {"s-2", second.at()}}) + "\n"));
-    REQUIRE(program.counter_at("list_news", 2) == 2);
+    REQUIRE(program.wait_for_counter("list_news", 2) == 2);
     watch = Peer{};  // the watch ends instead of sending a change
     watch = agent.accept();
     watch.say(kStream + chunk(list_object(3, false, {{"s-1", first.at(), "Terminating"}}) + "\n"));
-    REQUIRE(program.counter_at("list_news", 3) == 3);
+    REQUIRE(program.wait_for_counter("list_news", 3) == 3);
     client.say(post("again", "t", asks({1})));
     CHECK(second.accept().frame() == "St.1 1 1\nq");
 }
--- a/tests/discovery_trouble_test.cpp
+++ b/tests/discovery_trouble_test.cpp
@@ -73,7 +73,7 @@
           std::chrono::milliseconds(80 * kRefusals));  // a sixteenth of the time within which it must call
     watch.read_to("\r\n\r\n");
     watch.say(kStream + chunk(setup.later_list(2)));
-    REQUIRE(setup.program.counter_at("list_news", 2) == 2);
+    REQUIRE(setup.program.wait_for_counter("list_news", 2) == 2);
     setup.serve_by_later_server();
     CHECK(setup.program.counter("list_failures") == kRefusals);
 }
@@ -93,7 +93,7 @@
         setup.serve_by_known_server();
     }
     watch.say(chunk(list.substr((kPieces - 1) * size)));
-    REQUIRE(setup.program.counter_at("list_news", 2) == 2);
+    REQUIRE(setup.program.wait_for_counter("list_news", 2) == 2);
     setup.serve_by_later_server();
     CHECK(setup.program.counter("list_failures") == 0);
 }
@@ -102,13 +102,13 @@
     constexpr int kFailures = 5;
     TwoServersSetup setup;
     setup.start();  // nothing listens at discovery's port
-    REQUIRE(setup.program.counter_at("list_failures", kFailures) == kFailures);
+    REQUIRE(setup.program.wait_for_counter("list_failures", kFailures) == kFailures);
     setup.serve_by_known_server();
     Listener discovery(64, setup.discovery_port.at());
     auto watch = discovery.accept();
     REQUIRE(watch.read_to("\r\n\r\n").starts_with("GET /discovery/hosts?stream=1&index=1 "));
     watch.say(kStream + chunk(setup.later_list(2)));
-    REQUIRE(setup.program.counter_at("list_news", 2) == 2);
+    REQUIRE(setup.program.wait_for_counter("list_news", 2) == 2);
     setup.serve_by_later_server();
     const auto failures = setup.program.counter("list_failures");
     SUBCASE("then its watch is reset") { watch.reset(); }
@@ -125,7 +125,7 @@
     auto watch = discovery.accept();
     watch.read_to("\r\n\r\n");
     watch.say(kStream + chunk(list_object(2, true, {{"s-1", setup.known_server.at()}}) + "\n"));
-    REQUIRE(setup.program.counter_at("list_news", 2) == 2);
+    REQUIRE(setup.program.wait_for_counter("list_news", 2) == 2);
     const auto change = setup.later_list(3);
     std::atomic<bool> reopened = false;
     std::thread trickle([&] {
@@ -139,7 +139,7 @@
     reopened = true;
     trickle.join();
     reopened_watch.say(kStream + chunk(change));
-    REQUIRE(setup.program.counter_at("list_news", 3) == 3);
+    REQUIRE(setup.program.wait_for_counter("list_news", 3) == 3);
     setup.client = setup.program.client();  // the first connection was idle for too long
     setup.serve_by_later_server();
 }
@@ -151,7 +151,7 @@
     auto watch = discovery.accept();
     watch.read_to("\r\n\r\n");
     watch.say(kStream + chunk(list_object(2, true, {{"s-1", setup.known_server.at()}}) + "\n"));
-    REQUIRE(setup.program.counter_at("list_news", 2) == 2);
+    REQUIRE(setup.program.wait_for_counter("list_news", 2) == 2);
     setup.program.kill(SIGSTOP);
     setup.ask();  // sent first, so that it is read first
     watch.say(chunk(setup.later_list(3)));
@@ -183,7 +183,7 @@
     REQUIRE(last.read_to("\r\n\r\n").starts_with("GET /discovery/hosts?stream=1 HTTP"));
     CHECK(watch.ended());
     last.say(kStream + chunk(setup.later_list(9)));
-    REQUIRE(setup.program.counter_at("list_news", 2) == 2);
+    REQUIRE(setup.program.wait_for_counter("list_news", 2) == 2);
     setup.serve_by_later_server();
 }
 
--- a/tests/expired_list_test.cpp
+++ b/tests/expired_list_test.cpp
@@ -48,7 +48,7 @@
             for (std::size_t i = peers.size(); i-- > 0;) {
                 bool open = true;
                 if (polled[i + 1].revents != 0) open = serve(peers[i]);
-                while (open && peers[i].holds_more()) open = serve(peers[i]);
+                while (open && peers[i].has_buffered_data()) open = serve(peers[i]);
                 if (!open) peers.erase(peers.begin() + static_cast<std::ptrdiff_t>(i));
             }
             if (polled[0].revents != 0) peers.push_back(listener_.accept());
@@ -128,7 +128,7 @@
                     std::chrono::duration_cast<std::chrono::milliseconds>(last - effective_at).count(),
                     " ms after the change counted as received\n", list_lines(node));
         }
-        MESSAGE(discovery_.calls(), " calls, ", discovery_.bad_calls(), " of them failed; ", served_,
+        MESSAGE(discovery_.calls(), " calls, ", discovery_.faulty_calls(), " of them failed; ", served_,
                 " requests served, ", unserved_, " not served");
         return count;
     }
@@ -160,7 +160,7 @@
 FaultyDiscovery::Manners with_delays(FaultyDiscovery::Manners manners) {
     manners.least_delay = 300ms;
     manners.most_delay = 1000ms;
-    manners.most_bad_on_end = kMaxFailuresInARow;
+    manners.max_consecutive_faults = kMaxFailuresInARow;
     return manners;
 }
 
--- a/tests/fleet/about_test.cpp
+++ b/tests/fleet/about_test.cpp
@@ -65,7 +65,7 @@
                 if (j != self) others.push_back(received[self][j]);
             }
             nodes[self]->hear(now, others, members, true);
-            const double share = nodes[self]->may_use(now);
+            const double share = nodes[self]->allowance(now);
             in_use += share;
             used += std::min(share, needs[self]);
         }
@@ -180,16 +180,16 @@
     ApproximateShare share(terms());
     share.need(500);
     CHECK(share.say(kSecond) == 500);
-    CHECK(share.may_use(kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));
+    CHECK(share.allowance(kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));
     share.hear(2 * kSecond, {}, 1, true);
-    CHECK(share.may_use(10 * kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));
+    CHECK(share.allowance(10 * kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));
     share.hear(10 * kSecond, {300}, 20, false);
-    CHECK(share.may_use(20 * kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));
+    CHECK(share.allowance(20 * kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));
     share.hear(20 * kSecond, {300}, 20, true);
-    CHECK(share.may_use(21 * kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));  // increase is delayed
-    CHECK(share.may_use(22 * kSecond) == doctest::Approx(500 + kLimit * 0.1 / kNodes));
+    CHECK(share.allowance(21 * kSecond) == doctest::Approx(kLimit * 0.1 / kNodes));  // increase is delayed
+    CHECK(share.allowance(22 * kSecond) == doctest::Approx(500 + kLimit * 0.1 / kNodes));
     share.hear(23 * kSecond, {900}, 20, true);
-    CHECK(share.may_use(23 * kSecond) == doctest::Approx(450 + kLimit * 0.1 / kNodes));  // decrease is not
+    CHECK(share.allowance(23 * kSecond) == doctest::Approx(450 + kLimit * 0.1 / kNodes));  // decrease is not
     share.need(520);
     CHECK(!share.say(24 * kSecond));  // changed by less than a quarter
     CHECK(share.say(42 * kSecond) == 520);
--- a/tests/fleet/gate_test.cpp
+++ b/tests/fleet/gate_test.cpp
@@ -76,7 +76,7 @@
     Time now = kSecond;
     const auto share = [&](fleet::Gate* each) { return each == &shared ? 100.0 : 10.0; };
     const auto full_limits = [&](const std::vector<fleet::Gate*>& gates) {
-        return fleet::turned_away_by(
+        return fleet::acquire_all(
             gates, [&](auto* each) { return each->has_room(now, share(each)); },
             [&](auto* each) { each->pass(now, share(each)); });
     };
@@ -94,7 +94,7 @@
     CHECK(full_limits({&shared, &greedy_only}) == std::vector<fleet::Gate*>{&greedy_only});
     fleet::ConnectionRateLimiter limiter(shared_terms);
     for (int i = 0; i < 10; ++i) CHECK(limiter.has_room(now, 1, 1));
-    CHECK(limiter.may_open(now, 1, 1));
+    CHECK(limiter.try_open(now, 1, 1));
     CHECK(!limiter.has_room(now, 1, 1));
 }
 
@@ -119,13 +119,13 @@
     terms.burst = 4;
     fleet::ConnectionRateLimiter limiter(terms);
     Time now = kSecond;
-    CHECK(limiter.may_open(now, 1, 2));
-    CHECK(!limiter.may_open(now, 1, 2));
-    CHECK(limiter.may_open(now, 2, 2));  // another server
+    CHECK(limiter.try_open(now, 1, 2));
+    CHECK(!limiter.try_open(now, 1, 2));
+    CHECK(limiter.try_open(now, 2, 2));  // another server
     int opened = 0;
     for (int i = 0; i < 1'000;
          ++i, now += 100) {  // attempts for 10 s at one server, each followed by an update of all
-        opened += limiter.may_open(now, 1, 2) ? 1 : 0;
+        opened += limiter.try_open(now, 1, 2) ? 1 : 0;
         limiter.need(now, 2);
     }
     CHECK(opened >= 18);
@@ -133,8 +133,8 @@
     CHECK(limiter.need(now, 2) > 100);
     now += 60 * kSecond;
     CHECK(limiter.need(now, 2) == 0);  // the entry is dropped; a new one has one token
-    CHECK(limiter.may_open(now, 1, 2));
-    CHECK(!limiter.may_open(now, 1, 2));
+    CHECK(limiter.try_open(now, 1, 2));
+    CHECK(!limiter.try_open(now, 1, 2));
 }
 
 TEST_CASE("the need for parts out is the recent peak with half as much again and decays soon") {
--- a/tests/fleet/hunt_test.cpp
+++ b/tests/fleet/hunt_test.cpp
@@ -92,7 +92,7 @@
 9500 told 3 server 2 gone
 20 said 3 level=info event=list_source msg="x"
 )");
-    const auto timeline = life_of_node(log, 3);
+    const auto timeline = node_timeline(log, 3);
     std::string text;
     for (const auto& line : timeline) text += line + '\n';
     CHECK(text == R"(0.00 s  fault 0 kill begins
@@ -103,7 +103,7 @@
 1.00 s  in this second: 1 to server 2, 1 answer
 )");
     std::istringstream empty("0 fault 0 kill begins\n");
-    CHECK(life_of_node(empty, 5).empty());
+    CHECK(node_timeline(empty, 5).empty());
 }
 
 TEST_CASE(
@@ -116,7 +116,7 @@
             lab::FleetTotals totals;
             bool good = true;
         };
-        const auto text = test::missed_figures(
+        const auto text = test::missed_expectations(
             [&] {
                 Run play;
                 const char what = plays.at(at++);
--- a/tests/fleet/judged.hpp
+++ b/tests/fleet/judged.hpp
@@ -48,7 +48,7 @@
 // then. The first run decides if it meets all figures, otherwise two of three runs do; a miss without two
 // later passes counts. Returns the missed figures, or nothing.
 template <class Run, class Check>
-std::string missed_figures(Run run, Check check, int max_runs) {
+std::string missed_expectations(Run run, Check check, int max_runs) {
     int passed_runs = 0;
     std::string failures;
     for (int runs = 1; runs <= max_runs; ++runs) {
@@ -74,7 +74,7 @@
 // Fails the test case if figures are missed; a sanitized fleet runs once, for its guarantees.
 template <class Run, class Check>
 void judge(Run run, Check check) {
-    const auto missed = missed_figures(run, check, kSanitized ? 1 : 5);
+    const auto missed = missed_expectations(run, check, kSanitized ? 1 : 5);
     if (!missed.empty()) FAIL_CHECK("missed: " << missed);
 }
 
--- a/tests/fleet/lease_explore_test.cpp
+++ b/tests/fleet/lease_explore_test.cpp
@@ -243,7 +243,7 @@
         double in_use = 0;
         int owners = 0;
         for (const auto& node : state.nodes) {
-            in_use += node.leases->may_use(state.now);
+            in_use += node.leases->allowance(state.now);
             owners += node.leases->owns(state.now) ? 1 : 0;
         }
         nearly_full_states += in_use > 0.9 * kLimit ? 1U : 0U;
--- a/tests/fleet/leases_test.cpp
+++ b/tests/fleet/leases_test.cpp
@@ -103,7 +103,7 @@
                 if (!node(i).up) continue;
                 // A suspended node uses nothing now; what it could use is checked with its clock, as if it
                 // resumed at this time.
-                in_use += node(i).leases->may_use(clock(i));
+                in_use += node(i).leases->allowance(clock(i));
                 owners += node(i).leases->owns(clock(i)) ? 1 : 0;
             }
             max_in_use = std::max(max_in_use, in_use);
@@ -172,12 +172,12 @@
     LeaseSimulation sim(10, 1, terms(10));
     for (int i = 0; i < 10; ++i) sim.node(i).leases->need(i == 4 ? 5'000 : 30);
     sim.run(12 * kSecond);  // voters grant no votes for 6 s after a start
-    CHECK(sim.node(4).leases->may_use(sim.clock(4)) == doctest::Approx(730).epsilon(0.01));
-    CHECK(sim.node(5).leases->may_use(sim.clock(5)) == doctest::Approx(30).epsilon(0.01));
+    CHECK(sim.node(4).leases->allowance(sim.clock(4)) == doctest::Approx(730).epsilon(0.01));
+    CHECK(sim.node(5).leases->allowance(sim.clock(5)) == doctest::Approx(30).epsilon(0.01));
     sim.node(4).leases->need(0);
     sim.node(7).leases->need(5'000);
     sim.run(5 * kSecond);
-    CHECK(sim.node(7).leases->may_use(sim.clock(7)) > 700);
+    CHECK(sim.node(7).leases->allowance(sim.clock(7)) > 700);
     CHECK(sim.max_in_use <= 1'000 + 1e-6);
     CHECK(sim.max_owners == 1);
 }
@@ -201,7 +201,7 @@
     CHECK(elapsed <= 7 * kSecond);
     sim.kill(5);
     sim.start(5);
-    CHECK(sim.node(5).leases->may_use(sim.clock(5)) == doctest::Approx(10));
+    CHECK(sim.node(5).leases->allowance(sim.clock(5)) == doctest::Approx(10));
     sim.start(owner);
     sim.run(10 * kSecond);
     CHECK(sim.max_in_use <= 1'000 + 1e-6);
--- a/tests/fleet/list_lease_test.cpp
+++ b/tests/fleet/list_lease_test.cpp
@@ -67,13 +67,13 @@
 // answers again, even if an unanswered call has to time out first.
 TEST_CASE("for any sequence of failures the sum of the time limits stays within the lease") {
     const bool holds = rc::check([] {
-        const auto must_ask_in = *rc::gen::element<Time>(10'000, 16'000, 100'000, 600'000);
+        const auto refresh_within = *rc::gen::element<Time>(10'000, 16'000, 100'000, 600'000);
         const int front_nodes = *rc::gen::element(1, 20, 300, 900);
         const auto steps = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 4));
         FrontNode node(*rc::gen::arbitrary<std::uint64_t>(), NodeConfig{0, front_nodes, 0, 50},
                        {{1'000, 4'000, RetrySafety::kRetriable, 0, 1, 0, 1, 1, 0.9, 0}},
                        ShardRing{1, 1, 1, 0}, SendConfig{3, true, true, 2'500}, FurtherSendConfig{},
-                       ColdStartConfig{}, ServerListConfig{true, must_ask_in, 2'500}, ClientConfig{}, {},
+                       ColdStartConfig{}, ServerListConfig{true, refresh_within, 2'500}, ClientConfig{}, {},
                        HintConfig{});
         Time now = 10'000;
         Time last_call = now;
--- a/tests/fleet/relay_test.cpp
+++ b/tests/fleet/relay_test.cpp
@@ -76,7 +76,7 @@
     link.relay.there().cut = false;
     link.relay.changed();
     CHECK(link.receives(link.far_end, "three"));  // a stream loses no bytes by a temporary cut
-    net::end_writing(link.near_end);
+    net::shutdown_write(link.near_end);
     CHECK(link.receives(link.far_end, "end"));
     link.write(link.far_end, "after");
     CHECK(link.receives(link.near_end, "after"));
--- a/tests/fleet/words_test.cpp
+++ b/tests/fleet/words_test.cpp
@@ -41,9 +41,9 @@
     ReportReader reader({});
     std::map<std::string, MemberReport> reports;
     reports["s-1"] = {OpinionKind::kBad, 500, -1, 0};
-    const auto first = write_words(reports);
+    const auto first = write_reports(reports);
     reports["s-2"] = {OpinionKind::kGood, 0, -1, 0};
-    const auto second = write_words(reports);
+    const auto second = write_reports(reports);
     const auto read = [&](const std::string& text, peers::Time now, peers::Time age, const Zones& zones) {
         return reader.read(now, {fact("n1", text, age)}, zones, "n0").servers;
     };
@@ -65,7 +65,7 @@
     reports["well"] = {OpinionKind::kGood, 50, -1, 0};
     reports["both"] = {OpinionKind::kBad, 10, 20'000, 7};
     reports["a name with blanks"] = {OpinionKind::kBad, 0, -1, 0};
-    const auto text = write_words(reports);
+    const auto text = write_reports(reports);
     CHECK(text.size() <= peers::kLongestValue);
     const auto read = read_reports(text);
     CHECK(read.at("hung").opinion == OpinionKind::kBad);
--- a/tests/lab_live_test.cpp
+++ b/tests/lab_live_test.cpp
@@ -96,8 +96,8 @@
     "on sockets, under every fault: each request ends once, no rule is violated, all nodes exit cleanly") {
     const std::atomic<bool> never = false;
     std::vector<RunResult> results(trouble_names().size());
-    on_threads(results.size(), 6, never,
-               [&results](std::size_t i) { results[i] = run_world(with_fault(trouble_names()[i])); });
+    run_on_threads(results.size(), 6, never,
+                   [&results](std::size_t i) { results[i] = run_world(with_fault(trouble_names()[i])); });
     for (std::size_t i = 0; i < results.size(); ++i) {
         const auto& kind = trouble_names()[i];
         const auto& result = results[i];
--- a/tests/logic_test.cpp
+++ b/tests/logic_test.cpp
@@ -312,7 +312,7 @@
 
 TEST_CASE("a cold server gets no more parts than its free slots, even from one multiget") {
     Script s;
-    s.cold_start.tip_after = 5'000;
+    s.cold_start.overload_after = 5'000;
     s.list("A0@1 B1d").pass(1'000).arrive(1, kPartial, {0.9, 0.1}, 3).pass(500);
     CHECK(s.trace() == R"(
 1000 send 100 to A
@@ -322,7 +322,7 @@
 
 TEST_CASE("a server that refused connections returns as cold, whatever the list says") {
     Script s;
-    s.cold_start.tip_after = 5'000;
+    s.cold_start.overload_after = 5'000;
     s.list("A0").arrive(1, kWhole, {1}, 3).pass(5).end({100}, Outcome::kNoConnection).pass(2'000).quietly();
     s.arrive(2, kWhole, {1}, 3).pass(5).end({200}).arrive(3, kPartial, {0.9, 0.1}, 3).pass(500);
     CHECK(s.trace() == R"(
@@ -335,7 +335,7 @@
 
 TEST_CASE("a connect time-out does not count as a restart: the server is not taken for cold") {
     Script s;
-    s.cold_start.tip_after = 5'000;
+    s.cold_start.overload_after = 5'000;
     s.list("A0").arrive(1, kWhole, {1}, 3).pass(250).end({100}, Outcome::kNoConnection).pass(2'000);
     s.arrive(2, kWhole, {1}, 3).pass(5).end({200}).quietly().arrive(3, kPartial, {0.9, 0.1}, 3).pass(5);
     CHECK(s.trace() == R"(
--- a/tests/parse_test.cpp
+++ b/tests/parse_test.cpp
@@ -29,7 +29,7 @@
                 const auto* host = reader.header("host");
                 outcome = reader.method() + ' ' + reader.target() + " host=" + (host ? *host : "-") +
                           " body=" + reader.take_body() + " left=" + text.substr(used) +
-                          (reader.keeps_open() ? "" : " close");
+                          (reader.keep_alive() ? "" : " close");
                 break;
             }
             default: outcome = "more";
--- a/tests/peers/list_source_test.cpp
+++ b/tests/peers/list_source_test.cpp
@@ -247,9 +247,9 @@
             if (!call->discovery) CHECK(places[call->name] < std::max(2, places[name]));
             CHECK(call->name != name);
         }
-        CHECK(source->is_circle({"n0", name}));
-        CHECK(!source->is_circle({"someone", "another"}));
-        CHECK(source->is_circle(std::vector<std::string>(16, "someone")));
+        CHECK(source->is_cycle({"n0", name}));
+        CHECK(!source->is_cycle({"someone", "another"}));
+        CHECK(source->is_cycle(std::vector<std::string>(16, "someone")));
     }
 }
 
--- a/tests/peers/membership_test.cpp
+++ b/tests/peers/membership_test.cpp
@@ -18,7 +18,7 @@
     CHECK(fleet.run_until(10 * kSecond, [&] { return fleet.all_know(40); }));
     fleet.run(30 * kSecond);
     CHECK(fleet.all_know(40));
-    CHECK(fleet.deaths_told_of_living == 0);
+    CHECK(fleet.false_deaths == 0);
     CHECK(fleet.largest_message < 1'400);
 }
 
@@ -40,16 +40,16 @@
     REQUIRE(fleet.run_until(10 * kSecond, [&] { return fleet.all_know(30); }));
     fleet.kill(7);
     // Some member probes it within two rounds; the longest suspicion timeout is 4 x log10(30) x 6 periods.
-    CHECK(fleet.run_until(40 * kSecond, [&] { return fleet.seen_as_member("n7") == 0; }));
+    CHECK(fleet.run_until(40 * kSecond, [&] { return fleet.count_seeing_member("n7") == 0; }));
     fleet.leave(8);
     fleet.run(kSecond / 2);
     fleet.kill(8);
-    CHECK(fleet.run_until(6 * kSecond, [&] { return fleet.seen_as_member("n8") == 0; }));
+    CHECK(fleet.run_until(6 * kSecond, [&] { return fleet.count_seeing_member("n8") == 0; }));
     fleet.run(70 * kSecond);
     CHECK(fleet.all_know(28));
     fleet.start(7);  // same name, new instance
     CHECK(fleet.run_until(10 * kSecond, [&] { return fleet.all_know(29); }));
-    CHECK(fleet.deaths_told_of_living == 0);
+    CHECK(fleet.false_deaths == 0);
 }
 
 // Guards against a refutation that is lost on the way to one member, which then declares the suspect dead for
@@ -62,7 +62,7 @@
         fleet.loss = loss;
         fleet.run(600 * kSecond);
         CAPTURE(loss);
-        CHECK(fleet.deaths_told_of_living <= (loss > 0.2 ? 24 : 0));
+        CHECK(fleet.false_deaths <= (loss > 0.2 ? 24 : 0));
         CHECK(fleet.total_counts().suspected > 0);  // suspicions did occur
         CHECK(fleet.total_counts().refuted > 0);
         fleet.loss = 0;
@@ -85,7 +85,7 @@
         CHECK(fleet.node(5).membership->counts().declared_dead == before);
         CHECK(fleet.run_until(40 * kSecond, [&] { return fleet.all_know(20); }));
     }
-    CHECK(fleet.deaths_told_of_living == 0);
+    CHECK(fleet.false_deaths == 0);
 }
 
 TEST_CASE("two halves that start separately or are partitioned later merge into one fleet") {
@@ -100,7 +100,7 @@
 
     fleet.cut = nullptr;
     CHECK(fleet.run_until(120 * kSecond, [&] { return fleet.all_know(24); }));
-    CHECK(fleet.deaths_told_of_living == 0);
+    CHECK(fleet.false_deaths == 0);
 }
 
 TEST_CASE("a link that is down in one direction between two members causes no death") {
@@ -145,7 +145,7 @@
     fleet.run(60 * kSecond);
     CHECK(fleet.node(4).conflicts + fleet.node(9).conflicts > 0);
     for (int i = 0; i < 9; ++i) {
-        CHECK(fleet.seen_as_member("n" + std::to_string(i)) >= 9);
+        CHECK(fleet.count_seeing_member("n" + std::to_string(i)) >= 9);
     }
 }
 
--- a/tests/peers/simulated.hpp
+++ b/tests/peers/simulated.hpp
@@ -94,7 +94,7 @@
     }
 
     // Number of running members that see `name` as a member.
-    int seen_as_member(const std::string& name) {
+    int count_seeing_member(const std::string& name) {
         int count = 0;
         for (auto& each : nodes_) {
             if (!each.up) continue;
@@ -122,7 +122,7 @@
         return all;
     }
     // Running and reachable members that were reported as dead, counted once per reporting node.
-    std::uint64_t deaths_told_of_living = 0;
+    std::uint64_t false_deaths = 0;
     std::size_t largest_message = 0;  // approximate encoded size in bytes
 
 private:
@@ -215,7 +215,7 @@
         const int subject = node_at(change.record.at);
         if (!change.is_member && change.record.state == MemberState::kDead && node(subject).up &&
             !node(subject).suspended && is_connected(index, subject) && is_connected(subject, index))
-            ++deaths_told_of_living;
+            ++false_deaths;
     }
     void execute(int index, NameConflict&) { ++node(index).conflicts; }
 
--- a/tests/placement/follow_test.cpp
+++ b/tests/placement/follow_test.cpp
@@ -58,12 +58,12 @@
     ServerNames names;
     for (const char* name : {"s-1", "s-2", "s-3"}) names.number(name);
     const auto& last = history.maps.back();
-    const auto news = read_map_news(print_map(last, history.names), names);
+    const auto news = read_map_update(print_map(last, history.names), names);
     REQUIRE(std::holds_alternative<WholeMap>(news));
     CHECK(ShardMap::of(std::get<WholeMap>(news).shards, std::get<WholeMap>(news).version) == last);
     const std::vector<Step> steps{Split{1, 1'000, 7, 8}, Merge{7, 8, 9}, AddReader{9, 3}, PassOwnership{9, 3},
                                   RemoveReader{9, 2}};
-    const auto changes = read_map_news(print_changes(4, steps, names), names);
+    const auto changes = read_map_update(print_changes(4, steps, names), names);
     REQUIRE(std::holds_alternative<MapChanges>(changes));
     CHECK(std::get<MapChanges>(changes).after == 4);
     CHECK(std::get<MapChanges>(changes).version == 9);
@@ -71,7 +71,7 @@
     for (std::size_t i = 0; i < 5; ++i)
         CHECK(print(std::get<MapChanges>(changes).steps[i]) == print(steps[i]));
     const auto why = [&names](const std::string& line) {
-        const auto read = read_map_news(line, names);
+        const auto read = read_map_update(line, names);
         return std::holds_alternative<Unreadable>(read) ? std::get<Unreadable>(read).why : "read";
     };
     CHECK(why("{\"version\":1,\"shards\":[]}") == "read");
@@ -119,7 +119,7 @@
         // A request for the whole map closes any remaining gap.
         if (follower.aside() > 0 || !follower.present()) {
             RC_ASSERT(follower.wake() != MapFollower::kNever);
-            RC_ASSERT(follower.wants_whole(std::max(now, follower.wake())));
+            RC_ASSERT(follower.should_request_map(std::max(now, follower.wake())));
         }
         follower.hear(now, history.whole(static_cast<Version>(length + 1)));
         RC_ASSERT(*follower.present() == history.maps.back());
@@ -158,11 +158,11 @@
     CHECK(follower.hear(100, MapChanges{5, 2, {AddReader{1, 3}}}).did == Did::kRefused);
     CHECK(follower.hear(100, Unreadable{"noise"}).did == Did::kRefused);
     // Requested at once, then with backoff until a valid update arrives.
-    CHECK(follower.wants_whole(100));
-    CHECK(!follower.wants_whole(1'099));
-    CHECK(follower.wants_whole(1'100));
-    CHECK(!follower.wants_whole(3'099));
-    CHECK(follower.wants_whole(3'100));
+    CHECK(follower.should_request_map(100));
+    CHECK(!follower.should_request_map(1'099));
+    CHECK(follower.should_request_map(1'100));
+    CHECK(!follower.should_request_map(3'099));
+    CHECK(follower.should_request_map(3'100));
     CHECK(follower.hear(3'200, history.whole(1)).did == Did::kOlder);
     CHECK(follower.hear(3'200, history.whole(6)).did == Did::kTaken);
     CHECK(follower.wake() == MapFollower::kNever);
@@ -175,20 +175,20 @@
     follower.hear(0, history.whole(1));
     CHECK(follower.hear(10, history.changes(2, 3)).did == Did::kAside);
     CHECK(follower.hear(10, history.changes(3, 5)).did == Did::kAside);
-    CHECK(!follower.wants_whole(500));
+    CHECK(!follower.should_request_map(500));
     CHECK(follower.hear(500, history.changes(1, 2)).did == Did::kTaken);
     CHECK(*follower.present() == history.maps[4]);
     CHECK(follower.wake() == MapFollower::kNever);
     CHECK(follower.hear(500, history.changes(2, 4)).did == Did::kRepeated);
     CHECK(follower.hear(600, history.changes(6, 7)).did == Did::kAside);
-    CHECK(!follower.wants_whole(1'599));
-    CHECK(follower.wants_whole(1'600));
+    CHECK(!follower.should_request_map(1'599));
+    CHECK(follower.should_request_map(1'600));
     CHECK(follower.hear(1'700, history.whole(7)).did == Did::kTaken);
     const auto shard = follower.present()->at(0);
-    follower.epoch_seen(1'800, shard.id, shard.epoch);
-    CHECK(!follower.wants_whole(1'800));
-    follower.epoch_seen(1'800, shard.id, shard.epoch + 1);
-    CHECK(follower.wants_whole(1'800));
+    follower.on_epoch_seen(1'800, shard.id, shard.epoch);
+    CHECK(!follower.should_request_map(1'800));
+    follower.on_epoch_seen(1'800, shard.id, shard.epoch + 1);
+    CHECK(follower.should_request_map(1'800));
 }
 
 }  // namespace
--- a/tests/placement/front_test.cpp
+++ b/tests/placement/front_test.cpp
@@ -36,7 +36,7 @@
     }
     void start() {
         client = program->start().client();
-        CHECK(program->counter_at("map_version", map.version()) == map.version());
+        CHECK(program->wait_for_counter("map_version", map.version()) == map.version());
     }
     std::string ask(const std::string& op_type, const std::string& name, const std::vector<int>& splits) {
         say(op_type, name, splits);
@@ -118,14 +118,14 @@
         clients.push_back(fleet.program->client());
         clients.back().say(post("again", "t" + std::to_string(i), asks({0, 1, 2, 3, 4, 5}, "sum")));
     }
-    CHECK(fleet.program->counter_at("open_parts", 102) == 102);
+    CHECK(fleet.program->wait_for_counter("open_parts", 102) == 102);
     for (int tries = 0; tries < 200 && fleet.boxes.waiting() < 102; ++tries) usleep(5'000);
     const auto at_boxes = fleet.boxes.waiting();
     CHECK(at_boxes == 102);
     const auto middle = Gatherer::keys_of(2, kSplits).first + 77;
     fleet.step(Split{fleet.map.at(middle).id, middle, fleet.id(), fleet.id()});
     fleet.send_steps();
-    CHECK(fleet.program->counter_at("map_version", 2) == 2);
+    CHECK(fleet.program->wait_for_counter("map_version", 2) == 2);
     fleet.boxes.hold(false);
     for (auto& client : clients) CHECK(client.answer() == whole_answer({0, 1, 2, 3, 4, 5}));
     CHECK(fleet.program->counter("pieces_refused") >= at_boxes);
@@ -163,7 +163,7 @@
             text += (text.back() == '[' ? "" : ",") + object;
         }
         fleet.discovery.broadcast(text + "]}");
-        CHECK(fleet.program->counter_at("maps_refused", count) == count);
+        CHECK(fleet.program->wait_for_counter("maps_refused", count) == count);
         CHECK(fleet.program->log().find(words) != std::string::npos);
     };
     auto shards = fleet.map.shards();
@@ -177,7 +177,7 @@
     two.replace(two.find("\"reader\""), 8, "\"owner\"");
     two.replace(two.find("\"version\":1"), 11, "\"version\":9");
     fleet.discovery.broadcast(two);
-    CHECK(fleet.program->counter_at("maps_refused", 3) == 3);
+    CHECK(fleet.program->wait_for_counter("maps_refused", 3) == 3);
     CHECK(fleet.program->log().find("has 2 owners") != std::string::npos);
     CHECK(fleet.program->counter("map_version") == 1);
     CHECK(fleet.ask("again", "t1", {0, 11}) == whole_answer({0, 11}));
@@ -196,7 +196,7 @@
     CHECK(fleet.client.answer().starts_with("503"));  // refused without running; the new owner is unknown
     CHECK(fleet.boxes.runs().empty());
     fleet.discovery.set_down(false);
-    CHECK(fleet.program->counter_at("map_version", 2) == 2);
+    CHECK(fleet.program->wait_for_counter("map_version", 2) == 2);
     CHECK(fleet.ask("once", "t2", {1}) == whole_answer({1}));
     CHECK(fleet.boxes.count_repeated_runs("once") == 0);
 }
--- a/tests/placement/gather_test.cpp
+++ b/tests/placement/gather_test.cpp
@@ -105,14 +105,14 @@
     std::map<Route, std::string> values{
         {pieces[0].route, "1"}, {pieces[1].route, "20"}, {pieces[2].route, "300"}};
     SUBCASE("all fragments answered") {
-        trace(gatherer.leg_ended(5, 7, 0, answered(trace.legs[0], values)));
+        trace(gatherer.on_round_ended(5, 7, 0, answered(trace.legs[0], values)));
         REQUIRE(trace.ends.size() == 1);
         CHECK(trace.ends[0].whole);
         CHECK(trace.ends[0].values == std::vector<std::pair<int, std::string>>{{0, "1"}, {1, "320"}});
     }
     SUBCASE("a partly answered split has no value") {
         values.erase(pieces[2].route);
-        trace(gatherer.leg_ended(5, 7, 0, answered(trace.legs[0], values)));
+        trace(gatherer.on_round_ended(5, 7, 0, answered(trace.legs[0], values)));
         REQUIRE(trace.ends.size() == 1);
         // Fragments of weight 0.25 + 0.375 are answered, but complete splits only of 0.25: below the least
         // share.
@@ -122,14 +122,14 @@
     }
     SUBCASE("the least share is reached without the missing split") {
         values.erase(pieces[0].route);
-        trace(gatherer.leg_ended(5, 7, 0, answered(trace.legs[0], values)));
+        trace(gatherer.on_round_ended(5, 7, 0, answered(trace.legs[0], values)));
         CHECK(trace.ends[0].kind == RoundResult::Kind::kAnswered);
         CHECK(!trace.ends[0].whole);
         CHECK(trace.ends[0].values == std::vector<std::pair<int, std::string>>{{1, "320"}});
     }
     SUBCASE("values that do not merge fail the multiget without a repeat") {
         values[pieces[1].route] = "x";
-        trace(gatherer.leg_ended(5, 7, 0, answered(trace.legs[0], values)));
+        trace(gatherer.on_round_ended(5, 7, 0, answered(trace.legs[0], values)));
         CHECK(trace.ends[0].kind == RoundResult::Kind::kFailed);
         CHECK(gatherer.counted().unmerged == 1);
     }
@@ -159,10 +159,10 @@
         CHECK(again.pieces[0].shard == 21);
         CHECK(again.pieces[1].last == last);
         CHECK(again.pieces[0].weight + again.pieces[1].weight == doctest::Approx(0.75));
-        trace(gatherer.leg_ended(30, 7, 0, answered(leg, {{leg.pieces[0].route, "1"}})));
+        trace(gatherer.on_round_ended(30, 7, 0, answered(leg, {{leg.pieces[0].route, "1"}})));
         CHECK(trace.ends.empty());
         SUBCASE("both answered") {
-            trace(gatherer.leg_ended(
+            trace(gatherer.on_round_ended(
                 40, 7, 1, answered(again, {{again.pieces[0].route, "5"}, {again.pieces[1].route, "6"}})));
             REQUIRE(trace.ends.size() == 1);
             CHECK(trace.ends[0].whole);
@@ -177,23 +177,23 @@
             REQUIRE(trace.legs[2].pieces.size() == 2);
             CHECK(trace.legs[2].pieces[0].shard == 41);
             CHECK(trace.legs[2].pieces[0].first == again.pieces[1].first);
-            trace(gatherer.leg_ended(40, 7, 1, answered(again, {{again.pieces[0].route, "5"}})));
+            trace(gatherer.on_round_ended(40, 7, 1, answered(again, {{again.pieces[0].route, "5"}})));
             CHECK(trace.ends.empty());
-            trace(gatherer.leg_ended(41, 7, 2,
-                                     answered(trace.legs[2], {{trace.legs[2].pieces[0].route, "2"},
-                                                              {trace.legs[2].pieces[1].route, "4"}})));
+            trace(gatherer.on_round_ended(41, 7, 2,
+                                          answered(trace.legs[2], {{trace.legs[2].pieces[0].route, "2"},
+                                                                   {trace.legs[2].pieces[1].route, "4"}})));
             REQUIRE(trace.ends.size() == 1);
             CHECK(trace.ends[0].values.back().second == "11");
         }
         SUBCASE("the second round fails: the multiget ends at once") {
             RoundResult failed;
-            trace(gatherer.leg_ended(40, 7, 1, failed));
+            trace(gatherer.on_round_ended(40, 7, 1, failed));
             REQUIRE(trace.ends.size() == 1);
             CHECK(trace.ends[0].kind == RoundResult::Kind::kFailed);
         }
     }
     SUBCASE("given up at the deadline if no map arrives") {
-        trace(gatherer.leg_ended(30, 7, 0, answered(leg, {{leg.pieces[0].route, "1"}})));
+        trace(gatherer.on_round_ended(30, 7, 0, answered(leg, {{leg.pieces[0].route, "1"}})));
         CHECK(trace.ends.empty());
         CHECK(trace.wake == 1'800);  // 0.25 is below the least share, so it waits until the deadline
         trace(gatherer.tick(1'800));
@@ -213,9 +213,9 @@
     const auto leg = trace.legs[0];
     CHECK(leg.pieces[0].boxes == std::vector<ServerNumber>{2});
     const auto passed = after(map, PassOwnership{2, 1});
-    CHECK(gatherer.boxes_now(1, leg.pieces[0]) == std::vector<ServerNumber>{2});
+    CHECK(gatherer.eligible_servers(1, leg.pieces[0]) == std::vector<ServerNumber>{2});
     trace(gatherer.map_is(1, share(passed)));
-    CHECK(gatherer.boxes_now(1, leg.pieces[0]) ==
+    CHECK(gatherer.eligible_servers(1, leg.pieces[0]) ==
           std::vector<ServerNumber>{1});  // not sent yet: goes to the new owner
     REQUIRE(gatherer.sending(leg.pieces[0].route) != nullptr);
     CHECK(gatherer.sending(leg.pieces[0].route)->epoch == 2);
@@ -225,18 +225,19 @@
         trace(gatherer.tick(10));
         CHECK(trace.legs.size() == 1);
         CHECK(trace.wake == 210);
-        trace(gatherer.leg_ended(12, 7, 0, answered(leg, {})));
+        trace(gatherer.on_round_ended(12, 7, 0, answered(leg, {})));
         CHECK(trace.ends.empty());
         trace(gatherer.tick(210));
         REQUIRE(trace.legs.size() == 2);
         CHECK(trace.legs[1].pieces[0].boxes == std::vector<ServerNumber>{1});
-        trace(gatherer.leg_ended(220, 7, 1, answered(trace.legs[1], {{trace.legs[1].pieces[0].route, "8"}})));
+        trace(gatherer.on_round_ended(220, 7, 1,
+                                      answered(trace.legs[1], {{trace.legs[1].pieces[0].route, "8"}})));
         CHECK(trace.ends.at(0).whole);
     }
     SUBCASE("not answered: no second round, and the fate says that it may have run") {
         RoundResult failed;
         failed.fates = {{leg.pieces[0].route, FragmentFate::kMayHaveRun}};
-        trace(gatherer.leg_ended(12, 7, 0, failed));
+        trace(gatherer.on_round_ended(12, 7, 0, failed));
         CHECK(trace.legs.size() == 1);
         CHECK(trace.ends.at(0).kind == RoundResult::Kind::kFailed);
         CHECK(trace.ends.at(0).fates[0].second == FragmentFate::kMayHaveRun);
@@ -245,12 +246,12 @@
         RoundResult pushed;
         pushed.kind = RoundResult::Kind::kPushedBack;
         pushed.wait = 50;
-        trace(gatherer.leg_ended(12, 7, 0, pushed));
+        trace(gatherer.on_round_ended(12, 7, 0, pushed));
         CHECK(trace.ends.at(0).kind == RoundResult::Kind::kPushedBack);
         CHECK(trace.ends.at(0).wait == 50);
     }
     SUBCASE("the client disconnects") {
-        CHECK(gatherer.open_legs(7) == std::vector<int>{0});
+        CHECK(gatherer.open_rounds(7) == std::vector<int>{0});
         const auto fates = gatherer.left(7, {{leg.pieces[0].route, FragmentFate::kRan}});
         CHECK(fates == std::vector<std::pair<int, FragmentFate>>{{1, FragmentFate::kRan}});
         CHECK(gatherer.refused(20, leg.pieces[0].route, 9).empty());
@@ -263,7 +264,7 @@
     auto made = terms();
     made.further_floor = 2;
     made.further_look_back = 10'000;
-    made.most_legs = 3;
+    made.max_rounds = 3;
     Gatherer gatherer(made);
     auto map = ShardMap::even(4, {1, 2}, 2);
     gatherer.map_is(0, share(map));
@@ -328,7 +329,7 @@
             for (Number n = 0; n < 200; ++n) {
                 Trace trace;
                 trace(gatherer.ask(now, n, {0, now + 2'000, {{0, 1, 0, 0}}}));
-                const auto boxes = gatherer.boxes_now(now, trace.legs[0].pieces[0]);
+                const auto boxes = gatherer.eligible_servers(now, trace.legs[0].pieces[0]);
                 CHECK(std::count(boxes.begin(), boxes.end(), 1U) == 1);
                 there += std::count(boxes.begin(), boxes.end(), 3U) > 0 ? 1 : 0;
                 ++all;
@@ -348,7 +349,7 @@
     CHECK(owner.cold() == 1);
     Trace trace;
     trace(owner.ask(100, 1, {1, 2'000, {{0, 1, 0, 0}}}));
-    CHECK(owner.boxes_now(100, trace.legs[0].pieces[0]) == std::vector<ServerNumber>{3});
+    CHECK(owner.eligible_servers(100, trace.legs[0].pieces[0]) == std::vector<ServerNumber>{3});
     owner.map_is(200,
                  std::make_shared<const ShardMap>(after(after(with, AddReader{2, 4}), RemoveReader{1, 3})));
     CHECK(owner.cold() == 1);  // server 3 was removed and server 4 added
@@ -375,7 +376,7 @@
 TEST_CASE("under random splits, merges and moves, every value is that of the complete data set") {
     CHECK(rc::check("gatherer", [] {
         auto made = terms();
-        made.most_legs = 8;
+        made.max_rounds = 8;
         Gatherer gatherer(made);
         std::mt19937_64 chance(*rc::gen::arbitrary<std::uint64_t>());
         auto newest_map = ShardMap::even(3, {1, 2}, 2);
@@ -449,7 +450,7 @@
                         const auto leg = open.at(key.first).at(key.second);
                         open.at(key.first).erase(key.second);
                         pending_routes.erase(at);
-                        handle(gatherer.leg_ended(now, key.first, key.second, answered(leg, in[key])));
+                        handle(gatherer.on_round_ended(now, key.first, key.second, answered(leg, in[key])));
                         break;
                     }
                     const auto route = *at->second.begin();
@@ -473,11 +474,11 @@
         handle(gatherer.map_is(now, share(newest_map)));
         for (auto& [n, legs] : std::map(open)) {
             for (auto& [leg, asked] : legs)
-                handle(gatherer.leg_ended(now, n, leg, answered(asked, in[{n, leg}])));
+                handle(gatherer.on_round_ended(now, n, leg, answered(asked, in[{n, leg}])));
         }
         handle(gatherer.tick(now));
         for (auto& [n, legs] : std::map(open)) {
-            for (auto& [leg, asked] : legs) handle(gatherer.leg_ended(now, n, leg, RoundResult{}));
+            for (auto& [leg, asked] : legs) handle(gatherer.on_round_ended(now, n, leg, RoundResult{}));
         }
         RC_ASSERT(ended == number);
         RC_ASSERT(gatherer.routes() == 0U);
--- a/tests/placement/mover_test.cpp
+++ b/tests/placement/mover_test.cpp
@@ -46,7 +46,7 @@
             "\"sum\"\nonce = "
             "\"sum\"\n");
         client = program->start().client();
-        CHECK(program->counter_at("map_version", 1) == 1);
+        CHECK(program->wait_for_counter("map_version", 1) == 1);
     }
     // Server 1 owns both shards; server 2 is a reader of the first; the second has no reader.
     static ShardMap two_shards() {
@@ -129,7 +129,7 @@
             CHECK(shard.replicas.size() == (shard.id == 1 ? 2 : 1));
             CHECK(!boxes.guard(1, shard.id).has_copy());
         }
-        CHECK(program->counter_at("map_version", now.version()) == now.version());
+        CHECK(program->wait_for_counter("map_version", now.version()) == now.version());
         CHECK(ask("once", "after", {1}) == whole_answer({1}));
         CHECK(ask("again", "after2", {0, 5, 11}) == whole_answer({0, 5, 11}));
         CHECK(boxes.count_repeated_runs("once") == 0);
@@ -213,7 +213,7 @@
         CHECK((answer == whole_answer({2}) || answer.starts_with("50")));
         auto map = fixture.discovery.current_map();
         CHECK(map.size() == 3);
-        CHECK(fixture.program->counter_at("map_version", map.version()) == map.version());
+        CHECK(fixture.program->wait_for_counter("map_version", map.version()) == map.version());
         CHECK(fixture.ask("once", "t", {2}) == whole_answer({2}));
         CHECK(fixture.ask("again", "u", {0, 2, 5}) == whole_answer({0, 2, 5}));
         const auto lower = map.shards()[0].id, upper = map.shards()[1].id;
@@ -221,7 +221,7 @@
         CHECK(fixture.shards("apply").code == 0);
         map = fixture.discovery.current_map();
         CHECK(map.size() == 2);
-        CHECK(fixture.program->counter_at("map_version", map.version()) == map.version());
+        CHECK(fixture.program->wait_for_counter("map_version", map.version()) == map.version());
         CHECK(fixture.ask("once", "v", {2}) == whole_answer({2}));
         CHECK(fixture.ask("again", "w", {0, 2, 5}) == whole_answer({0, 2, 5}));
         CHECK(!fixture.boxes.guard(1, 1).owns());
@@ -284,9 +284,9 @@
     next.step = MoveStep::kSwitch;
     CHECK_THROWS_AS(journal.keep(next, "somebody else"), store::LeaseLost);
     CHECK(journal.moves(true)[0].move.step == MoveStep::kFence);
-    CHECK(!journal.take_lease("somebody else", 100));
-    journal.leave_lease(holder);
-    CHECK(journal.take_lease("somebody else", 1));
+    CHECK(!journal.acquire_lease("somebody else", 100));
+    journal.release_lease(holder);
+    CHECK(journal.acquire_lease("somebody else", 1));
     usleep(5'000);
     CHECK(fixture.shards("apply").code == 0);
     fixture.check_emptied();
@@ -301,9 +301,9 @@
         store::MoveJournal journal(db);
         journal.init();
         journal.init();  // a second call has no effect
-        CHECK(journal.take_lease("me", 600'000));
-        CHECK(journal.take_lease("me", 600'000));
-        CHECK(!journal.take_lease("other", 600'000));
+        CHECK(journal.acquire_lease("me", 600'000));
+        CHECK(journal.acquire_lease("me", 600'000));
+        CHECK(!journal.acquire_lease("other", 600'000));
         CHECK(journal.holder() == "me");
         store::JournalMove made;
         made.move = {0, 5, 1, 2, 7, MoveStep::kPrepare, MoveKind::kSplit, {~Key{0}, 0, 8, 9}};
--- a/tests/quiet_time_test.cpp
+++ b/tests/quiet_time_test.cpp
@@ -26,13 +26,13 @@
         watch = discovery.accept();
         watch.read_to("\r\n\r\n");
         watch.say(kStream + chunk(list_object(2, true, {{"s-1", first.at()}}) + "\n"));
-        REQUIRE(program.counter_at("list_news", 2) == 2);
+        REQUIRE(program.wait_for_counter("list_news", 2) == 2);
         client.say(post("once", "t1", asks({1})));
         serve(first, "t1.1");
         REQUIRE(client.answer().starts_with("200 "));
         watch.say(chunk(list_object(3, true, {{"s-1", first.at()}, {"s-2", second.at(), "Ready"}}) + "\n"));
-        REQUIRE(program.counter_at("list_news", 3) == 3);
-        REQUIRE(program.counter_at("connections_open", 0) == 0);
+        REQUIRE(program.wait_for_counter("list_news", 3) == 3);
+        REQUIRE(program.wait_for_counter("connections_open", 0) == 0);
         REQUIRE(program.counter("connections_closed_idle") == 1);
     }
     void serve(Listener& by, const std::string& part) {
@@ -67,7 +67,7 @@
 TEST_CASE("a drain that is announced during a quiet period is respected by the next request") {
     QuietSetup setup;
     setup.watch.say(chunk(list_object(4, false, {{"s-1", setup.first.at(), "Terminating"}}) + "\n"));
-    REQUIRE(setup.program.counter_at("list_news", 4) == 4);
+    REQUIRE(setup.program.wait_for_counter("list_news", 4) == 4);
     setup.serve_two_calls_by_second();
     CHECK(setup.program.counter("connections_opened") == 2);  // one before the quiet period and this one
 }
@@ -75,7 +75,7 @@
 TEST_CASE("a shutdown after a quiet period answers the request that arrives with it, and ends") {
     QuietSetup setup;
     setup.watch.say(chunk(list_object(4, false, {{"s-1", setup.first.at(), "Gone"}}) + "\n"));
-    REQUIRE(setup.program.counter_at("list_news", 4) == 4);
+    REQUIRE(setup.program.wait_for_counter("list_news", 4) == 4);
     setup.program.kill(SIGTERM);
     setup.client.say(post("once", "u", asks({1})));
     setup.serve(setup.second, "u.1");
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -99,8 +99,8 @@
     setup.start();
     setup.ask("once", "t", {1});
     SUBCASE("an id that nobody sent") { setup.connection.reply("t.2", "done", "x"); }
-    SUBCASE("an unknown letter") { setup.connection.say_frame("Zwhat"); }
-    SUBCASE("a complaint") { setup.connection.say_frame("Fno"); }
+    SUBCASE("an unknown letter") { setup.connection.write_frame("Zwhat"); }
+    SUBCASE("a complaint") { setup.connection.write_frame("Fno"); }
     SUBCASE("an unknown end") { setup.connection.reply("t.1", "perhaps"); }
     SUBCASE("an impossible length") {
         setup.connection.say(
@@ -151,8 +151,10 @@
         setup.connection.reply("t.1", "done", "x");
         setup.connection.reply("t.1", "done", "x");
     }
-    SUBCASE("an unreadable load report") { setup.connection.say_frame("Rt.1 done 7 util=much, and more\nx"); }
-    SUBCASE("no load report") { setup.connection.say_frame("Rt.1 done 7 \nx"); }
+    SUBCASE("an unreadable load report") {
+        setup.connection.write_frame("Rt.1 done 7 util=much, and more\nx");
+    }
+    SUBCASE("no load report") { setup.connection.write_frame("Rt.1 done 7 \nx"); }
     CHECK(setup.client.answer() == R"(200 {"whole":true,"results":[{"partition":1,"value":"x"}]})");
     setup.client.say(post("again", "u", asks({1})));
     CHECK(setup.connection.frame() == "Su.1 1 1\nq");
@@ -174,9 +176,9 @@
     setup.ask("again", "t", {1});
     setup.client = Peer{};
     CHECK(setup.connection.frame() == "Ct.1");
-    CHECK(setup.program.counter_at("clients_gone", 1) == 1);
+    CHECK(setup.program.wait_for_counter("clients_gone", 1) == 1);
     setup.connection.reply("t.1", "done", "late");
-    CHECK(setup.program.counter_at("late_results", 1) == 1);
+    CHECK(setup.program.wait_for_counter("late_results", 1) == 1);
     CHECK(setup.program.counter("open_parts") == 0);
 }
 
@@ -261,14 +263,14 @@
     CHECK(setup.connection.frame() == "Su.3 3 1\nq");
     CHECK(answer_to(post("again", "v", asks({1}))) == "503 no room\n");
     setup.connection.reply("t.1", "done", "x");  // answered parts free capacity
-    CHECK(setup.program.counter_at("open_parts", 2) == 2);
+    CHECK(setup.program.wait_for_counter("open_parts", 2) == 2);
     auto third = setup.program.client();
     third.say(post("again", "w", asks({4})));
     CHECK(setup.connection.frame() == "Sw.4 4 1\nq");
     other = Peer{};
     third = Peer{};
     setup.client = Peer{};
-    CHECK(setup.program.counter_at("open_multigets", 0) == 0);
+    CHECK(setup.program.wait_for_counter("open_multigets", 0) == 0);
     CHECK(setup.program.counter("bad_requests") == 28);
 }
 
@@ -294,14 +296,14 @@
     CHECK(watch.read_to("\r\n") == "GET /discovery/hosts?stream=1&index=1 HTTP/1.1\r\n");
     const auto drained = list_object(2, false, {{"s-1", first.at(), "Terminating"}, {"s-2", second.at()}});
     watch.say(kStream + chunk("\n") + chunk(drained.substr(0, 30)) + chunk(drained.substr(30) + "\n"));
-    CHECK(program.counter_at("list_news", 2) == 2);
+    CHECK(program.wait_for_counter("list_news", 2) == 2);
     client.say(post("again", "t1", asks({1})));
     auto connection = second.accept();
     CHECK(connection.frame() == "St1.1 1 1\nq");
     connection.reply("t1.1", "done", "x");
     CHECK(client.answer().starts_with("200 "));
     watch.say(chunk(list_object(3, true, {{"s-2", moved.at()}}) + "\n"));
-    CHECK(program.counter_at("list_news", 3) == 3);
+    CHECK(program.wait_for_counter("list_news", 3) == 3);
     CHECK(connection.ended());
     client.say(post("again", "t2", asks({1})));
     connection = moved.accept();
@@ -310,7 +312,7 @@
     CHECK(client.answer().starts_with("200 "));
     watch.say(chunk("{\"revision\":4,\"complete\":false,\"members\":[{\"id\":\"bad\"}," +
                     Listed{"s-3", first.at()}.text() + "]}\n"));
-    CHECK(program.counter_at("list_news", 4) == 4);
+    CHECK(program.wait_for_counter("list_news", 4) == 4);
     CHECK(program.counter("list_entries_refused") == 1);
 }
 
@@ -345,14 +347,14 @@
     SUBCASE("told") {}
     SUBCASE("not named") { removal = chunk(list_object(2, true, {{"s-2", second.at()}}) + "\n"); }
     watch.say(kStream + removal);
-    CHECK(setup.program.counter_at("list_news", 2) == 2);
+    CHECK(setup.program.wait_for_counter("list_news", 2) == 2);
     CHECK(setup.program.counter("servers_known") == 2);
     setup.connection.reply("t1.1", "done", "x");
     CHECK(setup.client.answer().starts_with("200 "));
     CHECK(setup.connection.ended());
-    CHECK(setup.program.counter_at("servers_known", 1) == 1);
+    CHECK(setup.program.wait_for_counter("servers_known", 1) == 1);
     watch.say(chunk(list_object(3, true, {{"s-1", setup.server.at()}}) + "\n"));
-    CHECK(setup.program.counter_at("list_news", 3) == 3);
+    CHECK(setup.program.wait_for_counter("list_news", 3) == 3);
     CHECK(setup.ask("again", "t2", {1}) == "St2.1 1 1\nq");
     CHECK(setup.program.log().find("server 3 is s-1 at ") != std::string::npos);
 }
@@ -376,7 +378,7 @@
     }
     SUBCASE("silence") {
         watch.say(kStream + chunk(list_object(7, false, {}) + "\n"));
-        CHECK(program.counter_at("list_news", 2) == 2);
+        CHECK(program.wait_for_counter("list_news", 2) == 2);
         CHECK(watch.ended());
     }
     auto again = discovery.accept();
@@ -418,13 +420,13 @@
 TEST_CASE("a reload requests the full list from the new address at once, and multigets are not affected") {
     Listener first, second, initial_discovery, moved;
     FrontNodeProcess program({{"s-1", first.at()}}, moved.at());
-    program.with_variable(
+    program.with_discovery_variable(
         initial_discovery.at());  // overrides the file at the start, but not at a later reload
     auto client = program.start().client();
     auto old_watch = initial_discovery.accept();
     old_watch.read_to("\r\n\r\n");
     old_watch.say(kStream + chunk(list_object(7, false, {}) + "\n"));
-    CHECK(program.counter_at("list_news", 2) == 2);
+    CHECK(program.wait_for_counter("list_news", 2) == 2);
     client.say(post("again", "t1", asks({1})));
     auto connection = first.accept();
     CHECK(connection.frame() == "St1.1 1 1\nq");
@@ -434,7 +436,7 @@
     CHECK(watch.read_to("\r\n") == "GET /discovery/hosts?stream=1 HTTP/1.1\r\n");
     CHECK(old_watch.ended());
     watch.say(kStream + chunk(list_object(8, true, {{"s-2", second.at()}}) + "\n"));
-    CHECK(program.counter_at("list_news", 3) == 3);
+    CHECK(program.wait_for_counter("list_news", 3) == 3);
     connection.reply("t1.1", "done", "one");
     CHECK(client.answer() == R"(200 {"whole":true,"results":[{"partition":1,"value":"one"}]})");
     client.say(post("again", "t2", asks({1})));
@@ -510,7 +512,7 @@
     slow.say("POST /again HTTP/1.1\r\nX-Txn");
     CHECK(silent.ended());
     CHECK(slow.answer() == "408 connection=close the request did not come whole\n");
-    CHECK(std::chrono::steady_clock::now() - started_at < std::chrono::seconds(kPatienceSeconds));
+    CHECK(std::chrono::steady_clock::now() - started_at < std::chrono::seconds(kWaitTimeoutSeconds));
 }
 
 TEST_CASE("clients that never send a request are disconnected before those that did") {
@@ -564,8 +566,8 @@
                 (answer.starts_with("503") || answer == "500" || (answer.starts_with("200 {") && has_value)));
         }
     }
-    CHECK(program.counter_at("open_multigets", 0) == 0);
-    CHECK(program.counter_at("sends_out", 0) == 0);
+    CHECK(program.wait_for_counter("open_multigets", 0) == 0);
+    CHECK(program.wait_for_counter("sends_out", 0) == 0);
     std::uint64_t outcomes = 0;
     for (const char* name :
          {"returned", "error", "full", "timed_out", "no_connection", "reset", "cancelled", "never_sent"}) {
--- a/tests/stand_ins.hpp
+++ b/tests/stand_ins.hpp
@@ -39,7 +39,7 @@
     return seconds >= least - 0.001 && seconds <= most + 0.001;
 }
 
-inline constexpr int kPatienceSeconds = 8;      // limit of any wait for an event that may never occur
+inline constexpr int kWaitTimeoutSeconds = 8;   // limit of any wait for an event that may never occur
 inline constexpr int kMaxShutdownSeconds = 60;  // a process that has not exited by then is killed
 
 inline sockaddr_in to_sockaddr(net::Endpoint endpoint) {
@@ -51,7 +51,7 @@
 }
 
 inline void set_socket_timeouts(const net::Fd& fd) {
-    const timeval limit{kPatienceSeconds, 0};
+    const timeval limit{kWaitTimeoutSeconds, 0};
     setsockopt(fd.get(), SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
     setsockopt(fd.get(), SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof limit);
     const int on = 1;
@@ -70,7 +70,7 @@
 
     bool connected() const { return connected_; }
     int fd() const { return fd_.get(); }
-    bool holds_more() const { return !received_.empty(); }
+    bool has_buffered_data() const { return !received_.empty(); }
     // Sends all bytes; stops silently if the connection breaks.
     void say(std::string_view bytes) {
         while (!bytes.empty()) {
@@ -99,7 +99,7 @@
         }
         return received_.empty();
     }
-    void end_writing() { shutdown(fd_.get(), SHUT_WR); }
+    void shutdown_write() { shutdown(fd_.get(), SHUT_WR); }
     // Closes with SO_LINGER 0, so that the other end receives a reset.
     void reset() {
         const linger now{1, 0};
@@ -125,7 +125,7 @@
     }
 
     // Reads a frame as an index server: the type letter and the payload.
-    std::string frame_with_time() {
+    std::string read_frame_with_time() {
         const auto head = read_bytes(4);
         if (head.size() < 4) return "nothing";
         const auto size = static_cast<unsigned char>(head[0]) + 256U * static_cast<unsigned char>(head[1]);
@@ -133,7 +133,7 @@
     }
     // The same without the d= fields (how long the front node will wait).
     std::string frame() {
-        auto text = frame_with_time();
+        auto text = read_frame_with_time();
         for (auto position = text.find(" d="); position != std::string::npos; position = text.find(" d=")) {
             text.erase(position, text.find(' ', position + 1) - position);
         }
@@ -141,10 +141,10 @@
     }
     // Sends the result of one part.
     void reply(const std::string& id, const std::string& status, const std::string& value = "") {
-        say_frame("R" + id + ' ' + status + " 7 util=0.5\n" + value);
+        write_frame("R" + id + ' ' + status + " 7 util=0.5\n" + value);
     }
     // Sends a frame; `text` is the type letter and the payload.
-    void say_frame(const std::string& text) {
+    void write_frame(const std::string& text) {
         auto frame = parse::begin_frame(text.at(0));
         frame += text.substr(1);
         parse::end_frame(frame);
@@ -220,7 +220,7 @@
             for (std::size_t i = peers_.size(); i-- > 0;) {
                 if (polled[listeners_.size() + i].revents == 0) continue;
                 bool open = serve(peers_[i]);
-                while (open && peers_[i].holds_more()) open = serve(peers_[i]);
+                while (open && peers_[i].has_buffered_data()) open = serve(peers_[i]);
                 if (!open) peers_.erase(peers_.begin() + static_cast<std::ptrdiff_t>(i));
             }
             for (std::size_t i = 0; i < listeners_.size(); ++i) {
@@ -243,7 +243,7 @@
                 case 3: peer.reset(); return false;
                 case 4: peer.reply(id + "0", "done"); break;
                 case 5: break;  // no answer
-                case 6: peer.say_frame("Fwhat"); break;
+                case 6: peer.write_frame("Fwhat"); break;
                 default: peer.reply(id, "done", "of " + id);
             }
         }
@@ -333,7 +333,7 @@
         return *this;
     }
     // Sets ROUTER_DISCOVERY.
-    FrontNodeProcess& with_variable(net::Endpoint discovery) {
+    FrontNodeProcess& with_discovery_variable(net::Endpoint discovery) {
         discovery_ = net::to_text(discovery);
         return *this;
     }
@@ -393,7 +393,7 @@
     }
     // Connects to the process, waiting until it listens.
     Peer client() {
-        for (int tries = 0; tries < kPatienceSeconds * 100; ++tries) {
+        for (int tries = 0; tries < kWaitTimeoutSeconds * 100; ++tries) {
             Peer peer(at());
             if (peer.connected()) return peer;
             usleep(10'000);
@@ -443,9 +443,9 @@
         return 999'999;
     }
     // Waits until the counter has this value; returns the last value that was read.
-    std::uint64_t counter_at(const std::string& name, std::uint64_t value) {
+    std::uint64_t wait_for_counter(const std::string& name, std::uint64_t value) {
         std::uint64_t last = 0;
-        for (int tries = 0; tries < kPatienceSeconds * 100 && (last = counter(name)) != value; ++tries)
+        for (int tries = 0; tries < kWaitTimeoutSeconds * 100 && (last = counter(name)) != value; ++tries)
             usleep(10'000);
         return last;
     }
--- a/tests/stand_ins/boxes.hpp
+++ b/tests/stand_ins/boxes.hpp
@@ -163,7 +163,7 @@
                 bool open = connections[i].box + 1 != down_server_;
                 if (open && polled[boxes_.size() + i].revents != 0) {
                     do open = read(connections[i]);
-                    while (open && connections[i].peer.holds_more());
+                    while (open && connections[i].peer.has_buffered_data());
                 }
                 if (!open) {
                     connections.erase(connections.begin() + static_cast<std::ptrdiff_t>(i));
@@ -226,7 +226,7 @@
         if (frame == "nothing") return false;
         std::istringstream in(frame.substr(1));
         if (frame[0] == 'M') {
-            connection.peer.say_frame(answer_move(connection.box, in));
+            connection.peer.write_frame(answer_move(connection.box, in));
             return true;
         }
         if (frame[0] == 'C') {
@@ -381,7 +381,7 @@
         return at == std::string::npos ? 0 : std::strtoul(head.c_str() + at + 16, nullptr, 10);
     }
     bool apply_changes(const std::string& body) {
-        const auto news = placement::read_map_news(body, names_);
+        const auto news = placement::read_map_update(body, names_);
         const auto* changes = std::get_if<placement::MapChanges>(&news);
         if (changes == nullptr || !current_map_ || changes->after != current_map_->version()) return false;
         auto map = *current_map_;
--- a/tests/stand_ins/counting.hpp
+++ b/tests/stand_ins/counting.hpp
@@ -40,7 +40,7 @@
             for (std::size_t i = peers.size(); i-- > 0;) {
                 bool open = true;
                 if (polled[i + 1].revents != 0) open = serve(peers[i]);
-                while (open && peers[i].holds_more()) open = serve(peers[i]);
+                while (open && peers[i].has_buffered_data()) open = serve(peers[i]);
                 if (!open) peers.erase(peers.begin() + static_cast<std::ptrdiff_t>(i));
             }
             if (polled[0].revents != 0) peers.push_back(listener_.accept());
--- a/tests/stand_ins/faulty_discovery.hpp
+++ b/tests/stand_ins/faulty_discovery.hpp
@@ -28,7 +28,7 @@
         double unanswered = 0;  // accepted and never answered
         double broken_off = 0;  // ended in the middle of the list
         std::chrono::milliseconds least_delay{0}, most_delay{0};
-        int most_bad_on_end = 1'000'000;  // bad calls in a row of one front node
+        int max_consecutive_faults = 1'000'000;  // bad calls in a row of one front node
     };
 
     FaultyDiscovery(std::string list, int callers, std::uint32_t seed)
@@ -66,7 +66,7 @@
     }
     // All calls so far, and those with a fault.
     int calls() const { return call_count_; }
-    int bad_calls() const { return bad_call_count_; }
+    int faulty_calls() const { return bad_call_count_; }
     // The number of open watches that are not silenced.
     int watching() {
         const std::lock_guard lock(mutex_);
@@ -92,7 +92,7 @@
 
     Outcome draw_outcome(Caller& caller) const {
         const double value = std::uniform_real_distribution<>(0, 1)(caller.generator);
-        if (caller.consecutive_bad >= faults_.most_bad_on_end) return Outcome::kServed;
+        if (caller.consecutive_bad >= faults_.max_consecutive_faults) return Outcome::kServed;
         if (value < faults_.refused) return Outcome::kRefused;
         if (value < faults_.refused + faults_.unanswered) return Outcome::kUnanswered;
         if (value < faults_.refused + faults_.unanswered + faults_.broken_off) return Outcome::kBrokenOff;
--- a/tests/stand_ins/witness.hpp
+++ b/tests/stand_ins/witness.hpp
@@ -63,7 +63,7 @@
             for (std::size_t i = connections_.size(); i-- > 0;) {
                 auto& connection = connections_[i];
                 bool open = polled[listeners_.size() + i].revents == 0 || serve(connection);
-                while (open && connection.peer.holds_more()) open = serve(connection);
+                while (open && connection.peer.has_buffered_data()) open = serve(connection);
                 for (; !connection.pending_replies.empty() &&
                        connection.pending_replies.begin()->first <= seconds_now();
                      connection.pending_replies.erase(connection.pending_replies.begin())) {
--- a/tests/stated_test.cpp
+++ b/tests/stated_test.cpp
@@ -27,14 +27,14 @@
         for (const double v :
              {static_cast<double>(type.latency_budget), static_cast<double>(type.route_timeout),
               static_cast<double>(type.repeat), static_cast<double>(type.dedup_window), type.importance,
-              type.late_importance, type.least_share, type.whole_share, type.short_importance,
+              type.late_importance, type.min_share, type.whole_share, type.partial_importance,
               static_cast<double>(type.second_step_parts)}) {
             out += std::to_string(v) + ' ';
         }
     }
     for (const auto& name : stated.op_type_names()) out += name + ' ';
     for (const auto& name : stated.zone_names()) out += name + ' ';
-    const auto hints = stated.hint_terms();
+    const auto hints = stated.hint_config();
     for (const int v :
          {int{hints.probes}, int{hints.peers}, int{hints.warm_keys}, hints.latency_field, hints.busy_field}) {
         out += std::to_string(v) + ' ';
@@ -66,12 +66,12 @@
         try {
             const auto stated = Settings::from_json(parse::parse_json(json));
             stated.op_types();
-            stated.send_terms();
-            stated.cold_terms();
-            stated.list_terms();
-            stated.client_terms();
-            stated.hint_terms();
-            return "budget over " + std::to_string(stated.further_send_terms().look_back);
+            stated.send_config();
+            stated.cold_start_config();
+            stated.server_list_config();
+            stated.client_config();
+            stated.hint_config();
+            return "budget over " + std::to_string(stated.further_send_config().look_back);
         } catch (const stated::ConfigError& error) {
             return error.what();
         }
--- a/tests/store/crash_test.cpp
+++ b/tests/store/crash_test.cpp
@@ -52,12 +52,12 @@
         FrontNodeProcess program({{"s-1", server.at()}}, discovery.at());
         program.with_settings(kSqlite).with_environment("PINEDOOR_CRASH_AT", point.name);
         auto client = program.start().client();
-        CHECK(program.counter_at("store_condition", 1) == 1);
+        CHECK(program.wait_for_counter("store_condition", 1) == 1);
         client.say(post("once", "t1", asks({1}, "qa"), 4'000, keyed("k")));
         CHECK(client.answer() == "nothing");
         CHECK(program.wait() == -SIGKILL);
         program.with_environment("PINEDOOR_CRASH_AT", "nowhere").start().client();
-        CHECK(program.counter_at("store_condition", 1) == 1);
+        CHECK(program.wait_for_counter("store_condition", 1) == 1);
         CHECK(list_states(program) == point.expected_states);
         CHECK(server.runs()["qa"] == point.expected_runs);
         client = program.client();
@@ -128,7 +128,7 @@
     crash_rounds.program.with_settings(kSqlite);
     for (int round = 0; round < 100; ++round) crash_rounds.run_round(true, 12'000);
     crash_rounds.program.start().client();
-    CHECK(crash_rounds.program.counter_at("store_condition", 1) == 1);
+    CHECK(crash_rounds.program.wait_for_counter("store_condition", 1) == 1);
     auto client = crash_rounds.program.client();
     std::map<std::string, int> kinds;
     for (const auto& text : crash_rounds.texts) {
@@ -177,7 +177,7 @@
             "reopen_to_ms = 20\nslow_after_ms = 2\n");
         crash_rounds.program.start().client();
         CHECK(crash_rounds.program.store("init") == "schema 2\n");
-        CHECK(crash_rounds.program.counter_at("store_condition", 1) == 1);
+        CHECK(crash_rounds.program.wait_for_counter("store_condition", 1) == 1);
         crash_rounds.program.kill(SIGKILL);
         for (int round = 0; round < 60; ++round) {
             postgres.refuse_connections = round % 3 == 1;
@@ -189,8 +189,8 @@
         postgres.refuse_connections = false;
         postgres.die_after_commit = postgres.die_at_execute = 0;
         crash_rounds.program.start().client();
-        CHECK(crash_rounds.program.counter_at("store_condition", 1) == 1);
-        CHECK(crash_rounds.program.counter_at("spill_entries", 0) == 0);
+        CHECK(crash_rounds.program.wait_for_counter("store_condition", 1) == 1);
+        CHECK(crash_rounds.program.wait_for_counter("spill_entries", 0) == 0);
         crash_rounds.check_against_server();
         crash_rounds.program.kill(SIGTERM);
         CHECK(crash_rounds.program.wait() == 0);
