--- a/tests/store/record_test.cpp
+++ b/tests/store/record_test.cpp
@@ -132,8 +132,8 @@
     node.send("once", "t3");
     CHECK(node.link.frame() == "St3.1 1 1\nq");
     node.client = Peer{};
-    CHECK(node.program.counter_at("records_ended", 2) == 2);
-    CHECK(node.program.counter_at("records_in_memory", 0) == 0);
+    CHECK(node.program.wait_for_counter("records_ended", 2) == 2);
+    CHECK(node.program.wait_for_counter("records_in_memory", 0) == 0);
     CHECK(node.list_states() == "failed n0/1/1\nfailed n0/1/3\n");
     CHECK(node.program.store("show n0/1/3").find("part_fates    1m\n") != std::string::npos);
     CHECK(node.program.store("show n0/1/3").find("note          client left\n") != std::string::npos);
@@ -169,16 +169,16 @@
     node.send_and_accept("once", "t1");
     node.program.kill(SIGKILL);
     node.start();
-    CHECK(node.program.counter_at("store_incarnation", 2) == 2);
+    CHECK(node.program.wait_for_counter("store_incarnation", 2) == 2);
     CHECK(node.list_states() == "in-doubt n0/1/1\n");
     node.program.kill(SIGKILL);
     std::ofstream(node.program.folder() + "/store/incarnation") << "1\n";  // an old copy of the folder
     node.start();
-    CHECK(node.program.counter_at("store_incarnation", 3) == 3);
+    CHECK(node.program.wait_for_counter("store_incarnation", 3) == 3);
     node.program.kill(SIGKILL);
     std::filesystem::remove(node.program.folder() + "/store/incarnation");  // a new machine
     node.start();
-    CHECK(node.program.counter_at("store_incarnation", 4) == 4);
+    CHECK(node.program.wait_for_counter("store_incarnation", 4) == 4);
 }
 
 TEST_CASE("a folder is used by one node only, and errors in the settings name file, line and key") {
@@ -222,10 +222,10 @@
     node.start();
     node.send("once", "t0", keyed("k"), 1'000);
     CHECK(node.client.answer().starts_with("503 "));
-    CHECK(node.program.counter_at("store_condition", 3) == 3);
+    CHECK(node.program.wait_for_counter("store_condition", 3) == 3);
     CHECK(node.program.log().find("the store is empty; run `pinedoor store init`") != std::string::npos);
     CHECK(store.init(node) == "schema 2\n");
-    CHECK(node.program.counter_at("store_condition", 1) == 1);
+    CHECK(node.program.wait_for_counter("store_condition", 1) == 1);
     CHECK(node.send_and_accept("once", "t1", keyed("k")) == "St1.1 1 1\nq");
     node.link.reply("t1.1", "done", "x");
     CHECK(node.client.answer() == kAnswerX);
@@ -251,7 +251,7 @@
     Node node(store.settings());
     node.start();
     store.init(node);
-    CHECK(node.program.counter_at("store_condition", 1) == 1);
+    CHECK(node.program.wait_for_counter("store_condition", 1) == 1);
     SUBCASE("committed, no reply") { store.postgres.die_after_commit = 1; }
     SUBCASE("not committed") { store.postgres.die_before_commit = 1; }
     SUBCASE("refused by the server") { store.postgres.fail_commit = 1; }
@@ -262,7 +262,7 @@
     if (refused) {
         // The store rejected the write, so the key cannot be judged.
         CHECK(node.client.answer().starts_with("503 "));
-        CHECK(node.program.counter_at("store_condition", 1) == 1);
+        CHECK(node.program.wait_for_counter("store_condition", 1) == 1);
         node.send("once", "t1", keyed("k"));
     }
     node.link = node.server.accept();
@@ -281,7 +281,7 @@
     Node node(store.settings());
     node.start();
     store.init(node);
-    CHECK(node.program.counter_at("store_condition", 1) == 1);
+    CHECK(node.program.wait_for_counter("store_condition", 1) == 1);
     CHECK(node.send_and_accept("once", "t1") == "St1.1 1 1\nq");
     store.postgres.stall_commits = true;
     const auto began = std::chrono::steady_clock::now();
@@ -296,8 +296,8 @@
     CHECK(std::chrono::steady_clock::now() - began < std::chrono::seconds(4));
     CHECK(node.program.counter("spill_appended") > 0);
     store.postgres.stall_commits = false;
-    CHECK(node.program.counter_at("spill_entries", 0) == 0);
-    CHECK(node.program.counter_at("records_in_memory", 0) == 0);
+    CHECK(node.program.wait_for_counter("spill_entries", 0) == 0);
+    CHECK(node.program.wait_for_counter("records_in_memory", 0) == 0);
     CHECK(node.list_states("--state in-doubt").empty());
     CHECK(node.list_states("--state under-way").empty());
     CHECK(node.list_states("--state answered") == "answered n0/1/1\n");
@@ -312,7 +312,7 @@
     first.start();
     store.init(first);
     second.start();
-    for (auto* node : {&first, &second}) CHECK(node->program.counter_at("store_condition", 1) == 1);
+    for (auto* node : {&first, &second}) CHECK(node->program.wait_for_counter("store_condition", 1) == 1);
     CHECK(first.send_and_accept("once", "t1", keyed("k")) == "St1.1 1 1\nq");
     second.send("once", "t2", keyed("k"));
     CHECK(second.client.answer() ==
@@ -345,10 +345,10 @@
     Node node(store.settings("[store.spill]\nmost_mb = 1\noutcome_room = 65536\n"));
     node.start();
     store.init(node);
-    CHECK(node.program.counter_at("store_condition", 1) == 1);
+    CHECK(node.program.wait_for_counter("store_condition", 1) == 1);
     store.postgres.refuse_connections = true;
     store.postgres.kill_connections();
-    CHECK(node.program.counter_at("store_condition", 3) == 3);
+    CHECK(node.program.wait_for_counter("store_condition", 3) == 3);
     int answered = 0;
     std::string last_answer = "200";
     for (; last_answer.starts_with("200") && answered < 100; ++answered) {
@@ -371,8 +371,8 @@
     node.link.reply("free.1", "done", "x");
     CHECK(node.client.answer() == kAnswerX);
     store.postgres.refuse_connections = false;
-    CHECK(node.program.counter_at("spill_entries", 0) == 0);
-    CHECK(node.program.counter_at("records_in_memory", 0) == 0);
+    CHECK(node.program.wait_for_counter("spill_entries", 0) == 0);
+    CHECK(node.program.wait_for_counter("records_in_memory", 0) == 0);
     CHECK(node.list_states("--state in-doubt").empty());
     CHECK(node.program.counter("records_lost") == 0);
 }
@@ -384,7 +384,7 @@
         settings.replace(settings.find("turnout"), 7, "guessed");
         Node node(settings);
         node.start();
-        CHECK(node.program.counter_at("store_condition", 3) == 3);
+        CHECK(node.program.wait_for_counter("store_condition", 3) == 3);
         CHECK(node.program.log().find("password authentication failed") != std::string::npos);
     }
     SUBCASE("host name") {
@@ -412,7 +412,7 @@
         Node node(settings);
         node.start();
         CHECK(store.init(node) == "schema 2\n");
-        CHECK(node.program.counter_at("store_condition", 1) == 1);
+        CHECK(node.program.wait_for_counter("store_condition", 1) == 1);
         store.postgres.send_byte_by_byte = true;
         CHECK(node.send_and_accept("once", "t1", keyed("k")) == "St1.1 1 1\nq");
         node.link.reply("t1.1", "done", "x");
@@ -422,7 +422,7 @@
         node.send("once", "t2", keyed("k"));
         const auto answer = node.client.answer();
         CHECK((answer == kAnswerX || answer.starts_with("503 ")));
-        CHECK(node.program.counter_at("store_condition", 1) == 1);
+        CHECK(node.program.wait_for_counter("store_condition", 1) == 1);
         node.send("once", "t3", keyed("k"));
         CHECK(node.client.answer() == kAnswerX);
         CHECK(store.postgres.tls_connections >= 3);
@@ -431,7 +431,7 @@
         add_conninfo("host=records.test sslmode=verify-full sslrootcert=" + other_certificate);
         Node node(settings);
         node.start();
-        CHECK(node.program.counter_at("store_condition", 3) == 3);
+        CHECK(node.program.wait_for_counter("store_condition", 3) == 3);
         CHECK(node.program.log().find("certificate verify failed") != std::string::npos);
         node.send("once", "t1", keyed("k"));
         CHECK(node.client.answer().starts_with("503 "));
@@ -440,14 +440,14 @@
         add_conninfo("host=records.elsewhere sslmode=verify-full sslrootcert=" + trusted_certificate);
         Node node(settings);
         node.start();
-        CHECK(node.program.counter_at("store_condition", 3) == 3);
+        CHECK(node.program.wait_for_counter("store_condition", 3) == 3);
         CHECK(node.program.log().find("does not match host name") != std::string::npos);
     }
     SUBCASE("without TLS") {
         add_conninfo("sslmode=disable");
         Node node(settings);
         node.start();
-        CHECK(node.program.counter_at("store_condition", 3) == 3);
+        CHECK(node.program.wait_for_counter("store_condition", 3) == 3);
         CHECK(store.postgres.tls_connections == 0);
     }
     std::filesystem::remove(trusted_certificate);
--- a/tests/store/recorder_test.cpp
+++ b/tests/store/recorder_test.cpp
@@ -408,7 +408,7 @@
 
 TEST_CASE("a rejected entry of the spill is set aside after its batch is replayed one entry at a time") {
     Script s;
-    s.config.most_batch = 2;
+    s.config.max_batch = 2;
     s.start()
         .handle(SpillLevel{2, 90})
         .handle(StoreOpened{})
@@ -437,8 +437,8 @@
 
     static WriteConfig test_config() {
         WriteConfig config;
-        config.most_batch = 4;
-        config.most_waiting = 40;
+        config.max_batch = 4;
+        config.max_pending = 40;
         config.spill_bytes = 20'000;
         return config;
     }
--- a/tests/wall_clock_test.cpp
+++ b/tests/wall_clock_test.cpp
@@ -48,7 +48,7 @@
         watch = discovery.accept();
         watch.read_to("\r\n\r\n");
         watch.say(kStream + chunk(list_object(2, true, {{"s-1", server.at()}}) + "\n"));
-        REQUIRE(program.counter_at("list_news", 2) == 2);
+        REQUIRE(program.wait_for_counter("list_news", 2) == 2);
     }
 };
 
@@ -66,7 +66,7 @@
     node.step_by(step_ms);
     auto other = node.program.client();
     other.say(post("once", "t2", asks({2}), 3'000));
-    const auto frame = link.frame_with_time();
+    const auto frame = link.read_frame_with_time();
     REQUIRE(frame.starts_with("St2.2 2 d="));
     const int wait_ms = std::stoi(frame.substr(10));
     CHECK(wait_ms <= 2'000);  // the latency budget; a later result has no importance
@@ -95,7 +95,7 @@
     // The state is read by another process, whose clock is not stepped.
     std::string line;
     const auto wait_for = [&](const auto& condition) {
-        for (int tries = 0; tries < kPatienceSeconds * 50; ++tries) {
+        for (int tries = 0; tries < kWaitTimeoutSeconds * 50; ++tries) {
             line = node.program.store("show");
             if (condition()) return true;
             usleep(20'000);
@@ -123,13 +123,13 @@
     };
     constexpr std::int64_t kSecond = 10'000;
     pinedoor::store::SqliteDb first(path);
-    first.agree_on_clock();
+    first.share_clock();
     first.run("UPDATE pinedoor_clock SET booted_at = booted_at + $1", {60 * kSecond});
     pinedoor::store::SqliteDb second(path);  // the same boot: the recorded offset stays valid
     CHECK(now(second) - now(first) > 59 * kSecond);
     first.run("UPDATE pinedoor_clock SET boot = 'another'");
     pinedoor::store::SqliteDb third(path);
-    third.agree_on_clock();
+    third.share_clock();
     CHECK(std::abs(now(third) - net::wall_clock()) < 10 * kSecond);
     CHECK(pinedoor::store::number_of(third.run("SELECT count(*) FROM pinedoor_clock").at(0).at(0)) == 1);
     std::filesystem::remove_all(folder);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -114,10 +114,10 @@
     CHECK(stated::Settings::from_text("family_info.places=12\nfamily_info.width=3\nfamily_info.per_call=8\n"
                                       "family_info.overhead_ms=45.0\nwhat.is.this=x\n")
               .shard_ring()
-              .call_cost == 45'0);
+              .call_overhead == 45'0);
     CHECK_THROWS_WITH(stated::Settings::from_text("me=x").node_place(), "settings: me is not a number: 'x'");
     CHECK_THROWS_WITH(stated::Settings::from_text("").node_place(), "settings: me is missing");
-    CHECK_THROWS_WITH(stated::Settings::from_text("discovery=maybe").list_terms(),
+    CHECK_THROWS_WITH(stated::Settings::from_text("discovery=maybe").server_list_config(),
                       "settings: discovery is unknown: 'maybe'");
 }
 
