--- a/bench/fleet.cpp
+++ b/bench/fleet.cpp
@@ -258,7 +258,7 @@
     Time now_ = kSecond;
     std::map<std::string, int> zones_;
     std::vector<std::unique_ptr<Node>> nodes_;
-    std::vector<std::pair<int, peers::Talk>> in_flight_;
+    std::vector<std::pair<int, peers::GossipMessage>> in_flight_;
     std::map<Time, std::pair<double, double>> sends_;  // by turn: all sends, sends to servers that hang
     std::uint64_t asked_in_hang_ = 0, in_time_ = 0, messages_ = 0, bytes_ = 0, wrongly_aside_ = 0,
                   pairs_checked_ = 0;
--- a/bench/store.cpp
+++ b/bench/store.cpp
@@ -39,7 +39,7 @@
     Outcome outcome;
     outcome.id = {"bench", 1, number};
     outcome.tenant = "acme";
-    outcome.fate = Fate::kAnswered;
+    outcome.fate = OutcomeKind::kAnswered;
     outcome.ended = 1;
     outcome.parts = "3r 4r 9r";
     outcome.answer = std::string(200, 'x');
--- a/src/fleet/server_words.cpp
+++ b/src/fleet/server_words.cpp
@@ -107,7 +107,7 @@
 
 // A record is parsed again only if its text changed: records are read up to ten times a second but change at
 // most twice a second.
-Said ReportReader::read(Time now, const std::vector<peers::Fact>& facts,
+Said ReportReader::read(Time now, const std::vector<peers::PublishedRecord>& facts,
                         const std::map<std::string, int>& zones, const std::string& self) {
     Said result;
     result.voices = eligible_reporters(terms_, zones, self);
--- a/src/fleet/server_words.hpp
+++ b/src/fleet/server_words.hpp
@@ -91,8 +91,8 @@
 public:
     explicit ReportReader(VerdictConfig terms) : terms_(terms) {}
     // `zones`: of the live members, by name; records of others are ignored.
-    Said read(Time now, const std::vector<peers::Fact>& facts, const std::map<std::string, int>& zones,
-              const std::string& self);
+    Said read(Time now, const std::vector<peers::PublishedRecord>& facts,
+              const std::map<std::string, int>& zones, const std::string& self);
 
 private:
     struct ParsedRecord {
--- a/src/lab/sim/simulation.cpp
+++ b/src/lab/sim/simulation.cpp
@@ -288,7 +288,7 @@
     node.last_turn = now_;
     auto events = std::exchange(node.events, {});
     while (!node.timers.empty() && node.timers.begin()->first <= now_) {
-        events.emplace_back(Bell{node.timers.begin()->second});
+        events.emplace_back(TimerFired{node.timers.begin()->second});
         node.timers.erase(node.timers.begin());
     }
     const auto began = std::chrono::steady_clock::now();
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -223,7 +223,7 @@
 };
 
 // A timer set by SetTimer fired.
-struct Bell {
+struct TimerFired {
     std::uint32_t token = 0;
 };
 
@@ -265,7 +265,7 @@
 };
 
 using Event = std::variant<ListUpdate, MultigetArrival, SecondStep, SendEnded, ProbeEnded, ClientDisconnected,
-                           Bell, ServerReport, DeadlyKey, FleetQuota, PeerMessage>;
+                           TimerFired, ServerReport, DeadlyKey, FleetQuota, PeerMessage>;
 
 // Actions: the output of a turn.
 
--- a/src/peers/carrier.cpp
+++ b/src/peers/carrier.cpp
@@ -143,7 +143,7 @@
             auto decoded = codec_.decode({bytes.data(), static_cast<std::size_t>(got)});
             if (const auto* reason = std::get_if<RejectReason>(&decoded))
                 reject(*reason, net::to_text({ntohl(from.sin_addr.s_addr), ntohs(from.sin_port)}));
-            else if (const auto* gossip = std::get_if<Talk>(&decoded))
+            else if (const auto* gossip = std::get_if<GossipMessage>(&decoded))
                 execute_all(gossip_.take(scheduler_.now(), *gossip));
             else if (const auto* direct = std::get_if<DirectMessage>(&decoded))
                 deliver(*direct);
--- a/src/peers/gossip.cpp
+++ b/src/peers/gossip.cpp
@@ -13,11 +13,11 @@
 constexpr Time kExpiryCheckInterval = 10'000;  // interval of the removal of expired records
 constexpr std::size_t kRecordOverhead = 64;    // max encoded size in bytes besides the strings
 
-std::size_t wire_size(const Fact& record) {
+std::size_t wire_size(const PublishedRecord& record) {
     return kRecordOverhead + record.origin.size() + record.topic.size() + record.value.size();
 }
 
-std::uint64_t hash_of(const Fact& record, bool with_version) {
+std::uint64_t hash_of(const PublishedRecord& record, bool with_version) {
     const auto name = record.origin + ' ' + record.topic;
     const auto seed = XXH64(name.data(), name.size(), 0);
     if (!with_version) return seed;
@@ -25,7 +25,7 @@
     return XXH64(version, sizeof version, seed);
 }
 
-std::size_t bucket_of(const Fact& record) { return hash_of(record, false) % kDigestBuckets; }
+std::size_t bucket_of(const PublishedRecord& record) { return hash_of(record, false) % kDigestBuckets; }
 
 }  // namespace
 
@@ -100,8 +100,8 @@
     return chosen;
 }
 
-Talk Gossip::make_message(Talk::Kind kind) const {
-    Talk message;
+GossipMessage Gossip::make_message(GossipMessage::Kind kind) const {
+    GossipMessage message;
     message.kind = kind;
     message.from = name_;
     message.from_address = address_;
@@ -109,7 +109,7 @@
 }
 
 // The age sent with a record is a lower bound, because the transit time is unknown.
-Fact Gossip::copy_with_age(const Held& held, Time now) const {
+PublishedRecord Gossip::copy_with_age(const Held& held, Time now) const {
     auto record = held.record;
     record.age = std::max<Time>(0, now - held.published_at);
     return record;
@@ -127,7 +127,7 @@
     std::shuffle(spreading.begin(), spreading.end(), rng_);
     std::stable_sort(spreading.begin(), spreading.end(),
                      [](const auto* a, const auto* b) { return a->transmissions < b->transmissions; });
-    auto message = make_message(Talk::Kind::kRumours);
+    auto message = make_message(GossipMessage::Kind::kRumours);
     const auto recipients = random_members(static_cast<std::size_t>(settings_.rumour_fan_out));
     std::size_t bytes = 0;
     std::vector<Held*> chosen;
@@ -164,12 +164,12 @@
     sync_at_ = now + span / 2 + static_cast<Time>(rng_() % static_cast<std::uint64_t>(span));
     if (members_.empty() || !take_budget(now, sizeof(Digest))) return;
     ++counts_.digests_sent;
-    auto message = make_message(Talk::Kind::kDigestRequest);
+    auto message = make_message(GossipMessage::Kind::kDigestRequest);
     message.digest = digest(now);
     out.push_back({random_members(1).front().second, std::move(message)});
 }
 
-void Gossip::apply_record(Time now, const Fact& record, bool is_rumour) {
+void Gossip::apply_record(Time now, const PublishedRecord& record, bool is_rumour) {
     if (record.age >= record.lives) {
         ++counts_.rejected_expired;
         return;
@@ -225,13 +225,13 @@
     rumours_at_ = std::min(rumours_at_, now);
 }
 
-std::vector<SendGossip> Gossip::take(Time now, const Talk& message) {
+std::vector<SendGossip> Gossip::take(Time now, const GossipMessage& message) {
     // Only records received as rumours spread further; those in a reply to a digest are known to others.
     for (const auto& record : message.records)
-        apply_record(now, record, message.kind == Talk::Kind::kRumours);
+        apply_record(now, record, message.kind == GossipMessage::Kind::kRumours);
     auto out = message.has_digest() ? reply_to_digest(now, message) : std::vector<SendGossip>{};
-    if (message.kind == Talk::Kind::kDigestMatch) behind_ = false;
-    if (message.kind == Talk::Kind::kDigestMismatch) {
+    if (message.kind == GossipMessage::Kind::kDigestMatch) behind_ = false;
+    if (message.kind == GossipMessage::Kind::kDigestMismatch) {
         behind_ = true;
         sync_at_ = std::min(sync_at_, now + settings_.rumour_interval);
     }
@@ -242,10 +242,10 @@
 // Sends the records in the buckets that differ, and in reply to a request this node's digest, which shows the
 // requester what this node lacks. The number of messages is limited and the records are shuffled, so repeated
 // syncs deliver all of them.
-std::vector<SendGossip> Gossip::reply_to_digest(Time now, const Talk& message) {
+std::vector<SendGossip> Gossip::reply_to_digest(Time now, const GossipMessage& message) {
     if (!take_budget(now, settings_.max_record_bytes)) return {};
     const auto own = digest(now);
-    const bool is_request = message.kind == Talk::Kind::kDigestRequest;
+    const bool is_request = message.kind == GossipMessage::Kind::kDigestRequest;
     const bool same = own == message.digest;
     counts_.digests_differed += same ? 0U : 1U;
     std::vector<const Held*> differing;
@@ -255,15 +255,16 @@
     }
     std::shuffle(differing.begin(), differing.end(), rng_);
     std::vector<SendGossip> out;
-    auto reply = make_message(!is_request ? Talk::Kind::kRecords
-                              : same      ? Talk::Kind::kDigestMatch
-                                          : Talk::Kind::kDigestMismatch);
+    auto reply = make_message(!is_request ? GossipMessage::Kind::kRecords
+                              : same      ? GossipMessage::Kind::kDigestMatch
+                                          : GossipMessage::Kind::kDigestMismatch);
     reply.digest = own;
     std::size_t bytes = reply.has_digest() ? sizeof(Digest) : 0;
     for (const auto* held : differing) {
         const auto size = wire_size(held->record);
         if (bytes + size > settings_.max_record_bytes && !reply.records.empty()) {
-            out.push_back({message.from_address, std::exchange(reply, make_message(Talk::Kind::kRecords))});
+            out.push_back(
+                {message.from_address, std::exchange(reply, make_message(GossipMessage::Kind::kRecords))});
             bytes = 0;
             if (static_cast<int>(out.size()) == settings_.max_reply_messages ||
                 !take_budget(now, settings_.max_record_bytes))
@@ -272,13 +273,13 @@
         bytes += size;
         reply.records.push_back(copy_with_age(*held, now));
     }
-    if (!reply.records.empty() || reply.kind != Talk::Kind::kRecords)
+    if (!reply.records.empty() || reply.kind != GossipMessage::Kind::kRecords)
         out.push_back({message.from_address, std::move(reply)});
     return out;
 }
 
-std::vector<Fact> Gossip::facts(Time now, const std::string& topic) const {
-    std::vector<Fact> all;
+std::vector<PublishedRecord> Gossip::facts(Time now, const std::string& topic) const {
+    std::vector<PublishedRecord> all;
     for (const auto& [key, held] : records_) {
         const bool matches = topic.empty() || key.second == topic;
         if (matches && !held.expired(now) && !held.record.value.empty())
--- a/src/peers/gossip.hpp
+++ b/src/peers/gossip.hpp
@@ -37,7 +37,7 @@
 inline constexpr std::size_t kDigestBuckets = 64;
 
 // A small value published by one member under one topic. It expires `lifetime` after the origin published it.
-struct Fact {
+struct PublishedRecord {
     std::string origin, topic;
     std::uint64_t epoch = 0, instance_id = 0, version = 0;  // see order()
     std::string value;                                      // empty: withdrawn
@@ -52,7 +52,7 @@
 using Digest = std::array<std::uint32_t, kDigestBuckets>;
 
 // Gossip message between two members, sent in one datagram.
-struct Talk {
+struct GossipMessage {
     enum class Kind : std::uint8_t {
         kRumours,         // new records, to be spread further
         kDigestRequest,   // the sender's digest, to be compared with the receiver's
@@ -63,7 +63,7 @@
     std::string from;
     At from_address;
     Digest digest{};  // if has_digest()
-    std::vector<Fact> records;
+    std::vector<PublishedRecord> records;
     bool has_digest() const { return kind == Kind::kDigestRequest || kind == Kind::kDigestMismatch; }
 };
 
@@ -86,7 +86,7 @@
 // Send `talk` to `to` in one datagram.
 struct SendGossip {
     At to;
-    Talk talk;
+    GossipMessage talk;
 };
 
 // Counters of this node since its start.
@@ -111,10 +111,10 @@
     void publish(Time now, const std::string& topic, std::string value, Time lifetime);
     std::vector<SendGossip> tick(Time now);  // to be called at due() or later
     Time due() const { return due_; }
-    std::vector<SendGossip> take(Time now, const Talk& message);
+    std::vector<SendGossip> take(Time now, const GossipMessage& message);
 
     // The unexpired, not withdrawn records of a topic, including this node's own; `age` as of now.
-    std::vector<Fact> facts(Time now, const std::string& topic = "") const;  // empty topic: all
+    std::vector<PublishedRecord> facts(Time now, const std::string& topic = "") const;  // empty topic: all
     std::uint64_t changes() const {
         return changes_;
     }                                        // incremented with each record received, published or withdrawn
@@ -125,7 +125,7 @@
 private:
     using Key = std::pair<std::string, std::string>;  // origin, topic
     struct Held {
-        Fact record;
+        PublishedRecord record;
         Time published_at = 0;  // by the local clock
         int transmissions = 0;
         bool spreading = false;  // sent as a rumour
@@ -133,17 +133,17 @@
     };
 
     // Merges a received record; `is_rumour`: spread it further.
-    void apply_record(Time now, const Fact& record, bool is_rumour);
-    std::vector<SendGossip> reply_to_digest(Time now, const Talk& message);
+    void apply_record(Time now, const PublishedRecord& record, bool is_rumour);
+    std::vector<SendGossip> reply_to_digest(Time now, const GossipMessage& message);
     // Republishes this node's records with a newer epoch than `other_epoch`, found on a record of this node's
     // name.
     void republish_own(Time now, std::uint64_t other_epoch);
     Digest digest(Time now) const;
-    Fact copy_with_age(const Held& held, Time now) const;
+    PublishedRecord copy_with_age(const Held& held, Time now) const;
     void send_digest(Time now, std::vector<SendGossip>& out);
     void send_rumours(Time now, std::vector<SendGossip>& out);
     std::vector<std::pair<std::string, At>> random_members(std::size_t count);
-    Talk make_message(Talk::Kind kind) const;
+    GossipMessage make_message(GossipMessage::Kind kind) const;
     int max_transmissions() const;
     bool take_budget(Time now, std::size_t bytes);  // false: not enough tokens
     void update_due();
--- a/src/peers/wire.cpp
+++ b/src/peers/wire.cpp
@@ -97,8 +97,8 @@
         if (value == nullptr) return valid_ = false, "";
         return value->data;
     }
-    Fact published_record() {
-        Fact record;
+    PublishedRecord published_record() {
+        PublishedRecord record;
         record.origin = text();
         record.topic = text();
         record.epoch = number(UINT64_MAX / 2);  // leaves room for raising it
@@ -148,7 +148,7 @@
 
 Json binary(const std::string& bytes) { return Json::binary({bytes.begin(), bytes.end()}); }
 
-void append(Json& out, const Fact& record) {
+void append(Json& out, const PublishedRecord& record) {
     out.push_back(record.origin);
     out.push_back(record.topic);
     out.push_back(record.epoch);
@@ -233,7 +233,7 @@
     return append_mac(to_cbor_bytes(out));
 }
 
-std::string Wire::write(const Talk& message) const {
+std::string Wire::write(const GossipMessage& message) const {
     Json out = Json::array(
         {kMagic, kWireVersion, cluster_, kGossipKindBase + static_cast<int>(message.kind), message.from});
     append(out, message.from_address);
@@ -254,7 +254,7 @@
     return append_mac(to_cbor_bytes(out));
 }
 
-std::variant<Message, Talk, DirectMessage, RejectReason> Wire::decode(std::string_view bytes) const {
+std::variant<Message, GossipMessage, DirectMessage, RejectReason> Wire::decode(std::string_view bytes) const {
     if (bytes.size() > kMaxDatagramBytes) return RejectReason::kSize;
     const auto body = verify_mac(bytes);
     if (!body) return RejectReason::kSecret;
@@ -264,9 +264,10 @@
     const auto header = read_header(reader, cluster_);
     if (const auto* reason = std::get_if<RejectReason>(&header)) return *reason;
     const int kind = std::get<int>(header);
-    if (kind >= kGossipKindBase && kind <= kGossipKindBase + static_cast<int>(Talk::Kind::kRecords)) {
-        Talk message;
-        message.kind = static_cast<Talk::Kind>(kind - kGossipKindBase);
+    if (kind >= kGossipKindBase &&
+        kind <= kGossipKindBase + static_cast<int>(GossipMessage::Kind::kRecords)) {
+        GossipMessage message;
+        message.kind = static_cast<GossipMessage::Kind>(kind - kGossipKindBase);
         message.from = reader.text();
         message.from_address = reader.address();
         if (message.has_digest()) message.digest = reader.digest();
--- a/src/peers/wire.hpp
+++ b/src/peers/wire.hpp
@@ -47,10 +47,10 @@
     Wire(std::string cluster, std::string_view secret);
 
     std::string write(const Message& message) const;
-    std::string write(const Talk& message) const;
+    std::string write(const GossipMessage& message) const;
     std::string write(const DirectMessage& message) const;
     std::string encode_state(const std::vector<MemberRecord>& records) const;
-    std::variant<Message, Talk, DirectMessage, RejectReason> decode(std::string_view bytes) const;
+    std::variant<Message, GossipMessage, DirectMessage, RejectReason> decode(std::string_view bytes) const;
     std::variant<std::vector<MemberRecord>, RejectReason> decode_state(std::string_view bytes) const;
 
 private:
--- a/src/service/exchange.cpp
+++ b/src/service/exchange.cpp
@@ -67,7 +67,7 @@
     std::stable_partition(events.begin(), events.end(),
                           [](const Event& event) { return std::holds_alternative<ListUpdate>(event); });
     while (!timers_.empty() && timers_.begin()->first <= now) {
-        events.emplace_back(Bell{timers_.begin()->second});
+        events.emplace_back(TimerFired{timers_.begin()->second});
         timers_.erase(timers_.begin());
     }
     for (const auto& action : node_.turn(now, events)) {
--- a/src/store/asked_again.cpp
+++ b/src/store/asked_again.cpp
@@ -29,17 +29,17 @@
     if (holder.fingerprint != fingerprint) return RepeatVerdict::kDifferentBody;
     if (!holder.fate) return holder.alive ? RepeatVerdict::kInProgress : RepeatVerdict::kInDoubt;
     switch (*holder.fate) {
-        case Fate::kAnswered:
-        case Fate::kAnsweredInPart:
+        case OutcomeKind::kAnswered:
+        case OutcomeKind::kAnsweredInPart:
             return holder.answer.empty() ? RepeatVerdict::kAnswerNotKept : RepeatVerdict::kAnswer;
-        case Fate::kRefused:  // some part may have run; otherwise the key would be free
-        case Fate::kFailed: break;
+        case OutcomeKind::kRefused:  // some part may have run; otherwise the key would be free
+        case OutcomeKind::kFailed: break;
     }
     return RepeatVerdict::kFailed;
 }
 
-bool frees_key(Fate fate, const PartOutcomes& parts, bool retriable) {
-    if (fate != Fate::kRefused) return false;
+bool frees_key(OutcomeKind fate, const PartOutcomes& parts, bool retriable) {
+    if (fate != OutcomeKind::kRefused) return false;
     return retriable || std::all_of(parts.begin(), parts.end(),
                                     [](const auto& part) { return part.second == PartOutcome::kNeverSent; });
 }
@@ -57,8 +57,8 @@
     return recorded;
 }
 
-Fate outcome_after_disconnect(const PartOutcomes& parts) {
-    return frees_key(Fate::kRefused, parts, false) ? Fate::kRefused : Fate::kFailed;
+OutcomeKind outcome_after_disconnect(const PartOutcomes& parts) {
+    return frees_key(OutcomeKind::kRefused, parts, false) ? OutcomeKind::kRefused : OutcomeKind::kFailed;
 }
 
 }  // namespace pinedoor::store
--- a/src/store/asked_again.hpp
+++ b/src/store/asked_again.hpp
@@ -36,7 +36,7 @@
 // Returns whether a multiget with this outcome leaves its key free for another attempt. If any part may have
 // run, the key is not freed, because a second attempt would run it twice. A retriable op may run twice, so
 // any refusal frees its key.
-bool frees_key(Fate fate, const PartOutcomes& parts, bool retriable);
+bool frees_key(OutcomeKind fate, const PartOutcomes& parts, bool retriable);
 
 // Returns for each op type whether it is recorded: the named ones, or all that are not retriable if none is
 // named. Throws std::invalid_argument for a name that is not an op type.
@@ -44,6 +44,6 @@
                         const std::vector<std::string>& named);
 
 // Returns the outcome to record if the client disconnects before the multiget ends.
-Fate outcome_after_disconnect(const PartOutcomes& parts);
+OutcomeKind outcome_after_disconnect(const PartOutcomes& parts);
 
 }  // namespace pinedoor::store
--- a/src/store/catalog.cpp
+++ b/src/store/catalog.cpp
@@ -7,11 +7,11 @@
 namespace pinedoor::store {
 namespace {
 
-constexpr std::array<Fate, 4> kOutcomeKinds{Fate::kAnswered, Fate::kAnsweredInPart, Fate::kRefused,
-                                            Fate::kFailed};
+constexpr std::array<OutcomeKind, 4> kOutcomeKinds{OutcomeKind::kAnswered, OutcomeKind::kAnsweredInPart,
+                                                   OutcomeKind::kRefused, OutcomeKind::kFailed};
 
 std::string state_of(std::int64_t fate, bool alive) {
-    if (fate >= 1 && fate <= 4) return std::string(name_of(static_cast<Fate>(fate)));
+    if (fate >= 1 && fate <= 4) return std::string(name_of(static_cast<OutcomeKind>(fate)));
     return alive ? kStateInProgress : kStateInDoubt;
 }
 
@@ -119,7 +119,7 @@
     return history;
 }
 
-ResolveResult resolve(SqlDb& db, const RecordId& id, Fate outcome_kind, const std::string& resolved_by,
+ResolveResult resolve(SqlDb& db, const RecordId& id, OutcomeKind outcome_kind, const std::string& resolved_by,
                       const std::string& reason, Time lease) {
     Transaction transaction(db);
     Filter filter;
@@ -141,7 +141,7 @@
         "fate IS NULL",
         {values[0], values[1], values[2], values[3], "settled by " + resolved_by + ": " + reason});
     db.run("UPDATE claims SET state = $4 WHERE node = $1 AND incarnation = $2 AND number = $3",
-           {values[0], values[1], values[2], std::int64_t{outcome_kind == Fate::kRefused ? 1 : 2}});
+           {values[0], values[1], values[2], std::int64_t{outcome_kind == OutcomeKind::kRefused ? 1 : 2}});
     transaction.commit();
     return ResolveResult::kResolved;
 }
--- a/src/store/catalog.hpp
+++ b/src/store/catalog.hpp
@@ -54,7 +54,7 @@
 enum class ResolveResult { kResolved, kNotFound, kNotInDoubt };
 // Sets the outcome of a record in doubt and adds it to the history. An outcome that the node itself records
 // later replaces it.
-ResolveResult resolve(SqlDb& db, const RecordId& id, Fate outcome_kind, const std::string& resolved_by,
+ResolveResult resolve(SqlDb& db, const RecordId& id, OutcomeKind outcome_kind, const std::string& resolved_by,
                       const std::string& reason, Time lease);
 
 struct Summary {
--- a/src/store/keeper.cpp
+++ b/src/store/keeper.cpp
@@ -224,7 +224,7 @@
     if (!multiget.on_ended) {
         const auto finished = std::move(multiget);
         multigets_.erase(at);
-        return record_outcome(finished, Fate::kRefused, {}, "client left before any send", {}, false);
+        return record_outcome(finished, OutcomeKind::kRefused, {}, "client left before any send", {}, false);
     }
     const auto number = proceed.number;
     const auto [acceptance, ticket] =
@@ -255,7 +255,7 @@
             body.clear();
         }
         const auto parts = ending.parts;
-        const auto outcome_kind = ending.whole ? Fate::kAnswered : Fate::kAnsweredInPart;
+        const auto outcome_kind = ending.whole ? OutcomeKind::kAnswered : OutcomeKind::kAnsweredInPart;
         multiget.ending = std::move(ending);
         return record_outcome(multiget, outcome_kind, parts, {}, std::move(body), true);
     }
@@ -263,13 +263,13 @@
     const auto finished = std::move(multiget);
     multigets_.erase(at);
     const auto outcome_kind =
-        ending.kind == MultigetResult::Kind::kPushedBack ? Fate::kRefused : Fate::kFailed;
+        ending.kind == MultigetResult::Kind::kPushedBack ? OutcomeKind::kRefused : OutcomeKind::kFailed;
     const auto parts = ending.parts;
     if (finished.on_ended) finished.on_ended(std::move(ending));
     record_outcome(finished, outcome_kind, parts, {}, {}, false);
 }
 
-void RecordKeeper::record_outcome(const PendingMultiget& multiget, Fate outcome_kind,
+void RecordKeeper::record_outcome(const PendingMultiget& multiget, OutcomeKind outcome_kind,
                                   const PartOutcomes& parts, std::string note, std::string answer,
                                   bool answered) {
     const auto& intent = multiget.intent;
@@ -320,7 +320,8 @@
     held_claims_.erase(rejection.number);
     if (multiget.on_ended) multiget.on_ended(std::move(ending));
     if (rejection.may_be_stored && rejection.reason != RejectReason::kKeyHeld)
-        record_outcome(multiget, Fate::kRefused, {}, std::string(name_of(rejection.reason)), {}, false);
+        record_outcome(multiget, OutcomeKind::kRefused, {}, std::string(name_of(rejection.reason)), {},
+                       false);
 }
 
 MultigetResult RecordKeeper::rejection_ending(const PendingMultiget& multiget,
--- a/src/store/keeper.hpp
+++ b/src/store/keeper.hpp
@@ -108,7 +108,7 @@
     template <class Job>
     void run_on_spill_thread(Job job, std::function<void()> on_done);
     void on_exchange_ended(RecordNumber number, service::MultigetResult ending);
-    void record_outcome(const PendingMultiget& multiget, Fate outcome_kind, const PartOutcomes& parts,
+    void record_outcome(const PendingMultiget& multiget, OutcomeKind outcome_kind, const PartOutcomes& parts,
                         std::string note, std::string answer, bool answered);
     service::MultigetResult rejection_ending(const PendingMultiget& multiget,
                                              const RejectMultiget& rejection);
--- a/src/store/record.cpp
+++ b/src/store/record.cpp
@@ -66,11 +66,11 @@
 
 }  // namespace
 
-std::string_view name_of(Fate fate) { return kOutcomeNames.at(static_cast<std::size_t>(fate)); }
+std::string_view name_of(OutcomeKind fate) { return kOutcomeNames.at(static_cast<std::size_t>(fate)); }
 
-std::optional<Fate> parse_outcome_kind(std::string_view name) {
+std::optional<OutcomeKind> parse_outcome_kind(std::string_view name) {
     for (std::size_t i = 1; i < kOutcomeNames.size(); ++i) {
-        if (kOutcomeNames[i] == name) return static_cast<Fate>(i);
+        if (kOutcomeNames[i] == name) return static_cast<OutcomeKind>(i);
     }
     return std::nullopt;
 }
@@ -133,7 +133,7 @@
         reader.get(outcome.parts);
         reader.get(outcome.note);
         reader.get(outcome.answer);
-        outcome.fate = static_cast<Fate>(fate);
+        outcome.fate = static_cast<OutcomeKind>(fate);
         if (reader.at_end() && fate >= 1 && fate < kOutcomeNames.size()) return outcome;
     }
     return std::nullopt;
--- a/src/store/record.hpp
+++ b/src/store/record.hpp
@@ -30,9 +30,9 @@
     bool operator==(const RecordId&) const = default;
 };
 
-enum class Fate : std::uint8_t { kAnswered = 1, kAnsweredInPart = 2, kRefused = 3, kFailed = 4 };
-std::string_view name_of(Fate fate);
-std::optional<Fate> parse_outcome_kind(std::string_view name);
+enum class OutcomeKind : std::uint8_t { kAnswered = 1, kAnsweredInPart = 2, kRefused = 3, kFailed = 4 };
+std::string_view name_of(OutcomeKind fate);
+std::optional<OutcomeKind> parse_outcome_kind(std::string_view name);
 
 // What is known about a part when its multiget ends; kMayHaveRun unless the opposite is certain.
 enum class PartOutcome : char { kNeverSent = 'n', kMayHaveRun = 'm', kRan = 'r' };
@@ -54,7 +54,7 @@
     RecordId id;
     std::string tenant;  // with the key, identifies the claim of the intent
     std::string key;
-    Fate fate = Fate::kFailed;
+    OutcomeKind fate = OutcomeKind::kFailed;
     bool frees_key = false;  // nothing ran, so the key may be claimed again
     Time ended = 0;
     std::string parts;   // "3r 4m 7n": each part's shard and PartOutcome
@@ -85,7 +85,7 @@
 struct KeyHolder {
     RecordId id;
     std::string fingerprint;
-    std::optional<Fate> fate;  // nullopt: no outcome is recorded
+    std::optional<OutcomeKind> fate;  // nullopt: no outcome is recorded
     // Its process is running: without an outcome the record is in progress, otherwise in doubt.
     bool alive = false;
     std::string answer;
--- a/src/store/sql.cpp
+++ b/src/store/sql.cpp
@@ -263,7 +263,8 @@
                  static_cast<std::uint64_t>(number_of(row.at(2)))};
     if (holder.id == intent.id) return claim;
     holder.fingerprint = text_of(row.at(3));
-    if (const auto fate = number_of(row.at(4)); fate >= 1 && fate <= 4) holder.fate = static_cast<Fate>(fate);
+    if (const auto fate = number_of(row.at(4)); fate >= 1 && fate <= 4)
+        holder.fate = static_cast<OutcomeKind>(fate);
     holder.answer = text_of(row.at(5));
     holder.note = text_of(row.at(6));
     holder.alive = number_of(row.at(7)) != 0;
--- a/src/wire/frame.cpp
+++ b/src/wire/frame.cpp
@@ -256,7 +256,7 @@
             }
             case 20: record.content = read_outcome(r); break;
             case 21: record.content = ClientDisconnected{static_cast<Id>(r.read_uint(4, "handle"))}; break;
-            case 22: record.content = Bell{static_cast<std::uint32_t>(r.read_uint(4, "nonce"))}; break;
+            case 22: record.content = TimerFired{static_cast<std::uint32_t>(r.read_uint(4, "nonce"))}; break;
             case 23: {
                 ProbeEnded probe;
                 probe.server = r.read_server();
--- a/src/wire/frame.hpp
+++ b/src/wire/frame.hpp
@@ -68,7 +68,7 @@
 // The head of a reply was received. Carries no information for the decisions.
 struct HeadReceived {};
 using RecordContent = std::variant<Hello, Destroy, Arrival, DiscoveryUpdate, HeadReceived, SendEnded,
-                                   ProbeEnded, ClientDisconnected, Bell, PeerMessage>;
+                                   ProbeEnded, ClientDisconnected, TimerFired, PeerMessage>;
 struct Record {
     int instance = 0;  // number of the front node
     RecordContent content;
--- a/tests/fleet/words_test.cpp
+++ b/tests/fleet/words_test.cpp
@@ -13,7 +13,7 @@
 
 using namespace pinedoor;
 using namespace pinedoor::fleet;
-using pinedoor::peers::Fact;
+using pinedoor::peers::PublishedRecord;
 using pinedoor::test::Script;
 
 constexpr peers::Time kSecond = 10'000;
@@ -21,7 +21,7 @@
 using Zones = std::map<std::string, int>;
 using OpinionKind = MemberReport::Opinion;
 
-Fact fact(const std::string& origin, const std::string& value, peers::Time age = 0) {
+PublishedRecord fact(const std::string& origin, const std::string& value, peers::Time age = 0) {
     return {origin, kServersTopic, 1, 1, 1, value, 15 * kSecond, age};
 }
 
@@ -31,7 +31,7 @@
     return all;
 }
 
-Said parse(peers::Time now, const std::vector<Fact>& facts, const Zones& zones,
+Said parse(peers::Time now, const std::vector<PublishedRecord>& facts, const Zones& zones,
            const std::string& self = "n0") {
     return ReportReader({}).read(now, facts, zones, self);
 }
@@ -113,7 +113,7 @@
     "a node stays silent where enough report the same; one that has reported goes on while its report "
     "holds") {
     const auto zones = members(20);
-    std::vector<Fact> others;
+    std::vector<PublishedRecord> others;
     const ServerObservation faulty{"s1", true, 9'000, 0, -1, 0};
     for (int i = 1; i <= 3; ++i) others.push_back(fact("n" + std::to_string(i), "s1 b 100 - 0 "));
     ReportPublisher reporter({}), newcomer({});
@@ -140,7 +140,7 @@
     ConsensusTracker tracker({}, "n0");
     const auto update = [&](Time now, const std::vector<std::string>& who,
                             const char* report = "s1 b 100 - 0 ") {
-        std::vector<Fact> facts;
+        std::vector<PublishedRecord> facts;
         for (const auto& name : who) facts.push_back(fact(name, report));
         const auto news = tracker.hear(now, parse(now, facts, zones));
         return news.contains("s1") ? (news.at("s1").aside ? "aside" : "not") : "nothing new";
@@ -172,7 +172,7 @@
     "reporters of the own zone count if there are at least six: unreachable from another zone is not "
     "faulty") {
     const auto far_apart = members(21, 3);
-    std::vector<Fact> facts;
+    std::vector<PublishedRecord> facts;
     for (int i = 1; i < 21; ++i) {
         if (i % 3 != 0) facts.push_back(fact("n" + std::to_string(i), "s1 b 100 - 0 "));
     }
@@ -219,7 +219,8 @@
     const auto zones = members(4);
     ConsensusTracker tracker({}, "n0");
     CHECK(tracker.hear(kSecond, parse(kSecond, {fact("n1", "s1 - - 100 50 ")}, zones)).empty());
-    const std::vector<Fact> both{fact("n1", "s1 - - 100 50 "), fact("n2", "s1 - - 3000 20 ", kSecond)};
+    const std::vector<PublishedRecord> both{fact("n1", "s1 - - 100 50 "),
+                                            fact("n2", "s1 - - 3000 20 ", kSecond)};
     const auto news = tracker.hear(kSecond, parse(kSecond, both, zones));
     CHECK(news.at("s1").cold_for == 40'000);  // 3 s and the record's age of 1 s
     CHECK(news.at("s1").taken == 70);
--- a/tests/peers/gossip_test.cpp
+++ b/tests/peers/gossip_test.cpp
@@ -185,15 +185,15 @@
     }
 }
 
-Fact any_record() {
-    Fact record{"n" + std::to_string(*rc::gen::inRange(0, 3)),
-                "t" + std::to_string(*rc::gen::inRange(0, 2)),
-                0,
-                0,
-                0,
-                "",
-                0,
-                0};
+PublishedRecord any_record() {
+    PublishedRecord record{"n" + std::to_string(*rc::gen::inRange(0, 3)),
+                           "t" + std::to_string(*rc::gen::inRange(0, 2)),
+                           0,
+                           0,
+                           0,
+                           "",
+                           0,
+                           0};
     record.epoch = *rc::gen::inRange<std::uint64_t>(1, 3);
     record.instance_id = *rc::gen::inRange<std::uint64_t>(1, 3);
     record.version = *rc::gen::inRange<std::uint64_t>(1, 4);
@@ -206,17 +206,17 @@
 
 TEST_CASE("merging gives the same records in any order, in any grouping and with duplicates") {
     CHECK(rc::check([] {
-        const auto records = *rc::gen::container<std::vector<Fact>>(rc::gen::exec(any_record));
-        const auto held = [](const std::vector<std::vector<Fact>>& groups) {
+        const auto records = *rc::gen::container<std::vector<PublishedRecord>>(rc::gen::exec(any_record));
+        const auto held = [](const std::vector<std::vector<PublishedRecord>>& groups) {
             Gossip gossip("me", {1, 1}, 1, 1, 1, {});
             for (const auto& group : groups)
-                gossip.take(1'000, {Talk::Kind::kRecords, "x", {1, 2}, {}, group});
+                gossip.take(1'000, {GossipMessage::Kind::kRecords, "x", {1, 2}, {}, group});
             return gossip.facts(1'000);
         };
         auto shuffled = records;
         std::shuffle(shuffled.begin(), shuffled.end(), std::mt19937(*rc::gen::arbitrary<unsigned>()));
         const auto whole = held({records});
-        std::vector<std::vector<Fact>> each;
+        std::vector<std::vector<PublishedRecord>> each;
         for (const auto& record : shuffled) each.push_back({record, record});
         each.push_back(records);
         const auto other = held(each);
@@ -233,13 +233,13 @@
     settings.max_records = 10;
     Gossip gossip("me", {1, 1}, 1, 1, 1, settings);
     for (int i = 0; i < 20; ++i) {
-        Fact record{"n0", "t" + std::to_string(i), 1, 1, 1, "v", 100, 0};
-        gossip.take(1'000, {Talk::Kind::kRumours, "x", {1, 2}, {}, {record}});
+        PublishedRecord record{"n0", "t" + std::to_string(i), 1, 1, 1, "v", 100, 0};
+        gossip.take(1'000, {GossipMessage::Kind::kRumours, "x", {1, 2}, {}, {record}});
     }
     CHECK(gossip.size() == settings.max_topics_per_origin);
     for (int i = 0; i < 20; ++i) {
-        Fact record{"m" + std::to_string(i), "t", 1, 1, 1, "v", 100, 0};
-        gossip.take(1'000, {Talk::Kind::kRumours, "x", {1, 2}, {}, {record}});
+        PublishedRecord record{"m" + std::to_string(i), "t", 1, 1, 1, "v", 100, 0};
+        gossip.take(1'000, {GossipMessage::Kind::kRumours, "x", {1, 2}, {}, {record}});
     }
     CHECK(gossip.size() == 10);
     CHECK(gossip.counts().rejected_full == 12 + 18);
@@ -252,11 +252,11 @@
     CHECK(direct.payload.size() == 3);
     CHECK(std::holds_alternative<RejectReason>(
         wire.decode(wire.write(DirectMessage{"n0", "t", std::string(901, 'x')}))));
-    Talk message{Talk::Kind::kDigestMismatch, "n0", {0x7f000001, 9}, {}, {}};
+    GossipMessage message{GossipMessage::Kind::kDigestMismatch, "n0", {0x7f000001, 9}, {}, {}};
     message.digest[3] = 0xfedcba98;
     message.records.push_back({"n1", "t", 7, UINT64_MAX, 9, std::string("a\0b", 3), 10'000, 5});
     const auto bytes = wire.write(message);
-    const auto decoded = std::get<Talk>(wire.decode(bytes));
+    const auto decoded = std::get<GossipMessage>(wire.decode(bytes));
     CHECK(wire.write(decoded) == bytes);
     CHECK(decoded.digest == message.digest);
     CHECK(decoded.records.at(0).value.size() == 3);
@@ -267,7 +267,7 @@
         for (int n = *rc::gen::inRange(1, 6); n > 0; --n)
             changed[*rc::gen::inRange<std::size_t>(0, changed.size())] = *rc::gen::arbitrary<char>();
         const auto decoded_changed = wire.decode(changed);
-        if (const auto* valid = std::get_if<Talk>(&decoded_changed)) {
+        if (const auto* valid = std::get_if<GossipMessage>(&decoded_changed)) {
             for (const auto& record : valid->records)
                 RC_ASSERT(record.value.size() <= kLongestValue && record.lives >= 0);
         }
--- a/tests/script.hpp
+++ b/tests/script.hpp
@@ -86,7 +86,7 @@
         const Time until = now_ + ms * 10;
         for (; now_ < until;) {
             now_ += 50;
-            play({Bell{}});
+            play({TimerFired{}});
         }
         return *this;
     }
--- a/tests/store/spill_test.cpp
+++ b/tests/store/spill_test.cpp
@@ -29,13 +29,13 @@
     intent.part_count = 1;
     return intent;
 }
-Entry outcome(std::uint64_t number, Fate fate = Fate::kAnswered, const std::string& key = "") {
+Entry outcome(std::uint64_t number, OutcomeKind fate = OutcomeKind::kAnswered, const std::string& key = "") {
     Outcome made;
     made.id = {"n", 1, number};
     made.tenant = "acme";
     made.key = key;
     made.fate = fate;
-    made.frees_key = fate == Fate::kRefused;
+    made.frees_key = fate == OutcomeKind::kRefused;
     made.ended = 30;
     made.parts = "1r";
     made.answer = "answer";
@@ -55,7 +55,7 @@
 TEST_CASE("an entry decodes to what was encoded, and other bytes do not decode") {
     CHECK(rc::check([](const std::string& a, const std::string& b, std::uint64_t n, std::int64_t t) {
         const Entry one = Intent{{a, n, n + 1}, b, a, b, a + b, b, t, t + 1, 7};
-        const Entry two = Outcome{{b, n, n}, a, b, Fate::kFailed, true, t, b, a, a + a};
+        const Entry two = Outcome{{b, n, n}, a, b, OutcomeKind::kFailed, true, t, b, a, a + a};
         RC_ASSERT(decode(encode(one)) == std::optional(one));
         RC_ASSERT(decode(encode(two)) == std::optional(two));
         RC_ASSERT(!decode(encode(one) + 'x'));
@@ -251,9 +251,10 @@
         SqliteDb db(":memory:");
         migrate(db);
         for (const auto next : order)
-            write_entries(db, {next % 2 == 0 ? intent(1, key) : outcome(1, Fate::kRefused, key)}, 1'000);
+            write_entries(db, {next % 2 == 0 ? intent(1, key) : outcome(1, OutcomeKind::kRefused, key)},
+                          1'000);
         write_entries(db, {intent(1, key)}, 1'000);
-        write_entries(db, {outcome(1, Fate::kRefused, key)}, 1'000);
+        write_entries(db, {outcome(1, OutcomeKind::kRefused, key)}, 1'000);
         const auto claims = write_entries(db, {intent(2, key)}, 1'000);
         RC_ASSERT(claims.at(0).kind == Claim::Kind::kGranted);
         const auto rows = db.run("SELECT fate, answer, number FROM records ORDER BY number");
--- a/tests/tool_test.cpp
+++ b/tests/tool_test.cpp
@@ -129,7 +129,7 @@
         outcome.id = intent.id;
         outcome.tenant = intent.tenant;
         outcome.key = intent.key;
-        outcome.fate = store::Fate::kAnswered;
+        outcome.fate = store::OutcomeKind::kAnswered;
         outcome.ended = intent.requested_at + 10;
         outcome.answer = "{}";
         std::vector<store::Entry> entries{intent};
@@ -172,7 +172,8 @@
     const auto store = "store --sqlite " + file + " ";
     run_command(store + "init");
     store::SqliteDb db(file);
-    const auto write = [&db](std::uint64_t number, const std::string& key, std::optional<store::Fate> fate) {
+    const auto write = [&db](std::uint64_t number, const std::string& key,
+                             std::optional<store::OutcomeKind> fate) {
         store::Intent intent;
         intent.id = {"n", 1, number};
         intent.op_type = "once";
@@ -188,7 +189,7 @@
         if (fate) entries.emplace_back(outcome);
         store::write_entries(db, entries, 1'000);
     };
-    for (std::uint64_t i = 1; i <= 20; ++i) write(i, "k" + std::to_string(i), store::Fate::kAnswered);
+    for (std::uint64_t i = 1; i <= 20; ++i) write(i, "k" + std::to_string(i), store::OutcomeKind::kAnswered);
     write(21, "doubt", std::nullopt);
     run_command(store + "resolve n/1/21 failed --who ann --why seen");
     run_command(store + "backup " + copy);
@@ -228,7 +229,7 @@
     usleep(500'000);
     store::Outcome outcome;
     outcome.id = intent.id;
-    outcome.fate = store::Fate::kFailed;
+    outcome.fate = store::OutcomeKind::kFailed;
     store::write_entries(db, {outcome}, 1'000);
     following.join();
     CHECK(seen.find("failed             n/1/1 ") != std::string::npos);
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -66,7 +66,7 @@
     CHECK(arrival.part.id == 0x5d3a91c4);
     CHECK(arrival.part.weight == doctest::Approx(0.125));
     CHECK(arrival.part.cost_hint == 12'0);
-    CHECK(std::get<Bell>(batch.records[2].content).token == 77);
+    CHECK(std::get<TimerFired>(batch.records[2].content).token == 77);
 }
 
 TEST_CASE("each event gets the numbered list as defined before it, even within one batch") {
