--- a/src/fleet/verdict.hpp
+++ b/src/fleet/verdict.hpp
@@ -7,7 +7,7 @@
 //
 //   needed(n)           must agree: the configured number, or the configured fraction of them if that is more
 //   2 * needed(n) - 1   latest opinions count; the server is set aside if needed(n) of these are faulty
-//   opinion_lifetime    is the maximum age of an opinion
+//   lives               is the maximum age of an opinion
 //
 // Fewer than needed(n) misreporting members can therefore neither cause nor prevent a verdict, whatever they
 // report and however often: they hold fewer than needed(n) of the opinions that count.
--- a/src/logic.hpp
+++ b/src/logic.hpp
@@ -54,7 +54,7 @@
 };
 
 // Assignment of shards to index servers by their positions on a ring: shard s is held by the servers at the
-// `replicas` positions that start at s modulo `positions`.
+// `width` places that start at s modulo `places`.
 struct ShardRing {
     int places = 1;
     int width = 1;
@@ -83,9 +83,9 @@
     Time connect_timeout = 0;
 };
 
-// Budget of further sends (retries and second copies): within any time span of length `window`, at most
-// `floor` plus `ratio` times the multigets and parts received in it. A `window` of 0 means that there is no
-// budget.
+// Budget of further sends (retries and second copies): within any time span of length `look_back`, at most
+// `floor` plus `ratio` times the multigets and parts received in it. A `look_back` of 0 means that there is
+// no budget.
 struct FurtherSendConfig {
     double floor = 0;
     double ratio = 0;
@@ -239,7 +239,7 @@
 };
 
 // This node's share of the limits that apply to the fleet as a whole. Nothing but one part out at each server
-// is allowed after `valid_until`.
+// is allowed after `until`.
 struct FleetQuota {
     int parts_out = std::numeric_limits<int>::max();           // maximum at one server; one is always allowed
     double further = std::numeric_limits<double>::infinity();  // further sends since this node's start
--- a/src/service/request_handler.hpp
+++ b/src/service/request_handler.hpp
@@ -61,11 +61,11 @@
 class RequestHandler {
 public:
     virtual ~RequestHandler() = default;
-    // Calls `ended` exactly once, possibly before submit() returns, unless abandon() is called first.
+    // Calls `ended` exactly once, possibly before ask() returns, unless leave() is called first.
     virtual SubmitResult ask(MultigetRequest multiget, std::function<void(MultigetResult)> ended) = 0;
     // Abandons a multiget. Returns the fates of its parts; empty if it has ended.
     virtual store::PartOutcomes leave(Ticket multiget) = 0;
-    // What submit() would return now.
+    // What ask() would return now.
     virtual Acceptance check_acceptance(const std::string& name) const = 0;
 };
 
--- a/src/store/spill.hpp
+++ b/src/store/spill.hpp
@@ -42,7 +42,7 @@
     // Returns true if all payloads are durable. After a failure none of them counts as written, and the next
     // append starts a new file.
     bool append(const std::vector<std::string>& payloads);
-    std::vector<Entry> next(std::size_t max_entries);  // the oldest entries; they stay until mark_stored()
+    std::vector<Entry> next(std::size_t max_entries);  // the oldest entries; they stay until done()
     void done(std::size_t count);                      // the oldest `count` entries are in the store
     // Moves the oldest entry into `refused.journal`, for an operator.
     bool set_aside_front();
