--- a/src/service/exchange.hpp
+++ b/src/service/exchange.hpp
@@ -92,11 +92,11 @@
     Acceptance check_acceptance(const std::string& name) const override;
 
     // Reports the outcome of a send, exactly once for each send. The value is used with kReturned only.
-    void finish_send(const PartSend& send, Outcome outcome, std::vector<double> load = {},
+    void finish_send(const PartSend& call, Outcome outcome, std::vector<double> load = {},
                      std::string value = {});
     // Reports the outcome of a send whose server answered that it does not own the part. The module counts it
     // as answered.
-    void finish_moved_send(const PartSend& send, std::uint64_t epoch, std::vector<double> load);
+    void finish_moved_send(const PartSend& call, std::uint64_t epoch, std::vector<double> load);
     bool has_routing() const { return routing_ != nullptr; }
     // Whether the part's multiget is open and the part has no value yet.
     bool needs_value(Id part) const;
@@ -159,7 +159,7 @@
     void enqueue(Event event);
     // Removes an outstanding send and counts its outcome. Returns its part, or the end iterator if its
     // multiget is no longer open, or nothing if the send was not outstanding.
-    std::optional<std::map<Id, OpenPart>::iterator> take_send(const PartSend& send, Outcome outcome);
+    std::optional<std::map<Id, OpenPart>::iterator> take_send(const PartSend& call, Outcome outcome);
     Id new_id();
     // Changes the number of uses of a multiget name.
     void adjust_name_uses(const std::string& name, int change);
--- a/src/service/server_side.hpp
+++ b/src/service/server_side.hpp
@@ -33,7 +33,7 @@
         may_connect_ = std::move(may_connect);
     }
     void start();
-    void send(PartSend send) override;
+    void send(PartSend call) override;
     void flush() override;
     void cancel(Id part, int send) override;
     void update_server(ServerId id, net::Endpoint endpoint, ServerState state, Time started) override;
